--- a/scripts/faults.ts
+++ b/scripts/faults.ts
@@ -422,7 +422,7 @@
 	{
 		promise: 'sidecar: a node that hears of no fresh watcher asks the store itself',
 		file: `${library}/sync/relay-duty.js`,
-		from: ' || (mayHelp && !isWatched)',
+		from: ' || (canReachStore && !hasFreshRelay)',
 		to: '',
 		tests: `${library}/sync`,
 	},
@@ -568,15 +568,15 @@
 	},
 	{
 		promise: 'sidecar: bytes: an entry that names no address names nobody to use',
-		file: `${library}/sync/entry-book.js`,
+		file: `${library}/sync/node-entry-tracker.js`,
 		from: 'if (!isReachableAddress(item.value)) {',
 		to: 'if (false) {',
 		tests: `${library}/sync`,
 	},
 	{
 		promise: 'sidecar: bytes: an entry at which nobody answers costs a bounded number of greetings',
-		file: `${library}/sync/entry-book.js`,
-		from: 'if (!entry.hasAnswered && now - entry.firstSeenAt > greetForMs) {',
+		file: `${library}/sync/node-entry-tracker.js`,
+		from: 'if (!entry.hasAnswered && now - entry.firstSeenAt > unansweredContactMs) {',
 		to: 'if (false) {',
 		tests: `${library}/sync`,
 	},
@@ -709,7 +709,7 @@
 	{
 		promise: 'sidecar: bytes: a delta asks for no text without bounds',
 		file: `${library}/route-config/text-delta.js`,
-		from: 'if (length > maxTextLength) {',
+		from: 'if (length > maxTextCharacters) {',
 		to: 'if (false) {',
 		tests: `${library}/route-config/text-delta.test.js`,
 	},
@@ -792,10 +792,10 @@
 	},
 	{
 		promise: 'eras: a late answer of an era that is over does not count',
-		file: `${library}/store/era-book.js`,
-		from: 'if (isLate) {',
+		file: `${library}/store/era-tracker.js`,
+		from: 'if (isStale) {',
 		to: 'if (false) {',
-		tests: `${library}/store/era-book.test.js`,
+		tests: `${library}/store/era-tracker.test.js`,
 	},
 	{
 		promise: 'eras: a node whose watch hangs hears of it from others',
@@ -904,8 +904,8 @@
 	},
 	{
 		promise: 'slow store: a call may take longer after one without an answer',
-		file: `${library}/store/call-patience.js`,
-		from: 'trimPatience(limitMs * margin)',
+		file: `${library}/store/call-timeout.js`,
+		from: 'clampTimeoutMs(limitMs * latencyFactor)',
 		to: 'limitMs',
 		tests: 'platform/store-client.test.js',
 	},
--- a/src/lib/calls/once-fence.ts
+++ b/src/lib/calls/once-fence.ts
@@ -67,7 +67,7 @@
 	const put = async (record: FenceRecord): Promise<void> => {
 		// If this write fails, the record keeps saying `started`: a repeat is then told that the request may have run.
 		await store.write({
-			key, value: JSON.stringify(record), expectedRevision: revision, lifeMs: fenceLifeMs,
+			key, value: JSON.stringify(record), expectedRevision: revision, ttlMs: fenceLifeMs,
 		});
 	};
 
@@ -98,7 +98,7 @@
 	let reason = 'the store kept changing';
 	for (let round = 0; round < maximumTries; round++) {
 		const written = await store.write({
-			key, value, expectedRevision, lifeMs: fenceLifeMs,
+			key, value, expectedRevision, ttlMs: fenceLifeMs,
 		});
 		if (written.isOk()) {
 			return {type: 'held', fence: createFence(store, key, call, written.value)};
--- a/src/lib/forwarding/entry-server.ts
+++ b/src/lib/forwarding/entry-server.ts
@@ -14,11 +14,11 @@
 import {type LoopLag} from '../common/loop-lag.js';
 import {type Verdict} from '../common/verdict.js';
 import {type CallerLimits, type RouteRule} from '../route-config/route-config.js';
-import {type HeldConfig} from '../route-config/config-holder.js';
+import {type ActiveConfig} from '../route-config/config-holder.js';
 import {type AwaitedRoutes} from '../decisions/awaited-routes.js';
 import {computeComeBack} from '../decisions/come-back.js';
-import {cutPort, findRoute} from '../route-config/route-index.js';
-import {type ShareSplitter} from '../route-config/share-splitter.js';
+import {normalizeHost, findRoute} from '../route-config/route-index.js';
+import {type WeightedRoundRobin} from '../route-config/weighted-round-robin.js';
 import {type AttemptNote, type MeshLog} from '../timeline/mesh-log.js';
 import {type ReturningCallers} from '../decisions/returning-callers.js';
 import {createRequestMark} from '../quarantine/request-mark.js';
@@ -52,12 +52,12 @@
 /** @internal */
 export type EntryContext = SendContext & {
 	readonly wire: WireHeaders;
-	readonly getConfig: () => HeldConfig | undefined;
+	readonly getConfig: () => ActiveConfig | undefined;
 	/** Whether a newer configuration is known of than that one. */
 	readonly isBehind: () => boolean;
 	/** Waits until it is here, or a moment has passed. */
 	readonly waitForNewer: () => Promise<void>;
-	readonly splitter: ShareSplitter;
+	readonly splitter: WeightedRoundRobin;
 	readonly returningCallers: ReturningCallers;
 	readonly awaitedRoutes: AwaitedRoutes;
 	readonly log: MeshLog;
@@ -181,8 +181,8 @@
 	};
 
 	/** Refuses a request that no known route matches; one that may be meant for a route that could not be read, or that is not here yet, is not told that there is none. */
-	const refuseUnrouted = (call: EntryCall, {config: {version, unreadHosts}}: HeldConfig): void => {
-		if (unreadHosts.has(cutPort(call.request.headers.host ?? ''))) {
+	const refuseUnrouted = (call: EntryCall, {config: {version, unreadHosts}}: ActiveConfig): void => {
+		if (unreadHosts.has(normalizeHost(call.request.headers.host ?? ''))) {
 			refuseEarly(call, version, 503, 'no route that this node can read matches host and path', unreadRetryMs);
 			return;
 		}
@@ -219,7 +219,7 @@
 		}
 	};
 
-	const finish = (call: EntryCall, scope: CallScope, held: HeldConfig, outcome: CallOutcome & {readonly route: RouteRule; readonly service: string}): void => {
+	const finish = (call: EntryCall, scope: CallScope, held: ActiveConfig, outcome: CallOutcome & {readonly route: RouteRule; readonly service: string}): void => {
 		const {result, verdict, attempts} = outcome;
 		const now = readSteadyMs();
 		const status = result.type === 'answered' ? result.status : sendFailure(call, result, verdict, outcome.route.targetLatencyMs);
@@ -235,10 +235,10 @@
 		});
 	};
 
-	const findRouteIn = ({index}: HeldConfig, {headers, url}: IncomingMessage): RouteRule | undefined => findRoute(index, headers.host ?? '', url ?? '/');
+	const findRouteIn = ({index}: ActiveConfig, {headers, url}: IncomingMessage): RouteRule | undefined => findRoute(index, headers.host ?? '', url ?? '/');
 
 	/** The configuration that a request is handled by: if no route of the one in force matches it and a newer one is known of, that one is waited for. */
-	const chooseConfig = async (request: IncomingMessage): Promise<HeldConfig | undefined> => {
+	const chooseConfig = async (request: IncomingMessage): Promise<ActiveConfig | undefined> => {
 		const held = context.getConfig();
 		if (held === undefined || !context.isBehind() || findRouteIn(held, request) !== undefined) {
 			return held;
--- a/src/lib/quarantine/fingerprint.ts
+++ b/src/lib/quarantine/fingerprint.ts
@@ -7,7 +7,7 @@
  * @module
  */
 import {createHash} from 'node:crypto';
-import {cutPort} from '../route-config/route-index.js';
+import {normalizeHost} from '../route-config/route-index.js';
 
 /** What a backend server is asked. @internal */
 export type RequestIdentity = {
@@ -46,7 +46,7 @@
  * @internal
  */
 export function formatHead({method, host, target}: Omit<RequestIdentity, 'body'>): string {
-	return `${method}\n${cutPort(host)}\n${target}`;
+	return `${method}\n${normalizeHost(host)}\n${target}`;
 }
 
 /**
--- a/src/lib/route-config/config-history.ts
+++ b/src/lib/route-config/config-history.ts
@@ -16,19 +16,19 @@
 /** @internal */
 export type ConfigHistory = {
 	/** Notes the step that put a version in force; `undefined` if it is not known, which ends the chain. */
-	readonly note: (step: ConfigStep | undefined) => void;
+	readonly add: (step: ConfigStep | undefined) => void;
 	/** The steps from a version to the newest one; `undefined` if one of them is not known. */
-	readonly list: (from: number) => readonly ConfigStep[] | undefined;
+	readonly listSteps: (from: number) => readonly ConfigStep[] | undefined;
 };
 
 /** Steps that are remembered. Beside a quick succession of changes a node lacks one or two; one that lacks more was away, and takes the whole. */
-const rememberedSteps = 12;
+const maxStoredStepCount = 12;
 
 /** Steps that are taken from another node at once: several times what one remembers. */
-const mostSteps = 64;
+const maxReceivedStepCount = 64;
 
 /** A step that is larger than this ends the chain: the whole is not much more. Characters; a change of one route is some 300, one that adds 1,600 routes 340,000. */
-const maxStepLength = 524_288;
+const maxStepCharacters = 524_288;
 
 /**
  * @returns A history of no steps.
@@ -37,16 +37,16 @@
 export function createConfigHistory(): ConfigHistory {
 	let steps: readonly ConfigStep[] = [];
 	return {
-		note(step) {
-			if (step === undefined || measureStep(step) > maxStepLength) {
+		add(step) {
+			if (step === undefined || countInsertedCharacters(step) > maxStepCharacters) {
 				steps = [];
 				return;
 			}
 
 			const isNext = steps.length === 0 || steps.at(-1)!.to === step.from;
-			steps = [...isNext ? steps : [], step].slice(-rememberedSteps);
+			steps = [...isNext ? steps : [], step].slice(-maxStoredStepCount);
 		},
-		list(from) {
+		listSteps(from) {
 			const start = steps.findIndex(step => step.from === from);
 			return start === -1 ? undefined : steps.slice(start);
 		},
@@ -54,7 +54,7 @@
 }
 
 /** Characters of new text in a step, which are most of it. */
-function measureStep({delta}: ConfigStep): number {
+function countInsertedCharacters({delta}: ConfigStep): number {
 	let length = 0;
 	for (const step of delta.steps) {
 		length += typeof step === 'string' ? step.length : 0;
@@ -71,13 +71,13 @@
  * @internal
  */
 export function parseConfigSteps(value: unknown): readonly ConfigStep[] | undefined {
-	if (!Array.isArray(value) || value.length > mostSteps) {
+	if (!Array.isArray(value) || value.length > maxReceivedStepCount) {
 		return undefined;
 	}
 
 	const steps: ConfigStep[] = [];
-	for (const one of value) {
-		const {from, to, delta} = typeof one === 'object' && one !== null ? one as Readonly<Record<string, unknown>> : {};
+	for (const entry of value) {
+		const {from, to, delta} = typeof entry === 'object' && entry !== null ? entry as Readonly<Record<string, unknown>> : {};
 		const parsed = parseTextDelta(delta);
 		if (!isVersion(from) || !isVersion(to) || from >= to || parsed === undefined) {
 			return undefined;
--- a/src/lib/route-config/config-holder.ts
+++ b/src/lib/route-config/config-holder.ts
@@ -9,7 +9,7 @@
 import {computeTextDelta} from './text-delta.js';
 
 /** A configuration and where it came from. @internal */
-export type HeldConfig = {
+export type ActiveConfig = {
 	readonly config: RouteConfig;
 	readonly index: RouteIndex;
 	/** As the store holds it: what other nodes are handed. */
@@ -18,16 +18,16 @@
 
 /** @internal */
 export type ConfigHolder = {
-	readonly get: () => HeldConfig | undefined;
+	readonly get: () => ActiveConfig | undefined;
 	readonly getVersion: () => number;
 	/** Puts a configuration in force if it is newer; yields whether it was. */
-	readonly adopt: (adopted: AdoptedConfig) => boolean;
+	readonly applyIfNewer: (candidate: ConfigCandidate) => boolean;
 	/** The steps from a version to the one in force; `undefined` if they are not known. */
 	readonly listSteps: (from: number) => readonly ConfigStep[] | undefined;
 };
 
 /** A configuration that may come into force. @internal */
-export type AdoptedConfig = {
+export type ConfigCandidate = {
 	readonly config: RouteConfig;
 	readonly text: string;
 	/** Where it came from, for the log. */
@@ -37,38 +37,38 @@
 };
 
 /**
- * @param handleAdopted - Told of each configuration that comes into force.
+ * @param handleApplied - Told of each configuration that comes into force.
  * @returns A holder of nothing; its version is 0.
  * @internal
  */
-export function createConfigHolder(handleAdopted: (held: HeldConfig, source: string) => void): ConfigHolder {
-	let held: HeldConfig | undefined;
+export function createConfigHolder(handleApplied: (active: ActiveConfig, source: string) => void): ConfigHolder {
+	let active: ActiveConfig | undefined;
 	const history = createConfigHistory();
-	const getVersion = (): number => held?.config.version ?? 0;
+	const getVersion = (): number => active?.config.version ?? 0;
 	return {
-		get: () => held,
+		get: () => active,
 		getVersion,
-		listSteps: history.list,
-		adopt({config, text, source, steps}) {
+		listSteps: history.listSteps,
+		applyIfNewer({config, text, source, steps}) {
 			if (config.version <= getVersion()) {
 				return false;
 			}
 
-			for (const step of steps ?? describeStep(held, config, text)) {
-				history.note(step);
+			for (const step of steps ?? computeSteps(active, config, text)) {
+				history.add(step);
 			}
 
 			// One assignment puts the whole of it in force; a request keeps what it began with.
-			held = {
+			active = {
 				config, index: createRouteIndex(config), text,
 			};
-			handleAdopted(held, source);
+			handleApplied(active, source);
 			return true;
 		},
 	};
 }
 
 /** The step from what was in force to what comes, for nodes that lack it. */
-function describeStep(before: HeldConfig | undefined, {version}: RouteConfig, text: string): ReadonlyArray<ConfigStep | undefined> {
-	return [before === undefined ? undefined : {from: before.config.version, to: version, delta: computeTextDelta(before.text, text)}];
+function computeSteps(previous: ActiveConfig | undefined, {version}: RouteConfig, text: string): ReadonlyArray<ConfigStep | undefined> {
+	return [previous === undefined ? undefined : {from: previous.config.version, to: version, delta: computeTextDelta(previous.text, text)}];
 }
--- a/src/lib/route-config/route-config.test.ts
+++ b/src/lib/route-config/route-config.test.ts
@@ -4,7 +4,7 @@
 import {createConfigHolder} from './config-holder.js';
 import {createRouteIndex, findRoute} from './route-index.js';
 import {createSampleConfig, createSampleRoute} from './sample-config.js';
-import {createShareSplitter} from './share-splitter.js';
+import {createWeightedRoundRobin} from './weighted-round-robin.js';
 
 const createIndex = (prefixes: readonly string[]) => createRouteIndex(createSampleConfig(1, prefixes.map(prefix => createSampleRoute({name: prefix, prefix}))));
 
@@ -38,16 +38,16 @@
 });
 
 test('a lower or equal version is refused, always', () => {
-	const adopted: number[] = [];
-	const holder = createConfigHolder(held => {
-		adopted.push(held.config.version);
+	const appliedVersions: number[] = [];
+	const holder = createConfigHolder(active => {
+		appliedVersions.push(active.config.version);
 	});
-	assert.equal(holder.adopt({config: createSampleConfig(5), text: 'five', source: 'store'}), true);
-	assert.equal(holder.adopt({config: createSampleConfig(4), text: 'four', source: 'store'}), false);
-	assert.equal(holder.adopt({config: createSampleConfig(5), text: 'five again', source: 'n2'}), false);
+	assert.equal(holder.applyIfNewer({config: createSampleConfig(5), text: 'five', source: 'store'}), true);
+	assert.equal(holder.applyIfNewer({config: createSampleConfig(4), text: 'four', source: 'store'}), false);
+	assert.equal(holder.applyIfNewer({config: createSampleConfig(5), text: 'five again', source: 'n2'}), false);
 	assert.equal(holder.get()?.text, 'five');
-	assert.equal(holder.adopt({config: createSampleConfig(12), text: 'twelve', source: 'n2'}), true);
-	assert.deepEqual(adopted, [5, 12]);
+	assert.equal(holder.applyIfNewer({config: createSampleConfig(12), text: 'twelve', source: 'n2'}), true);
+	assert.deepEqual(appliedVersions, [5, 12]);
 });
 
 test('property: each part of a route gets its share, never more than a request off', () => {
@@ -55,10 +55,10 @@
 		const total = weights.reduce((sum, weight) => sum + weight, 0);
 		fc.pre(total > 0);
 		const route = createSampleRoute({services: weights.map((weight, index) => ({service: `s${index}`, weight}))});
-		const splitter = createShareSplitter(() => 0);
+		const roundRobin = createWeightedRoundRobin(() => 0);
 		const counts = new Map<string, number>();
 		for (let sent = 0; sent < requests; sent++) {
-			const service = splitter.pick(route) ?? '';
+			const service = roundRobin.pick(route) ?? '';
 			counts.set(service, (counts.get(service) ?? 0) + 1);
 		}
 
@@ -70,10 +70,10 @@
 });
 
 test('a part with weight 0 gets nothing, and a route whose weights change is dealt anew', () => {
-	const splitter = createShareSplitter(() => 0.5);
+	const roundRobin = createWeightedRoundRobin(() => 0.5);
 	const route = createSampleRoute({services: [{service: 'old', weight: 0}, {service: 'new', weight: 3}]});
-	assert.deepEqual(Array.from({length: 5}, () => splitter.pick(route)), ['new', 'new', 'new', 'new', 'new']);
-	const turned = createSampleRoute({services: [{service: 'old', weight: 3}, {service: 'new', weight: 0}]});
-	assert.equal(splitter.pick(turned), 'old');
-	assert.equal(splitter.pick(createSampleRoute({services: [{service: 'old', weight: 0}, {service: 'new', weight: 0}]})), undefined);
+	assert.deepEqual(Array.from({length: 5}, () => roundRobin.pick(route)), ['new', 'new', 'new', 'new', 'new']);
+	const changed = createSampleRoute({services: [{service: 'old', weight: 3}, {service: 'new', weight: 0}]});
+	assert.equal(roundRobin.pick(changed), 'old');
+	assert.equal(roundRobin.pick(createSampleRoute({services: [{service: 'old', weight: 0}, {service: 'new', weight: 0}]})), undefined);
 });
--- a/src/lib/route-config/route-index.ts
+++ b/src/lib/route-config/route-index.ts
@@ -32,11 +32,11 @@
  * @returns The host.
  * @internal
  */
-export function cutPort(host: string): string {
+export function normalizeHost(host: string): string {
 	return host.toLowerCase().replace(/:\d+$/, '');
 }
 
-function cutQuery(target: string): string {
+function removeQuery(target: string): string {
 	const query = target.indexOf('?');
 	return query === -1 ? target : target.slice(0, query);
 }
@@ -52,12 +52,12 @@
  * @internal
  */
 export function findRoute(index: RouteIndex, host: string, target: string): RouteRule | undefined {
-	const rules = index.get(cutPort(host));
+	const rules = index.get(normalizeHost(host));
 	if (rules === undefined) {
 		return undefined;
 	}
 
-	const path = cutQuery(target);
+	const path = removeQuery(target);
 	for (let end = path.lastIndexOf('/'); end !== -1; end = end === 0 ? -1 : path.lastIndexOf('/', end - 1)) {
 		const rule = rules.get(path.slice(0, end + 1));
 		if (rule !== undefined) {
--- a/src/lib/route-config/text-delta.test.ts
+++ b/src/lib/route-config/text-delta.test.ts
@@ -45,29 +45,29 @@
 
 test('the history hands out the chain from a version to the newest, or nothing', () => {
 	const history = createConfigHistory();
-	history.note(createStep(1, 4));
-	history.note(createStep(4, 5));
-	assert.deepEqual(history.list(1)?.map(({to}) => to), [4, 5]);
-	assert.deepEqual(history.list(4)?.map(({to}) => to), [5]);
-	assert.equal(history.list(2), undefined);
+	history.add(createStep(1, 4));
+	history.add(createStep(4, 5));
+	assert.deepEqual(history.listSteps(1)?.map(({to}) => to), [4, 5]);
+	assert.deepEqual(history.listSteps(4)?.map(({to}) => to), [5]);
+	assert.equal(history.listSteps(2), undefined);
 	// A version that came whole: what led to it is not known.
-	history.note(undefined);
-	assert.equal(history.list(4), undefined);
-	history.note(createStep(9, 10));
-	history.note(createStep(12, 13));
-	assert.equal(history.list(9), undefined);
+	history.add(undefined);
+	assert.equal(history.listSteps(4), undefined);
+	history.add(createStep(9, 10));
+	history.add(createStep(12, 13));
+	assert.equal(history.listSteps(9), undefined);
 });
 
 test('the history forgets old steps and does not keep large ones', () => {
 	const history = createConfigHistory();
 	for (let version = 1; version <= 30; version++) {
-		history.note(createStep(version, version + 1));
+		history.add(createStep(version, version + 1));
 	}
 
-	assert.equal(history.list(5), undefined);
-	assert.equal(history.list(25)?.length, 6);
-	history.note({from: 31, to: 32, delta: computeTextDelta('', 'x'.repeat(600_000))});
-	assert.equal(history.list(31), undefined);
+	assert.equal(history.listSteps(5), undefined);
+	assert.equal(history.listSteps(25)?.length, 6);
+	history.add({from: 31, to: 32, delta: computeTextDelta('', 'x'.repeat(600_000))});
+	assert.equal(history.listSteps(31), undefined);
 });
 
 test('a delta that asks for the old text again and again is refused once it is longer than any text, even if its digest fits', () => {
--- a/src/lib/route-config/text-delta.ts
+++ b/src/lib/route-config/text-delta.ts
@@ -8,31 +8,31 @@
 import {getCrypto} from '../common/late-modules.js';
 
 /** A piece of the old text, as the first of its parts and their number, or a new text. */
-type DeltaStep = readonly [first: number, count: number] | string;
+type DeltaOperation = readonly [first: number, count: number] | string;
 
 /** How to make one text out of another. @internal */
 export type TextDelta = {
 	/** SHA-256 of the new text, base64url. */
 	readonly digest: string;
-	readonly steps: readonly DeltaStep[];
+	readonly steps: readonly DeltaOperation[];
 };
 
 /** Texts are cut before each of these: a configuration becomes some parts for each route, so that a change of one route leaves the others whole. */
-const partStart = /(?={)/;
+const partBoundary = /(?={)/;
 
-const listParts = (text: string): readonly string[] => text.split(partStart);
+const listParts = (text: string): readonly string[] => text.split(partBoundary);
 
 const computeTextDigest = (text: string): string => getCrypto().createHash('sha256').update(text).digest('base64url');
 
 function indexParts(parts: readonly string[]): ReadonlyMap<string, number> {
-	const places = new Map<string, number>();
-	for (const [place, part] of parts.entries()) {
-		if (!places.has(part)) {
-			places.set(part, place);
+	const firstIndexes = new Map<string, number>();
+	for (const [index, part] of parts.entries()) {
+		if (!firstIndexes.has(part)) {
+			firstIndexes.set(part, index);
 		}
 	}
 
-	return places;
+	return firstIndexes;
 }
 
 /**
@@ -43,21 +43,21 @@
  */
 export function computeTextDelta(oldText: string, newText: string): TextDelta {
 	const oldParts = listParts(oldText);
-	const places = indexParts(oldParts);
-	const steps: DeltaStep[] = [];
+	const firstIndexes = indexParts(oldParts);
+	const steps: DeltaOperation[] = [];
 	let first = 0;
 	let count = 0;
-	let fresh = '';
+	let inserted = '';
 
-	const endRun = (): void => {
+	const flushOperations = (): void => {
 		if (count > 0) {
 			steps.push([first, count]);
 			count = 0;
 		}
 
-		if (fresh !== '') {
-			steps.push(fresh);
-			fresh = '';
+		if (inserted !== '') {
+			steps.push(inserted);
+			inserted = '';
 		}
 	};
 
@@ -67,37 +67,37 @@
 			continue;
 		}
 
-		const place = places.get(part);
-		if (place === undefined) {
+		const index = firstIndexes.get(part);
+		if (index === undefined) {
 			if (count > 0) {
-				endRun();
+				flushOperations();
 			}
 
-			fresh += part;
+			inserted += part;
 			continue;
 		}
 
-		endRun();
-		first = place;
+		flushOperations();
+		first = index;
 		count = 1;
 	}
 
-	endRun();
+	flushOperations();
 	return {digest: computeTextDigest(newText), steps};
 }
 
 /** The longest text that is put together. Characters: several times what the store of the users holds in a value. Each step may ask for the old text again. */
-const maxTextLength = 16_777_216;
+const maxTextCharacters = 16_777_216;
 
 /** Joins pieces of the old text and new ones; `undefined` if they are longer than any text. */
-function joinPieces(oldText: string, steps: readonly DeltaStep[]): string | undefined {
+function joinPieces(oldText: string, steps: readonly DeltaOperation[]): string | undefined {
 	const oldParts = listParts(oldText);
 	const pieces: string[] = [];
 	let length = 0;
 	for (const step of steps) {
 		const piece = typeof step === 'string' ? step : oldParts.slice(step[0], step[0] + step[1]).join('');
 		length += piece.length;
-		if (length > maxTextLength) {
+		if (length > maxTextCharacters) {
 			return undefined;
 		}
 
@@ -118,7 +118,7 @@
 	return newText !== undefined && computeTextDigest(newText) === digest ? newText : undefined;
 }
 
-function isStep(value: unknown): value is DeltaStep {
+function isDeltaOperation(value: unknown): value is DeltaOperation {
 	return typeof value === 'string' || (Array.isArray(value) && value.length === 2 && value.every(number => Number.isSafeInteger(number) && number as number >= 0));
 }
 
@@ -129,5 +129,5 @@
  */
 export function parseTextDelta(value: unknown): TextDelta | undefined {
 	const {digest, steps} = typeof value === 'object' && value !== null ? value as Readonly<Record<string, unknown>> : {};
-	return typeof digest === 'string' && Array.isArray(steps) && steps.every(step => isStep(step)) ? {digest, steps} : undefined;
+	return typeof digest === 'string' && Array.isArray(steps) && steps.every(step => isDeltaOperation(step)) ? {digest, steps} : undefined;
 }
--- a/src/lib/route-config/share-splitter.ts
+++ b/src/lib/route-config/weighted-round-robin.ts
@@ -7,24 +7,24 @@
 import {type RouteRule, type WeightedService} from './route-config.js';
 
 /** @internal */
-export type ShareSplitter = {
+export type WeightedRoundRobin = {
 	/** Picks the service of the next request of a route. */
 	readonly pick: (route: RouteRule) => string | undefined;
 	/** Forgets routes that are no longer in force. */
 	readonly retain: (names: ReadonlySet<string>) => void;
 };
 
-type Credits = {readonly key: string; readonly credits: number[]};
+type WeightState = {readonly key: string; readonly currentWeights: number[]};
 
 const formatKey = (services: readonly WeightedService[]): string => services.map(({service, weight}) => `${service}=${weight}`).join(',');
 
 /** Smooth weighted round robin: the part with the most credit goes next and pays the sum of all weights. */
-function pickByCredit(services: readonly WeightedService[], credits: number[]): string | undefined {
+function pickByCurrentWeight(services: readonly WeightedService[], currentWeights: number[]): string | undefined {
 	const total = services.reduce((sum, {weight}) => sum + weight, 0);
 	let best = -1;
 	for (const [index, {weight}] of services.entries()) {
-		credits[index] = (credits[index] ?? 0) + weight;
-		if (weight > 0 && (best === -1 || (credits[index] ?? 0) > (credits[best] ?? 0))) {
+		currentWeights[index] = (currentWeights[index] ?? 0) + weight;
+		if (weight > 0 && (best === -1 || (currentWeights[index] ?? 0) > (currentWeights[best] ?? 0))) {
 			best = index;
 		}
 	}
@@ -33,7 +33,7 @@
 		return undefined;
 	}
 
-	credits[best] = (credits[best] ?? 0) - total;
+	currentWeights[best] = (currentWeights[best] ?? 0) - total;
 	return services[best]?.service;
 }
 
@@ -42,8 +42,8 @@
  * @returns A splitter that has dealt nothing yet.
  * @internal
  */
-export function createShareSplitter(random: () => number): ShareSplitter {
-	const states = new Map<string, Credits>();
+export function createWeightedRoundRobin(random: () => number): WeightedRoundRobin {
+	const states = new Map<string, WeightState>();
 	return {
 		pick(route) {
 			const [only] = route.services;
@@ -54,11 +54,11 @@
 			const key = formatKey(route.services);
 			let state = states.get(route.name);
 			if (state?.key !== key) {
-				state = {key, credits: route.services.map(({weight}) => random() * weight)};
+				state = {key, currentWeights: route.services.map(({weight}) => random() * weight)};
 				states.set(route.name, state);
 			}
 
-			return pickByCredit(route.services, state.credits);
+			return pickByCurrentWeight(route.services, state.currentWeights);
 		},
 		retain(names) {
 			for (const name of states.keys()) {
--- a/src/lib/sidecar/config-sync.ts
+++ b/src/lib/sidecar/config-sync.ts
@@ -12,7 +12,7 @@
 import {type PeerLink} from '../peers/peer-link.js';
 import {type NodeDuties, type PeerReport} from '../peers/peer-report.js';
 import {isHeard, type PeerLimits} from '../peers/peer-table.js';
-import {createConfigHolder, type ConfigHolder, type HeldConfig} from '../route-config/config-holder.js';
+import {createConfigHolder, type ConfigHolder, type ActiveConfig} from '../route-config/config-holder.js';
 import {type RouteConfig} from '../route-config/route-config.js';
 import {type MeshStore} from '../store/mesh-store.js';
 import {noEra, type StoreEra} from '../store/store-position.js';
@@ -51,7 +51,7 @@
 	/** What keeps and finds quarantined requests in the store. */
 	readonly suspects: Pick<SuspectEntriesContext, 'listQuarantined' | 'handleRecords'>;
 	/** Told of each configuration that comes into force. */
-	readonly handleAdopted: (held: HeldConfig) => void;
+	readonly handleAdopted: (held: ActiveConfig) => void;
 };
 
 /** @internal */
@@ -73,7 +73,7 @@
 	/** Keeps quarantined requests in the store. */
 	readonly storeSuspects: SuspectEntries['write'];
 	/** Tells of a crash through the store. */
-	readonly tellCrash: CrashEntries['tell'];
+	readonly tellCrash: CrashEntries['publish'];
 	readonly start: () => void;
 	/** Takes this node out of the store. */
 	readonly withdraw: () => Promise<void>;
@@ -124,7 +124,7 @@
 	});
 
 	const describeDuties = (): NodeDuties => ({
-		linkMbps: context.linkMbps, isFollowing: follower.isFollowing(), storeSeenMs: health.getSeenMs(readSteadyMs()), storeEra: store.getEra() ?? noEra,
+		linkMbps: context.linkMbps, isFollowing: follower.isFollowing(), storeSeenMs: health.getLastAnswerAgeMs(readSteadyMs()), storeEra: store.getEra() ?? noEra,
 	});
 
 	/** Describes the other nodes of the failure domain one by one, since few of them are looked at. */
@@ -154,7 +154,7 @@
 	};
 
 	const follower = createConfigFollower({
-		store, health, holder, key: context.configKey, decode: context.decodeConfig, log, random, mayFollow, handleRead(startedAt) {
+		store, health, holder, key: context.configKey, decode: context.decodeConfig, log, random, shouldFollow: mayFollow, handleRead(startedAt) {
 			newer.noteStoreRead(startedAt);
 		},
 	});
@@ -168,15 +168,15 @@
 		store, health, self, gossip: context.gossip, log, random, isFollowing: () => follower.isFollowing(), countPeers: () => link.table.size, countSilent: link.countSilent,
 		isKnown: link.table.hasGossip, refusals: context.refusals, handleAddresses: link.addContacts,
 		handleOtherItems(items) {
-			crashes.take(items.filter(({key}) => key.startsWith(crashPrefix)));
-			suspects.take(items.filter(({key}) => key.startsWith(suspectPrefix)));
+			crashes.reconcile(items.filter(({key}) => key.startsWith(crashPrefix)));
+			suspects.reconcile(items.filter(({key}) => key.startsWith(suspectPrefix)));
 		},
 	});
 
 	/** What was known by revision or lease is void; what is in force stays so. */
 	const startAnew = (): void => {
 		follower.resync();
-		registration.wake();
+		registration.checkSoon();
 	};
 
 	store.watchEra(era => {
@@ -211,7 +211,7 @@
 		hasOwnWatch: () => follower.isFollowing() && health.isReachable(),
 		isNear,
 		fetchConfig: context.fetchConfig,
-		adoptText: follower.adoptText,
+		adoptText: follower.applyText,
 		handleUnusable(report, reason) {
 			log.record('warn', {
 				kind: 'configuration-refused', version: report.version, from: report.node, reason,
@@ -296,7 +296,7 @@
 		waitForNewer,
 		startAnew,
 		storeSuspects: suspects.write,
-		tellCrash: crashes.tell,
+		tellCrash: crashes.publish,
 		start() {
 			void keepRunning(follower.run);
 			void keepRunning(registration.run);
--- a/src/lib/sidecar/sidecar.ts
+++ b/src/lib/sidecar/sidecar.ts
@@ -24,9 +24,9 @@
 import {createPeerLink} from '../peers/peer-link.js';
 import {type PeerReport} from '../peers/peer-report.js';
 import {type PeerLimits, type PeerNews} from '../peers/peer-table.js';
-import {type HeldConfig} from '../route-config/config-holder.js';
+import {type ActiveConfig} from '../route-config/config-holder.js';
 import {type RouteConfig} from '../route-config/route-config.js';
-import {createShareSplitter} from '../route-config/share-splitter.js';
+import {createWeightedRoundRobin} from '../route-config/weighted-round-robin.js';
 import {createLoadView} from '../decisions/load-view.js';
 import {type Candidate} from '../decisions/rank-servers.js';
 import {type MeshStore} from '../store/mesh-store.js';
@@ -106,7 +106,7 @@
 	let isGateLeaving = false;
 	let wasReady = false;
 
-	const splitter = createShareSplitter(random);
+	const splitter = createWeightedRoundRobin(random);
 	const returningCallers = createReturningCallers();
 	const awaitedRoutes = createAwaitedRoutes();
 	const loads = createLoadView();
@@ -126,7 +126,7 @@
 
 	const silence = createSilenceWatchers();
 
-	const handleAdopted = ({config}: HeldConfig): void => {
+	const handleAdopted = ({config}: ActiveConfig): void => {
 		entry.applyLimits(config.limits);
 		if (!wasReady) {
 			wasReady = true;
--- a/src/lib/store/budgeted-store.ts
+++ b/src/lib/store/budgeted-store.ts
@@ -34,7 +34,7 @@
 		reads: 0, writes: 0, watches: 0, refused: 0,
 	};
 
-	const hasBudget = (): boolean => {
+	const tryTakeToken = (): boolean => {
 		const taken = takeToken(bucket, limits, readNow());
 		bucket = taken.bucket;
 		if (!taken.isTaken) {
@@ -49,7 +49,7 @@
 
 	return {
 		read(key) {
-			if (!hasBudget()) {
+			if (!tryTakeToken()) {
 				return refuse();
 			}
 
@@ -57,7 +57,7 @@
 			return store.read(key);
 		},
 		write(request) {
-			if (!hasBudget()) {
+			if (!tryTakeToken()) {
 				return refuse();
 			}
 
@@ -65,7 +65,7 @@
 			return store.write(request);
 		},
 		watch(request) {
-			if (!hasBudget()) {
+			if (!tryTakeToken()) {
 				return refuse();
 			}
 
--- a/src/lib/store/call-patience.ts
+++ b/src/lib/store/call-timeout.ts
@@ -8,40 +8,40 @@
  */
 
 /** @internal */
-export type CallPatience = {
+export type CallTimeout = {
 	/** Milliseconds that the next call may take. */
 	readonly getMs: () => number;
 	/** Notes that a call was answered, and after how many milliseconds. */
-	readonly noteAnswer: (tookMs: number) => void;
+	readonly recordAnswer: (tookMs: number) => void;
 	/** Notes that a call was given up after so many milliseconds without an answer. */
-	readonly noteSilence: (limitMs: number) => void;
+	readonly recordTimeout: (limitMs: number) => void;
 };
 
 /** A usual store answers in a few milliseconds. */
-const leastMs = 700;
+const minTimeoutMs = 700;
 
 /** Beyond this a change could not be in force in time. Milliseconds. */
-const mostMs = 2000;
+const maxTimeoutMs = 2000;
 
 /** A slow store's next answer may take this much longer than its last. */
-const margin = 2;
+const latencyFactor = 2;
 
-const trimPatience = (ms: number): number => Math.min(mostMs, Math.max(leastMs, ms));
+const clampTimeoutMs = (ms: number): number => Math.min(maxTimeoutMs, Math.max(minTimeoutMs, ms));
 
 /**
  * @returns The patience with a store of which nothing is known.
  * @internal
  */
-export function createCallPatience(): CallPatience {
-	let patienceMs = leastMs;
+export function createCallTimeout(): CallTimeout {
+	let timeoutMs = minTimeoutMs;
 	return {
-		getMs: () => patienceMs,
-		noteAnswer(tookMs) {
-			patienceMs = trimPatience(tookMs * margin);
+		getMs: () => timeoutMs,
+		recordAnswer(tookMs) {
+			timeoutMs = clampTimeoutMs(tookMs * latencyFactor);
 		},
-		noteSilence(limitMs) {
+		recordTimeout(limitMs) {
 			// Calls that were under way together are one silence.
-			patienceMs = Math.max(patienceMs, trimPatience(limitMs * margin));
+			timeoutMs = Math.max(timeoutMs, clampTimeoutMs(limitMs * latencyFactor));
 		},
 	};
 }
--- a/src/lib/store/era-book.ts
+++ b/src/lib/store/era-tracker.ts
@@ -7,12 +7,12 @@
 import {type StoreEra} from './store-position.js';
 
 /** @internal */
-export type EraBook = {
+export type EraTracker = {
 	readonly get: () => StoreEra | undefined;
 	/** Notes that a call is sent; yields what `accept` is to be handed with its answer. */
-	readonly noteSending: () => number;
+	readonly getChangeCount: () => number;
 	/** Takes in the era of an answer; yields whether the answer counts. */
-	readonly accept: (era: StoreEra, sentAt: number) => boolean;
+	readonly accept: (era: StoreEra, sentAtChange: number) => boolean;
 	/** Calls back at each change of era. */
 	readonly watch: (handleEra: (era: StoreEra) => void) => void;
 };
@@ -21,28 +21,28 @@
  * @returns A book before the first answer.
  * @internal
  */
-export function createEraBook(): EraBook {
+export function createEraTracker(): EraTracker {
 	const handlers: Array<(era: StoreEra) => void> = [];
 	let current: StoreEra | undefined;
 	/** Counts changes of era: a call belongs to the one in which it was sent. */
-	let changes = 0;
+	let changeCount = 0;
 	return {
 		get: () => current,
-		noteSending: () => changes,
-		accept(era, sentAt) {
+		getChangeCount: () => changeCount,
+		accept(era, sentAtChange) {
 			if (era === current) {
 				return true;
 			}
 
 			// A store that another one took the place of may count from anew; only what was asked for before can be late.
-			const isLate = current !== undefined && sentAt !== changes && era < current;
-			if (isLate) {
+			const isStale = current !== undefined && sentAtChange !== changeCount && era < current;
+			if (isStale) {
 				return false;
 			}
 
 			const isFirst = current === undefined;
 			current = era;
-			changes++;
+			changeCount++;
 			if (!isFirst) {
 				for (const handleEra of handlers) {
 					handleEra(era);
--- a/src/lib/store/http-store.ts
+++ b/src/lib/store/http-store.ts
@@ -48,7 +48,7 @@
 		.mapErr((problem): StoreReadError => ({type: 'unavailable', reason: `the store's answer ${problem}`}));
 }
 
-function judgeWrite(reply: Reply): Result<number, StoreError> {
+function parseWriteReply(reply: Reply): Result<number, StoreError> {
 	const revision = parseJson(reply.body, revisionSchema).map(parsed => parsed.revision).unwrapOr(0);
 	switch (reply.status) {
 		case 200: {
@@ -103,15 +103,15 @@
 			});
 
 	const write = (request: StoreWrite): ResultAsync<number, StoreError> => {
-		const life = request.lifeMs === undefined ? '' : `&life=${request.lifeMs}`;
-		const path = `/v1/keys/${encodeURIComponent(request.key)}?revision=${request.expectedRevision}${life}`;
+		const ttlQuery = request.ttlMs === undefined ? '' : `&life=${request.ttlMs}`;
+		const path = `/v1/keys/${encodeURIComponent(request.key)}?revision=${request.expectedRevision}${ttlQuery}`;
 		const reply = request.value === undefined
 			? send('DELETE', path, {timeoutMs: settings.timeoutMs})
 			: send('PUT', path, {body: JSON.stringify({value: request.value}), timeoutMs: settings.timeoutMs});
 		return ResultAsync.fromPromise(reply, (error): StoreError => {
 			const {code, reason} = describeFailure(error);
 			return unsentCodes.has(code) ? {type: 'unavailable', reason} : {type: 'unknown', reason};
-		}).andThen(judgeWrite);
+		}).andThen(parseWriteReply);
 	};
 
 	const watch = ({key, knownRevision, timeoutMs, signal}: StoreWatch): ReturnType<Store['watch']> =>
--- a/src/lib/store/store.ts
+++ b/src/lib/store/store.ts
@@ -40,7 +40,7 @@
 	/** 0 for a key that must not exist yet. */
 	readonly expectedRevision: number;
 	/** The platform's lease on the key: it is removed after so many milliseconds. Without it, it stays. */
-	readonly lifeMs?: number;
+	readonly ttlMs?: number;
 };
 
 /** @public */
--- a/src/lib/sync/config-follower.test.ts
+++ b/src/lib/sync/config-follower.test.ts
@@ -10,66 +10,66 @@
 
 type Fixture = {
 	/** When each watch was opened, in milliseconds since the change before. */
-	readonly listOpened: () => readonly number[];
+	readonly listWatchDelaysMs: () => readonly number[];
 	/** The watch that waits hears of a change. */
-	readonly tellChange: () => Promise<void>;
+	readonly sendChange: () => Promise<void>;
 	readonly advance: (milliseconds: number) => Promise<void>;
 };
 
 /** Lets what waits for a promise run. */
-const waitForTurn = async (): Promise<void> => new Promise(resolve => {
+const flushPromises = async (): Promise<void> => new Promise(resolve => {
 	setImmediate(resolve);
 });
 
 /** A watcher that draws one number, under a clock that the test advances. */
-async function startFollower(context: TestContext, drawn: number): Promise<Fixture> {
+async function startFollower(context: TestContext, randomValue: number): Promise<Fixture> {
 	context.mock.timers.enable({apis: ['setTimeout']});
 	let now = 0;
 	context.mock.method(performance, 'now', () => now);
-	const opened: number[] = [];
+	const watchDelaysMs: number[] = [];
 	let changedAt = 0;
 	let revision = 5;
-	let answer = (_result: Result<WatchResult, StoreReadError>): void => undefined;
+	let answerWatch = (_result: Result<WatchResult, StoreReadError>): void => undefined;
 	const store: Partial<MeshStore> = {
 		readItem: async () => ok({items: [], position: {era: 1, revision}}),
 		watchItems: async () => new Promise(resolve => {
-			opened.push(now - changedAt);
-			answer = resolve;
+			watchDelaysMs.push(now - changedAt);
+			answerWatch = resolve;
 		}),
 	};
 	const follower = createConfigFollower({
 		store: store as MeshStore, health: createStoreHealth(silentLog, () => undefined), holder: createConfigHolder(() => undefined), key: 'k', decode: () => err('none'),
-		log: silentLog, random: () => drawn, mayFollow: () => true, handleRead: () => undefined,
+		log: silentLog, random: () => randomValue, shouldFollow: () => true, handleRead: () => undefined,
 	});
 	context.after(follower.dispose);
 	void follower.run();
-	await waitForTurn();
+	await flushPromises();
 	return {
-		listOpened: () => opened,
-		async tellChange() {
+		listWatchDelaysMs: () => watchDelaysMs,
+		async sendChange() {
 			changedAt = now;
 			revision++;
-			answer(ok({type: 'changes', changes: [{type: 'removed', key: 'other', revision}], position: {era: 1, revision}}));
-			await waitForTurn();
+			answerWatch(ok({type: 'changes', changes: [{type: 'removed', key: 'other', revision}], position: {era: 1, revision}}));
+			await flushPromises();
 		},
 		async advance(milliseconds) {
-			for (let passed = 0; passed < milliseconds; passed += 10) {
+			for (let elapsedMs = 0; elapsedMs < milliseconds; elapsedMs += 10) {
 				now += 10;
 				context.mock.timers.tick(10);
-				await waitForTurn();
+				await flushPromises();
 			}
 		},
 	};
 }
 
-for (const [drawn, restMs] of [[0, 450], [0.5, 750], [0.999, 1050]] as const) {
-	test(`a watcher that draws ${drawn} opens its watch ${restMs} ms after a change: the watches of several are spread over more than a short silence of the store`, async context => {
-		const {listOpened, tellChange, advance} = await startFollower(context, drawn);
-		assert.equal(listOpened().length, 1);
-		await tellChange();
-		await advance(restMs - 20);
-		assert.equal(listOpened().length, 1);
+for (const [randomValue, expectedDelayMs] of [[0, 450], [0.5, 750], [0.999, 1050]] as const) {
+	test(`a watcher that draws ${randomValue} opens its watch ${expectedDelayMs} ms after a change: the watches of several are spread over more than a short silence of the store`, async context => {
+		const {listWatchDelaysMs, sendChange, advance} = await startFollower(context, randomValue);
+		assert.equal(listWatchDelaysMs().length, 1);
+		await sendChange();
+		await advance(expectedDelayMs - 20);
+		assert.equal(listWatchDelaysMs().length, 1);
 		await advance(30);
-		assert.equal(listOpened().length, 2);
+		assert.equal(listWatchDelaysMs().length, 2);
 	});
 }
--- a/src/lib/sync/crash-entries.test.ts
+++ b/src/lib/sync/crash-entries.test.ts
@@ -19,9 +19,9 @@
 });
 
 /** A store that several nodes share. */
-type SharedStore = {readonly items: Map<string, string>; isAway: boolean; writes: number};
+type SharedStore = {readonly items: Map<string, string>; isUnavailable: boolean; writeCount: number};
 
-const createStore = (): SharedStore => ({items: new Map(), isAway: false, writes: 0});
+const createStore = (): SharedStore => ({items: new Map(), isUnavailable: false, writeCount: 0});
 
 const listStore = ({items}: SharedStore): readonly StoreItem[] => [...items].map(([key, value]) => ({key, value, revision: 1}));
 
@@ -38,15 +38,15 @@
 	const entries = createCrashEntries({
 		store: {
 			async grantLease() {
-				return store.isAway ? err({type: 'unknown', reason: 'away'}) : ok({era: 1, id: 7});
+				return store.isUnavailable ? err({type: 'unknown', reason: 'away'}) : ok({era: 1, id: 7});
 			},
 			async putItem(key, value) {
-				store.writes++;
+				store.writeCount++;
 				store.items.set(key, value);
 				return ok(position);
 			},
 			async listItems() {
-				return store.isAway ? err({type: 'unavailable', reason: 'away'}) : ok({items: listStore(store), position});
+				return store.isUnavailable ? err({type: 'unavailable', reason: 'away'}) : ok({items: listStore(store), position});
 			},
 		},
 		log: silentLog,
@@ -75,11 +75,11 @@
 	const store = createStore();
 	const [first, second] = [createFixture(store), createFixture(store)];
 	const reports = [createReport(1), createReport(2)] as const;
-	await first.entries.tell(reports[0]);
-	await second.entries.tell(reports[1]);
+	await first.entries.publish(reports[0]);
+	await second.entries.publish(reports[1]);
 	const both = reports.map(({crash}) => crash).toSorted();
 	assert.deepEqual(listCrashes(second, '/fatal'), both);
-	first.entries.take(listStore(store));
+	first.entries.reconcile(listStore(store));
 	assert.deepEqual(listCrashes(first, '/fatal'), both);
 	assert.deepEqual(listCrashes(first, '/beside'), both);
 });
@@ -89,27 +89,27 @@
 	mock.method(performance, 'now', () => now);
 	const store = createStore();
 	const {entries} = createFixture(store);
-	store.isAway = true;
-	await entries.tell(createReport(1));
+	store.isUnavailable = true;
+	await entries.publish(createReport(1));
 	assert.equal(store.items.size, 0);
-	store.isAway = false;
-	entries.take([]);
+	store.isUnavailable = false;
+	entries.reconcile([]);
 	await waitForWrites();
 	assert.equal(store.items.size, 1);
-	entries.take([]);
+	entries.reconcile([]);
 	await waitForWrites();
-	assert.equal(store.writes, 1, 'an entry that a stale list lacks was written again');
+	assert.equal(store.writeCount, 1, 'an entry that a stale list lacks was written again');
 
 	store.items.clear();
 	entries.handleRestored();
-	entries.take([]);
+	entries.reconcile([]);
 	await waitForWrites();
 	assert.equal(store.items.size, 1);
 
 	store.items.clear();
 	entries.handleRestored();
 	now = 60_001;
-	entries.take([]);
+	entries.reconcile([]);
 	await waitForWrites();
 	assert.equal(store.items.size, 0);
 });
@@ -120,7 +120,7 @@
 	const good = JSON.stringify(fingerprints);
 	const many = JSON.stringify(Array.from({length: 65}, () => fingerprints[0]));
 	const items = ['', '{}', '7', '["short"]', '[null]', many].map(value => ({key: `${crashPrefix}${crash}`, value, revision: 1}));
-	fixture.entries.take([...items, {key: `${crashPrefix}no name of a crash`, value: good, revision: 1}, {key: `${crashPrefix}${crash}`, value: good, revision: 1}]);
+	fixture.entries.reconcile([...items, {key: `${crashPrefix}no name of a crash`, value: good, revision: 1}, {key: `${crashPrefix}${crash}`, value: good, revision: 1}]);
 	assert.deepEqual(listCrashes(fixture, '/fatal'), [crash]);
 	assert.equal(fixture.refused.length, 7);
 	assert.ok(fixture.refused.every(({reason}) => reason.includes('remove the entry')));
--- a/src/lib/sync/crash-entries.ts
+++ b/src/lib/sync/crash-entries.ts
@@ -30,9 +30,9 @@
 /** @internal */
 export type CrashEntries = {
 	/** Takes the entries as they stand, and writes those of this node that are missing. */
-	readonly take: (items: readonly StoreItem[]) => void;
+	readonly reconcile: (items: readonly StoreItem[]) => void;
 	/** Writes an entry, and looks for those of other nodes at once: the next request on trial would not wait for it. */
-	readonly tell: (report: CrashReport) => Promise<void>;
+	readonly publish: (report: CrashReport) => Promise<void>;
 	/** The store came back from a copy: what was written may be missing. */
 	readonly handleRestored: () => void;
 };
@@ -41,10 +41,10 @@
 export const crashPrefix = 'stonemoor/crashes/';
 
 /** An entry ends after this. Milliseconds: as long as nodes remember what was in work at one crash. */
-const entryMs = 60_000;
+const entryTtlMs = 60_000;
 
 /** An entry of this node. */
-type OwnEntry = {readonly report: CrashReport; readonly madeAt: number; isWritten: boolean};
+type OwnEntry = {readonly report: CrashReport; readonly createdAt: number; isWritten: boolean};
 
 /**
  * @param context - The store, and who is told.
@@ -52,7 +52,7 @@
  * @internal
  */
 export function createCrashEntries({store, log, refusals, handleRecords}: CrashEntriesContext): CrashEntries {
-	const own = new Map<CrashKey, OwnEntry>();
+	const ownEntries = new Map<CrashKey, OwnEntry>();
 
 	const decode = ({key, value}: StoreItem): readonly SuspectRecord[] => {
 		try {
@@ -81,41 +81,41 @@
 	const write = async (entry: OwnEntry): Promise<void> => {
 		const {report} = entry;
 		entry.isWritten = true;
-		const put = await putLeased(store, `${crashPrefix}${report.crash}`, encodeCrashReport(report), entryMs);
+		const put = await putLeased(store, `${crashPrefix}${report.crash}`, encodeCrashReport(report), entryTtlMs);
 		if (put.isErr()) {
 			entry.isWritten = false;
 			log.record('warn', {kind: 'crash-not-stored', crash: report.crash, reason: put.error});
 		}
 	};
 
-	const forgetOld = (now: number): void => {
-		for (const [crash, {madeAt}] of own) {
-			if (now - madeAt > entryMs) {
-				own.delete(crash);
+	const removeExpired = (now: number): void => {
+		for (const [crash, {createdAt}] of ownEntries) {
+			if (now - createdAt > entryTtlMs) {
+				ownEntries.delete(crash);
 			}
 		}
 	};
 
 	return {
-		take(items) {
+		reconcile(items) {
 			handleItems(items);
-			forgetOld(readSteadyMs());
-			for (const entry of own.values()) {
+			removeExpired(readSteadyMs());
+			for (const entry of ownEntries.values()) {
 				if (!entry.isWritten) {
 					void write(entry);
 				}
 			}
 		},
-		async tell(report) {
-			const entry: OwnEntry = {report, madeAt: readSteadyMs(), isWritten: false};
-			own.set(report.crash, entry);
+		async publish(report) {
+			const entry: OwnEntry = {report, createdAt: readSteadyMs(), isWritten: false};
+			ownEntries.set(report.crash, entry);
 			await write(entry);
 			const read = await store.listItems(crashPrefix, {mayBeStale: false});
 			// Without an answer the next list tells.
 			handleItems(read.map(({items}) => items).unwrapOr([]));
 		},
 		handleRestored() {
-			for (const entry of own.values()) {
+			for (const entry of ownEntries.values()) {
 				entry.isWritten = false;
 			}
 		},
--- a/src/lib/sync/entry-book.ts
+++ b/src/lib/sync/node-entry-tracker.ts
@@ -13,16 +13,16 @@
 import {type Refusals} from '../timeline/refusals.js';
 
 /** @internal */
-export type EntryBookContext = {
+export type NodeEntryTrackerContext = {
 	/** Whether a node takes heartbeats at an address. */
 	readonly isKnown: (address: Address) => boolean;
 	readonly refusals: Refusals;
 };
 
 /** @internal */
-export type EntryBook = {
+export type NodeEntryTracker = {
 	/** Takes all entries of nodes as they stand in an era of the store; yields the addresses that are to be greeted. */
-	readonly take: (items: readonly StoreItem[], era: StoreEra, now: number) => readonly Address[];
+	readonly update: (items: readonly StoreItem[], era: StoreEra, now: number) => readonly Address[];
 };
 
 /**
@@ -30,17 +30,17 @@
  * and from each other's greetings, at one datagram every few seconds; a node that starts again writes its entry anew. One that has answered is greeted for as
  * long as its entry stands.
  */
-const greetForMs = 300_000;
+const unansweredContactMs = 300_000;
 
 /** Addresses that are greeted at once at the most: several times the largest mesh that starts at once. */
-const mostGreeted = 2000;
+const maxContactCount = 2000;
 
 /** What is known of an entry since it was last written. */
 type Entry = {
 	readonly revision: number;
 	readonly firstSeenAt: number;
 	hasAnswered: boolean;
-	isRefused: boolean;
+	isReported: boolean;
 };
 
 /**
@@ -48,38 +48,38 @@
  * @returns A book of no entries.
  * @internal
  */
-export function createEntryBook({isKnown, refusals}: EntryBookContext): EntryBook {
+export function createNodeEntryTracker({isKnown, refusals}: NodeEntryTrackerContext): NodeEntryTracker {
 	let entries: ReadonlyMap<string, Entry> = new Map();
 	/** Revisions tell entries apart within one. */
 	let entriesEra: StoreEra | undefined;
 
-	const open = ({key, revision}: StoreItem, now: number): Entry => {
+	const getEntry = ({key, revision}: StoreItem, now: number): Entry => {
 		const known = entries.get(key);
 		return known?.revision === revision
 			? known
 			: {
-				revision, firstSeenAt: now, hasAnswered: false, isRefused: false,
+				revision, firstSeenAt: now, hasAnswered: false, isReported: false,
 			};
 	};
 
-	const refuse = (entry: Entry, {key, value}: StoreItem, cause: 'unreadable' | 'no-answer', allowed: string): void => {
-		if (!entry.isRefused) {
-			entry.isRefused = true;
+	const reportUnusable = (entry: Entry, {key, value}: StoreItem, cause: 'unreadable' | 'no-answer', allowed: string): void => {
+		if (!entry.isReported) {
+			entry.isReported = true;
 			refusals.note({
 				kind: 'entry-refused', cause, place: key, reason: new FieldError('value', value, allowed).message,
 			});
 		}
 	};
 
-	const isWorthGreeting = (entry: Entry, item: StoreItem, now: number): boolean => {
+	const isContactable = (entry: Entry, item: StoreItem, now: number): boolean => {
 		if (!isReachableAddress(item.value)) {
-			refuse(entry, item, 'unreadable', 'the address of a node, as in 10.0.0.1:7004; remove the entry');
+			reportUnusable(entry, item, 'unreadable', 'the address of a node, as in 10.0.0.1:7004; remove the entry');
 			return false;
 		}
 
 		entry.hasAnswered ||= isKnown(toAddress(item.value));
-		if (!entry.hasAnswered && now - entry.firstSeenAt > greetForMs) {
-			refuse(entry, item, 'no-answer', `an address at which a node answers within ${greetForMs / 1000} s; remove the entry`);
+		if (!entry.hasAnswered && now - entry.firstSeenAt > unansweredContactMs) {
+			reportUnusable(entry, item, 'no-answer', `an address at which a node answers within ${unansweredContactMs / 1000} s; remove the entry`);
 			return false;
 		}
 
@@ -87,15 +87,15 @@
 	};
 
 	return {
-		take(items, era, now) {
+		update(items, era, now) {
 			if (era !== entriesEra) {
 				entries = new Map();
 				entriesEra = era;
 			}
 
-			const opened = new Map(items.map(item => [item.key, open(item, now)]));
-			entries = opened;
-			return items.filter(item => isWorthGreeting(opened.get(item.key)!, item, now)).slice(0, mostGreeted).map(({value}) => toAddress(value));
+			const updated = new Map(items.map(item => [item.key, getEntry(item, now)]));
+			entries = updated;
+			return items.filter(item => isContactable(updated.get(item.key)!, item, now)).slice(0, maxContactCount).map(({value}) => toAddress(value));
 		},
 	};
 }
--- a/src/lib/sync/registration.test.ts
+++ b/src/lib/sync/registration.test.ts
@@ -14,12 +14,12 @@
 	/** Whether the entry of the node stands in the store. */
 	readonly hasEntry: () => boolean;
 	/** The store is away, and all leases end meanwhile. */
-	readonly loseStore: () => void;
-	readonly returnStore: () => void;
+	readonly stopStore: () => void;
+	readonly startStore: () => void;
 	readonly advance: (milliseconds: number) => Promise<void>;
 	readonly withdraw: () => Promise<void>;
 	/** Holds the answers to writes back until the function that it yields is called. */
-	readonly holdAnswers: () => () => void;
+	readonly delayAnswers: () => () => void;
 };
 
 /** Where the store's history stands. */
@@ -34,12 +34,12 @@
 	const leases = new Set<number>();
 	let nextLease = 1;
 	let entryLease: number | undefined;
-	let isAway = false;
+	let isUnavailable = false;
 	/** Settles when a write is answered; at once unless a test holds it back. */
 	let answered: Promise<void> = Promise.resolve();
 	const call = <Value>(name: string, answer: () => Value) => {
 		counts.set(name, (counts.get(name) ?? 0) + 1);
-		return isAway ? err({type: 'unavailable' as const, reason: 'away'}) : ok(answer());
+		return isUnavailable ? err({type: 'unavailable' as const, reason: 'away'}) : ok(answer());
 	};
 
 	const hasEntry = (): boolean => entryLease !== undefined && leases.has(entryLease);
@@ -73,22 +73,22 @@
 	return {
 		counts, hasEntry,
 		withdraw: registration.withdraw,
-		holdAnswers() {
+		delayAnswers() {
 			let release = (): void => undefined;
 			answered = new Promise(resolve => {
 				release = resolve;
 			});
 			return release;
 		},
-		loseStore() {
-			isAway = true;
+		stopStore() {
+			isUnavailable = true;
 			leases.clear();
 		},
-		returnStore() {
-			isAway = false;
+		startStore() {
+			isUnavailable = false;
 		},
 		async advance(milliseconds) {
-			for (let passed = 0; passed < milliseconds; passed += 100) {
+			for (let elapsedMs = 0; elapsedMs < milliseconds; elapsedMs += 100) {
 				now += 100;
 				context.mock.timers.tick(100);
 				await new Promise(resolve => {
@@ -104,8 +104,8 @@
 	await advance(30_000);
 	assert.equal(hasEntry(), true);
 	assert.deepEqual([counts.get('grant'), counts.get('put')], [1, 1]);
-	const looks = (counts.get('renew') ?? 0) + (counts.get('list') ?? 0);
-	assert.ok(looks <= 16, `${looks} looks`);
+	const checks = (counts.get('renew') ?? 0) + (counts.get('list') ?? 0);
+	assert.ok(checks <= 16, `${checks} checks`);
 	assert.ok((counts.get('list') ?? 0) <= 2);
 });
 
@@ -124,27 +124,27 @@
 	assert.ok((counts.get('renew') ?? 0) >= 13);
 });
 
-for (const [name, peers, awayMs] of [
+for (const [name, peers, downMs] of [
 	['long', 194, 9000],
 	['so short that no call failed', 194, 200],
 	['long, in a small mesh', 12, 9000],
 ] as const) {
 	test(`an entry that lapsed while the store was away is back within two seconds of its return: ${name}`, async context => {
-		const {hasEntry, loseStore, returnStore, advance} = startFixture(context, peers);
+		const {hasEntry, stopStore, startStore, advance} = startFixture(context, peers);
 		await advance(5000);
 		assert.equal(hasEntry(), true);
-		loseStore();
+		stopStore();
 		assert.equal(hasEntry(), false);
-		await advance(awayMs);
-		returnStore();
+		await advance(downMs);
+		startStore();
 		await advance(2000);
 		assert.equal(hasEntry(), true);
 	});
 }
 
 test('an entry that was written, but not answered, when the node withdrew does not stay', async context => {
-	const {hasEntry, withdraw, holdAnswers, advance} = startFixture(context, 12);
-	const release = holdAnswers();
+	const {hasEntry, withdraw, delayAnswers, advance} = startFixture(context, 12);
+	const release = delayAnswers();
 	await advance(100);
 	assert.equal(hasEntry(), true);
 	await withdraw();
--- a/src/lib/sync/registration.ts
+++ b/src/lib/sync/registration.ts
@@ -11,7 +11,7 @@
 import {hasReached, type StoreLease, type StorePosition} from '../store/store-position.js';
 import {type MeshLog} from '../timeline/mesh-log.js';
 import {type Refusals} from '../timeline/refusals.js';
-import {createEntryBook} from './entry-book.js';
+import {createNodeEntryTracker} from './node-entry-tracker.js';
 import {type StoreHealth} from './store-health.js';
 
 /** @internal */
@@ -41,7 +41,7 @@
 export type Registration = {
 	readonly run: () => Promise<void>;
 	/** Looks at the store soon: it may have lost this node's entry. All nodes do at once, so each waits for a moment of its own. */
-	readonly wake: () => void;
+	readonly checkSoon: () => void;
 	/** Takes this node's address out of the store. */
 	readonly withdraw: () => Promise<void>;
 	readonly dispose: () => void;
@@ -51,34 +51,34 @@
 const meshPrefix = 'stonemoor/';
 
 /** Where nodes keep their addresses. */
-const prefix = `${meshPrefix}nodes/`;
+const nodePrefix = `${meshPrefix}nodes/`;
 
 /** Milliseconds after which the address of a node that is gone disappears. */
-const leaseMs = 12_000;
+const leaseTtlMs = 12_000;
 
 /** Nodes that are listed at each look. In a larger mesh a node lists all others less often, and renews its lease in between: newcomers tell the others of themselves, so that a list only mends what was missed. */
-const listedPerLook = 13;
+const listedNodesPerCheck = 13;
 
 /** Of so many looks at the least one lists and the others renew the lease, so that it is renewed every four seconds in the smallest mesh: two may fail before it ends. */
-const leastLooksPerList = 2;
+const minChecksPerList = 2;
 
 /**
  * Milliseconds between two looks at the store. Most renew the lease, which costs no more than a stale read, shows whether the store is reached, and finds
  * the lease ended soon enough to put this node's entry back within two seconds.
  */
-const lookMs = 1000;
+const relayCheckIntervalMs = 1000;
 
 /** Milliseconds between two looks of a node on which nobody relies. */
-const seldomLookMs = 2000;
+const checkIntervalMs = 2000;
 
 /** When all nodes write their entries anew, they do so over this many milliseconds for each node: two writes each, at the 400 a second that the users' smallest stores take. */
-const spreadPerNodeMs = 5;
+const jitterPerNodeMs = 5;
 
 /** The same over all nodes at the most: entries have to be back within two seconds. */
-const longestSpreadMs = 1000;
+const maxJitterMs = 1000;
 
 /** Milliseconds between two tries to reach a store that does not answer. */
-const retryMs = 400;
+const retryDelayMs = 400;
 
 /**
  * @param context - The store and who this is.
@@ -88,17 +88,17 @@
 export function createRegistration(context: RegistrationContext): Registration {
 	const {store, health, self, gossip, log, random, isFollowing, countPeers, countSilent, isKnown, refusals, handleAddresses, handleOtherItems} = context;
 	const disposed = new AbortController();
-	const key = `${prefix}${self}`;
-	const entries = createEntryBook({isKnown, refusals});
+	const key = `${nodePrefix}${self}`;
+	const entries = createNodeEntryTracker({isKnown, refusals});
 	/** The lease of the own entry, and where in the store's history the entry was written: a read from before it may miss the entry. */
-	let own: {readonly lease: StoreLease; readonly writtenAt: StorePosition} | undefined;
-	let looks = 0;
+	let ownEntry: {readonly lease: StoreLease; readonly writtenAt: StorePosition} | undefined;
+	let checkCount = 0;
 	let isWithdrawn = false;
 
 	const register = async (reason: string): Promise<boolean> => {
-		const granted = await store.grantLease(leaseMs);
+		const granted = await store.grantLease(leaseTtlMs);
 		if (granted.isErr()) {
-			health.noteFailure('take a lease', describeError(granted.error));
+			health.recordFailure('take a lease', describeError(granted.error));
 			return false;
 		}
 
@@ -110,123 +110,123 @@
 		}
 
 		if (put.isErr()) {
-			health.noteFailure('register', describeError(put.error));
+			health.recordFailure('register', describeError(put.error));
 			return false;
 		}
 
-		own = {lease: granted.value, writtenAt: put.value};
+		ownEntry = {lease: granted.value, writtenAt: put.value};
 		log.record('info', {kind: 'node-registered', reason});
 		return true;
 	};
 
-	const forgetEntry = (reason: string): void => {
-		own = undefined;
+	const handleEntryLost = (reason: string): void => {
+		ownEntry = undefined;
 		log.record('warn', {kind: 'lease-lost', reason});
 	};
 
-	const renew = async (entry: NonNullable<typeof own>): Promise<boolean> => {
+	const renew = async (entry: NonNullable<typeof ownEntry>): Promise<boolean> => {
 		const renewed = await store.renewLease(entry.lease);
 		if (renewed.isErr()) {
-			health.noteFailure('renew the lease', renewed.error.reason);
+			health.recordFailure('renew the lease', renewed.error.reason);
 			return false;
 		}
 
-		health.noteSuccess();
+		health.recordSuccess();
 		// A node that is shutting down has given its lease up meanwhile, and no other.
-		if (!renewed.value && own === entry) {
-			forgetEntry('the store says that the lease has ended, or has come back from a copy');
+		if (!renewed.value && ownEntry === entry) {
+			handleEntryLost('the store says that the lease has ended, or has come back from a copy');
 		}
 
 		return true;
 	};
 
 	const checkOwnEntry = ({items, position}: StoreItems): void => {
-		if (own === undefined) {
+		if (ownEntry === undefined) {
 			return;
 		}
 
-		if (position.era !== own.lease.era) {
-			forgetEntry('the store has come back from a copy');
+		if (position.era !== ownEntry.lease.era) {
+			handleEntryLost('the store has come back from a copy');
 			return;
 		}
 
 		const found = items.find(item => item.key === key);
-		if (hasReached(position, own.writtenAt) && found?.value !== gossip) {
-			forgetEntry(found === undefined ? 'the entry of this node is missing' : 'another writer has changed the entry of this node');
+		if (hasReached(position, ownEntry.writtenAt) && found?.value !== gossip) {
+			handleEntryLost(found === undefined ? 'the entry of this node is missing' : 'another writer has changed the entry of this node');
 		}
 	};
 
 	const list = async (isFirst: boolean): Promise<boolean> => {
 		const read = await store.listItems(meshPrefix, {mayBeStale: !isFirst});
 		if (read.isErr()) {
-			health.noteFailure('list the nodes', read.error.reason);
+			health.recordFailure('list the nodes', read.error.reason);
 			return false;
 		}
 
-		health.noteSuccess();
+		health.recordSuccess();
 		checkOwnEntry(read.value);
 		const {items, position} = read.value;
-		handleAddresses(entries.take(items.filter(item => item.key.startsWith(prefix) && item.key !== key), position.era, readSteadyMs()));
-		handleOtherItems(items.filter(item => !item.key.startsWith(prefix)));
+		handleAddresses(entries.update(items.filter(item => item.key.startsWith(nodePrefix) && item.key !== key), position.era, readSteadyMs()));
+		handleOtherItems(items.filter(item => !item.key.startsWith(nodePrefix)));
 		return true;
 	};
 
 	/** Ends the pause between two looks early. */
-	let pause = new AbortController();
-	let isWoken = false;
+	let pauseAbort = new AbortController();
+	let isCheckRequested = false;
 
-	const waitForLook = async (pauseMs: number): Promise<void> => {
-		pause = new AbortController();
-		if (!isWoken) {
-			await waitFor(pauseMs, pause.signal);
+	const waitForNextCheck = async (pauseMs: number): Promise<void> => {
+		pauseAbort = new AbortController();
+		if (!isCheckRequested) {
+			await waitFor(pauseMs, pauseAbort.signal);
 		}
 
-		if (isWoken) {
-			isWoken = false;
-			await waitFor(random() * Math.min(longestSpreadMs, spreadPerNodeMs * (countPeers() + 1)), disposed.signal);
+		if (isCheckRequested) {
+			isCheckRequested = false;
+			await waitFor(random() * Math.min(maxJitterMs, jitterPerNodeMs * (countPeers() + 1)), disposed.signal);
 		}
 	};
 
 	/** What silent nodes would have told may stand in the store: a cut leaves no other way. */
-	const countLooksPerList = (): number => countSilent() > 0 ? leastLooksPerList : Math.max(leastLooksPerList, Math.ceil((countPeers() + 1) / listedPerLook));
+	const countChecksPerList = (): number => countSilent() > 0 ? minChecksPerList : Math.max(minChecksPerList, Math.ceil((countPeers() + 1) / listedNodesPerCheck));
 
-	const isListDue = (): boolean => looks % countLooksPerList() === 0;
+	const isListDue = (): boolean => checkCount % countChecksPerList() === 0;
 
-	const step = async (isFirst: boolean): Promise<boolean> => {
-		const isDone = own === undefined || isListDue() ? await list(isFirst) : await renew(own);
+	const checkStore = async (isFirst: boolean): Promise<boolean> => {
+		const isDone = ownEntry === undefined || isListDue() ? await list(isFirst) : await renew(ownEntry);
 		if (!isDone) {
 			return false;
 		}
 
-		looks++;
-		return own !== undefined || isWithdrawn || register(isFirst ? 'start' : 'the entry was gone');
+		checkCount++;
+		return ownEntry !== undefined || isWithdrawn || register(isFirst ? 'start' : 'the entry was gone');
 	};
 
 	return {
 		async run() {
 			let isFirst = true;
 			while (!disposed.signal.aborted) {
-				const isDone = await step(isFirst);
+				const isDone = await checkStore(isFirst);
 				isFirst &&= !isDone;
-				const pauseMs = isFollowing() ? lookMs : seldomLookMs;
-				await waitForLook((isDone ? pauseMs : retryMs) * (0.9 + (0.2 * random())));
+				const pauseMs = isFollowing() ? relayCheckIntervalMs : checkIntervalMs;
+				await waitForNextCheck((isDone ? pauseMs : retryDelayMs) * (0.9 + (0.2 * random())));
 			}
 		},
-		wake() {
-			isWoken = true;
-			pause.abort();
+		checkSoon() {
+			isCheckRequested = true;
+			pauseAbort.abort();
 		},
 		async withdraw() {
 			isWithdrawn = true;
-			const entry = own;
-			own = undefined;
+			const entry = ownEntry;
+			ownEntry = undefined;
 			if (entry !== undefined) {
 				await store.removeItem(key, entry.writtenAt);
 			}
 		},
 		dispose() {
 			disposed.abort();
-			pause.abort();
+			pauseAbort.abort();
 		},
 	};
 }
--- a/src/lib/sync/relay-duty.test.ts
+++ b/src/lib/sync/relay-duty.test.ts
@@ -68,7 +68,7 @@
 });
 
 /** The duty by its definition: who goes before this node, of all, and whether any watcher is fresh, of all. */
-function isRelayPlain(self: DomainNode, others: readonly DomainNode[], relays: number): boolean {
+function isRelayByDefinition(self: DomainNode, others: readonly DomainNode[], relays: number): boolean {
 	const countBefore = (nodes: readonly DomainNode[]): number => nodes.filter(({linkMbps, node}) => linkMbps > self.linkMbps || (linkMbps === self.linkMbps && node < self.node)).length;
 	if (self.storeSeenMs === undefined) {
 		return countBefore(others) < relays;
@@ -86,6 +86,6 @@
 		const nodes = list.map((changes, place) => createNode(`n${String(place).padStart(3, '0')}`, changes));
 		const self = nodes[index % nodes.length]!;
 		const others = nodes.filter(other => other !== self);
-		assert.equal(isRelay(self, others, 1), isRelayPlain(self, others, 4));
+		assert.equal(isRelay(self, others, 1), isRelayByDefinition(self, others, 4));
 	}), {numRuns: 500});
 });
--- a/src/lib/sync/store-health.ts
+++ b/src/lib/sync/store-health.ts
@@ -8,45 +8,45 @@
 
 /** @internal */
 export type StoreHealth = {
-	readonly noteSuccess: () => void;
-	readonly noteFailure: (call: string, reason: string) => void;
+	readonly recordSuccess: () => void;
+	readonly recordFailure: (call: string, reason: string) => void;
 	readonly isReachable: () => boolean;
 	/** Milliseconds since the store last answered; `undefined` if its last call failed. */
-	readonly getSeenMs: (now: number) => number | undefined;
+	readonly getLastAnswerAgeMs: (now: number) => number | undefined;
 	/** When the store was last reached again after it had been lost, in steady milliseconds. */
-	readonly getReturnedAt: () => number;
+	readonly getRecoveredAt: () => number;
 };
 
 /**
  * @param log - Told when the store is lost and when it is back.
- * @param handleReturn - Called when it is back: what was missed meanwhile is unknown.
+ * @param handleRecovery - Called when it is back: what was missed meanwhile is unknown.
  * @returns The state of a store that was not called yet.
  * @internal
  */
-export function createStoreHealth(log: MeshLog, handleReturn: () => void): StoreHealth {
+export function createStoreHealth(log: MeshLog, handleRecovery: () => void): StoreHealth {
 	let lostAt: number | undefined;
-	let returnedAt = 0;
-	let seenAt = readSteadyMs();
+	let recoveredAt = 0;
+	let answeredAt = readSteadyMs();
 	return {
-		noteSuccess() {
-			seenAt = readSteadyMs();
+		recordSuccess() {
+			answeredAt = readSteadyMs();
 			if (lostAt === undefined) {
 				return;
 			}
 
-			log.record('info', {kind: 'store-back', afterMs: Math.round(seenAt - lostAt)});
+			log.record('info', {kind: 'store-back', afterMs: Math.round(answeredAt - lostAt)});
 			lostAt = undefined;
-			returnedAt = seenAt;
-			handleReturn();
+			recoveredAt = answeredAt;
+			handleRecovery();
 		},
-		noteFailure(call, reason) {
+		recordFailure(call, reason) {
 			if (lostAt === undefined) {
 				lostAt = readSteadyMs();
 				log.record('warn', {kind: 'store-lost', call, reason});
 			}
 		},
 		isReachable: () => lostAt === undefined,
-		getSeenMs: now => lostAt === undefined ? now - seenAt : undefined,
-		getReturnedAt: () => returnedAt,
+		getLastAnswerAgeMs: now => lostAt === undefined ? now - answeredAt : undefined,
+		getRecoveredAt: () => recoveredAt,
 	};
 }
--- a/src/lib/sync/suspect-entries.test.ts
+++ b/src/lib/sync/suspect-entries.test.ts
@@ -81,7 +81,7 @@
 	entries.write([record]);
 	await waitForWrites();
 	const other = createFixture(context);
-	other.entries.take(list());
+	other.entries.reconcile(list());
 	assert.deepEqual(other.handled, [record]);
 	assert.equal(other.countCalls(), 0, 'an entry that is there was written again');
 });
@@ -92,11 +92,11 @@
 	await waitForWrites();
 	store.clear();
 	setNow(5000);
-	entries.take([]);
+	entries.reconcile([]);
 	await waitForWrites();
 	assert.equal(store.size, 0);
 	setNow(11_000);
-	entries.take([]);
+	entries.reconcile([]);
 	await waitForWrites();
 	assert.deepEqual([...store.keys()], [`${suspectPrefix}${record.fingerprint}`]);
 	assert.equal(countCalls(), 4);
@@ -105,7 +105,7 @@
 test('an entry of another writer is refused with its place, and the others count', context => {
 	const {entries, handled, refused} = createFixture(context, []);
 	const values = ['', '{}', '[1]', JSON.stringify(['short', 0, [], []]), JSON.stringify([record.fingerprint, -1, [], []]), JSON.stringify([record.fingerprint, 0, ['x'], []]), JSON.stringify(encodeSuspect(record))];
-	entries.take(values.map((value, place) => ({key: `${suspectPrefix}${place}`, value, revision: place})));
+	entries.reconcile(values.map((value, place) => ({key: `${suspectPrefix}${place}`, value, revision: place})));
 	assert.deepEqual(handled.map(({fingerprint}) => fingerprint), [record.fingerprint]);
 	assert.deepEqual(refused.map(({place}) => place), [0, 1, 2, 3, 4, 5].map(place => `${suspectPrefix}${place}`));
 	assert.ok(refused.every(({reason}) => reason.includes('remove the entry')));
--- a/src/lib/sync/suspect-entries.ts
+++ b/src/lib/sync/suspect-entries.ts
@@ -28,7 +28,7 @@
 /** @internal */
 export type SuspectEntries = {
 	/** Takes the entries as they stand, and writes some of those that are missing. */
-	readonly take: (items: readonly StoreItem[]) => void;
+	readonly reconcile: (items: readonly StoreItem[]) => void;
 	/** Writes entries at once. */
 	readonly write: (records: readonly SuspectRecord[]) => void;
 	/** The store came back from a copy: what was written may be missing. */
@@ -39,16 +39,16 @@
 export const suspectPrefix = 'stonemoor/crashing/';
 
 /** An entry ends after this unless it is written anew. Milliseconds: the longest that stores grant; nodes that still hold the request write it again. */
-const entryMs = 600_000;
+const entryTtlMs = 600_000;
 
 /** An entry that was written this long ago may be missing in a list that is a little old. Milliseconds. */
-const unseenMs = 10_000;
+const rewriteDelayMs = 10_000;
 
 /** Nodes that write a missing entry after a look of each, on average: one may fail. */
-const writersPerLook = 2;
+const expectedWriterCount = 2;
 
 /** Entries that one look writes at the most: each is two calls on the store. */
-const mostWritten = 4;
+const maxWriteCount = 4;
 
 /**
  * @param context - The store and what is quarantined.
@@ -72,7 +72,7 @@
 
 	const writeOne = async (record: SuspectRecord): Promise<void> => {
 		writtenAt.set(record.fingerprint, readSteadyMs());
-		const put = await putLeased(store, `${suspectPrefix}${record.fingerprint}`, JSON.stringify(encodeSuspect(record)), entryMs);
+		const put = await putLeased(store, `${suspectPrefix}${record.fingerprint}`, JSON.stringify(encodeSuspect(record)), entryTtlMs);
 		if (put.isErr()) {
 			log.record('warn', {kind: 'quarantine-not-stored', fingerprint: record.fingerprint, reason: put.error});
 		}
@@ -85,7 +85,7 @@
 	};
 
 	/** Forgets when those were written that are quarantined no more. */
-	const forgetOthers = (quarantined: ReadonlySet<Fingerprint>): void => {
+	const removeOthers = (quarantined: ReadonlySet<Fingerprint>): void => {
 		for (const fingerprint of writtenAt.keys()) {
 			if (!quarantined.has(fingerprint)) {
 				writtenAt.delete(fingerprint);
@@ -94,20 +94,20 @@
 	};
 
 	const isDue = ({fingerprint}: SuspectRecord): boolean =>
-		readSteadyMs() - (writtenAt.get(fingerprint) ?? Number.NEGATIVE_INFINITY) > unseenMs && random() < writersPerLook / (countPeers() + 1);
+		readSteadyMs() - (writtenAt.get(fingerprint) ?? Number.NEGATIVE_INFINITY) > rewriteDelayMs && random() < expectedWriterCount / (countPeers() + 1);
 
 	return {
 		write,
 		handleRestored() {
 			writtenAt.clear();
 		},
-		take(items) {
+		reconcile(items) {
 			const records = items.flatMap(item => decode(item) ?? []);
 			handleRecords(records);
 			const stored = new Set(records.map(({fingerprint}) => fingerprint));
 			const quarantined = listQuarantined();
-			forgetOthers(new Set(quarantined.map(({fingerprint}) => fingerprint)));
-			write(quarantined.filter(record => !stored.has(record.fingerprint) && isDue(record)).slice(0, mostWritten));
+			removeOthers(new Set(quarantined.map(({fingerprint}) => fingerprint)));
+			write(quarantined.filter(record => !stored.has(record.fingerprint) && isDue(record)).slice(0, maxWriteCount));
 		},
 	};
 }
--- a/stand-ins/store/memory-store.ts
+++ b/stand-ins/store/memory-store.ts
@@ -113,7 +113,7 @@
 		return ok(stored);
 	};
 
-	const put = ({key, value, expectedRevision, lifeMs}: StoreWrite): Result<number, StoreError> => {
+	const put = ({key, value, expectedRevision, ttlMs: lifeMs}: StoreWrite): Result<number, StoreError> => {
 		const revision = values.get(key)?.revision ?? 0;
 		if (revision !== expectedRevision) {
 			return err({type: 'conflict', revision});
--- a/stand-ins/store/store-server.ts
+++ b/stand-ins/store/store-server.ts
@@ -53,7 +53,7 @@
 			key: context.req.param('key'),
 			value: body?.value,
 			expectedRevision: Number(context.req.query('revision') ?? 0),
-			lifeMs: life === undefined ? undefined : Number(life),
+			ttlMs: life === undefined ? undefined : Number(life),
 		});
 		if (result.isOk()) {
 			return context.json({revision: result.value});
