--- a/src/lib/route-config/config-history.ts
+++ b/src/lib/route-config/config-history.ts
@@ -1,12 +1,12 @@
 /**
- * The last steps from one version of the configuration to the next, so that a
- * node that lacks a few is sent these instead of the whole.
+ * Keeps the latest steps between versions of the configuration, so that a node
+ * that lacks a few versions receives their deltas instead of the whole text.
  *
  * @module
  */
 import {parseTextDelta, type TextDelta} from './text-delta.js';
 
-/** The step from one version to a later one. @internal */
+/** The delta from one version of the configuration to a later one. @internal */
 export type ConfigStep = {
 	readonly from: number;
 	readonly to: number;
@@ -15,23 +15,23 @@
 
 /** @internal */
 export type ConfigHistory = {
-	/** Notes the step that put a version in force; `undefined` if it is not known, which ends the chain. */
+	/** Adds the step to a version that was applied. With `undefined`, for an unknown step, clears the history. */
 	readonly add: (step: ConfigStep | undefined) => void;
-	/** The steps from a version to the newest one; `undefined` if one of them is not known. */
+	/** Returns the steps from a version to the newest one; `undefined` if the history does not reach back to it. */
 	readonly listSteps: (from: number) => readonly ConfigStep[] | undefined;
 };
 
-/** Steps that are remembered. Beside a quick succession of changes a node lacks one or two; one that lacks more was away, and takes the whole. */
+/** Steps in the history. During a burst of changes a node lacks one or two; a node that lacks many was disconnected, and fetches the whole configuration. */
 const maxStoredStepCount = 12;
 
-/** Steps that are taken from another node at once: several times what one remembers. */
+/** Steps accepted in one message of another node: several times what a node keeps. */
 const maxReceivedStepCount = 64;
 
-/** A step that is larger than this ends the chain: the whole is not much more. Characters; a change of one route is some 300, one that adds 1,600 routes 340,000. */
+/** A larger step clears the history, since the whole configuration is not much larger. A change of one route takes about 300 characters, adding 1,600 routes about 340,000. */
 const maxStepCharacters = 524_288;
 
 /**
- * @returns A history of no steps.
+ * @returns An empty history.
  * @internal
  */
 export function createConfigHistory(): ConfigHistory {
@@ -53,7 +53,7 @@
 	};
 }
 
-/** Characters of new text in a step, which are most of it. */
+/** Returns the number of characters that a step inserts, which make up most of its size. */
 function countInsertedCharacters({delta}: ConfigStep): number {
 	let length = 0;
 	for (const step of delta.steps) {
@@ -66,8 +66,10 @@
 const isVersion = (value: unknown): value is number => Number.isSafeInteger(value) && value as number >= 0;
 
 /**
- * @param value - Any JSON that another node sent.
- * @returns The steps, or `undefined` if one of them is none.
+ * Validates steps received from another node.
+ *
+ * @param value - Parsed JSON.
+ * @returns The steps, or `undefined` if there are too many or one of them is invalid.
  * @internal
  */
 export function parseConfigSteps(value: unknown): readonly ConfigStep[] | undefined {
--- a/src/lib/route-config/config-holder.ts
+++ b/src/lib/route-config/config-holder.ts
@@ -1,5 +1,6 @@
 /**
- * Holds the configuration in force. A lower version is refused, always.
+ * Holds the active configuration. Rejects any configuration whose version is
+ * not higher.
  *
  * @module
  */
@@ -8,37 +9,38 @@
 import {createRouteIndex, type RouteIndex} from './route-index.js';
 import {computeTextDelta} from './text-delta.js';
 
-/** A configuration and where it came from. @internal */
+/** The active configuration, with its index and text. @internal */
 export type ActiveConfig = {
 	readonly config: RouteConfig;
 	readonly index: RouteIndex;
-	/** As the store holds it: what other nodes are handed. */
+	/** The text in the store, which is also sent to other nodes. */
 	readonly text: string;
 };
 
 /** @internal */
 export type ConfigHolder = {
 	readonly get: () => ActiveConfig | undefined;
+	/** Returns the version of the active configuration; 0 if there is none. */
 	readonly getVersion: () => number;
-	/** Puts a configuration in force if it is newer; yields whether it was. */
+	/** Makes a configuration active if its version is higher. Returns whether it did. */
 	readonly applyIfNewer: (candidate: ConfigCandidate) => boolean;
-	/** The steps from a version to the one in force; `undefined` if they are not known. */
+	/** Returns the steps from a version to the active one; `undefined` if they are not known. */
 	readonly listSteps: (from: number) => readonly ConfigStep[] | undefined;
 };
 
-/** A configuration that may come into force. @internal */
+/** A configuration that becomes active if it is newer. @internal */
 export type ConfigCandidate = {
 	readonly config: RouteConfig;
 	readonly text: string;
-	/** Where it came from, for the log. */
+	/** Source for the log: `store` or the id of a node. */
 	readonly source: string;
-	/** The steps that led to it, if it came as these. */
+	/** The steps that produced it, if it was received as steps. */
 	readonly steps?: readonly ConfigStep[];
 };
 
 /**
- * @param handleApplied - Told of each configuration that comes into force.
- * @returns A holder of nothing; its version is 0.
+ * @param handleApplied - Called with each configuration that becomes active, and its source.
+ * @returns A holder without a configuration.
  * @internal
  */
 export function createConfigHolder(handleApplied: (active: ActiveConfig, source: string) => void): ConfigHolder {
@@ -58,7 +60,7 @@
 				history.add(step);
 			}
 
-			// One assignment puts the whole of it in force; a request keeps what it began with.
+			// A single assignment, so that a request sees one whole configuration, and keeps it until it ends.
 			active = {
 				config, index: createRouteIndex(config), text,
 			};
@@ -68,7 +70,7 @@
 	};
 }
 
-/** The step from what was in force to what comes, for nodes that lack it. */
+/** Computes the step from the active configuration to the next; the step is unknown if there is no active one. */
 function computeSteps(previous: ActiveConfig | undefined, {version}: RouteConfig, text: string): ReadonlyArray<ConfigStep | undefined> {
 	return [previous === undefined ? undefined : {from: previous.config.version, to: version, delta: computeTextDelta(previous.text, text)}];
 }
--- a/src/lib/route-config/route-config.test.ts
+++ b/src/lib/route-config/route-config.test.ts
@@ -8,7 +8,7 @@
 
 const createIndex = (prefixes: readonly string[]) => createRouteIndex(createSampleConfig(1, prefixes.map(prefix => createSampleRoute({name: prefix, prefix}))));
 
-test('the longest prefix of a path wins, whole segments only', () => {
+test('the route with the longest prefix matches, and a prefix matches whole path segments only', () => {
 	const index = createIndex(['/', '/logs/', '/logs/old/']);
 	assert.equal(findRoute(index, 'build.example', '/logs/old/7?page=2')?.name, '/logs/old/');
 	assert.equal(findRoute(index, 'build.example', '/logs/7')?.name, '/logs/');
@@ -16,19 +16,19 @@
 	assert.equal(findRoute(index, 'build.example', '/logs')?.name, '/');
 });
 
-test('the host counts without its port and in any case; another host has no route', () => {
+test('the port and the case of the host are ignored, and another host matches no route', () => {
 	const index = createIndex(['/logs/']);
 	assert.equal(findRoute(index, 'Build.Example:80', '/logs/7')?.name, '/logs/');
 	assert.equal(findRoute(index, 'other.example', '/logs/7'), undefined);
 	assert.equal(findRoute(index, 'build.example', '/else/7'), undefined);
 });
 
-test('a slash within the query is no part of the path', () => {
+test('slashes in the query string are not part of the path', () => {
 	const index = createIndex(['/logs/']);
 	assert.equal(findRoute(index, 'build.example', '/x?/logs/7'), undefined);
 });
 
-test('property: finding a route agrees with comparing every prefix', () => {
+test('property: findRoute finds the same route as a comparison with every prefix', () => {
 	const prefix = fc.array(fc.constantFrom('a', 'b', 'ab'), {maxLength: 3}).map(parts => parts.length === 0 ? '/' : `/${parts.join('/')}/`);
 	fc.assert(fc.property(fc.uniqueArray(prefix, {maxLength: 6}), fc.array(fc.constantFrom('a', 'b', 'ab', ''), {maxLength: 4}), (prefixes, parts) => {
 		const path = `/${parts.join('/')}`;
@@ -37,7 +37,7 @@
 	}));
 });
 
-test('a lower or equal version is refused, always', () => {
+test('a lower or equal version is rejected', () => {
 	const appliedVersions: number[] = [];
 	const holder = createConfigHolder(active => {
 		appliedVersions.push(active.config.version);
@@ -50,7 +50,7 @@
 	assert.deepEqual(appliedVersions, [5, 12]);
 });
 
-test('property: each part of a route gets its share, never more than a request off', () => {
+test('property: each service of a route gets its share of the requests, within one request per service of the route', () => {
 	fc.assert(fc.property(fc.array(fc.integer({min: 0, max: 100}), {minLength: 2, maxLength: 4}), fc.integer({min: 1, max: 300}), (weights, requests) => {
 		const total = weights.reduce((sum, weight) => sum + weight, 0);
 		fc.pre(total > 0);
@@ -69,7 +69,7 @@
 	}));
 });
 
-test('a part with weight 0 gets nothing, and a route whose weights change is dealt anew', () => {
+test('a service with weight 0 gets no requests, and a change of the weights resets the state of the route', () => {
 	const roundRobin = createWeightedRoundRobin(() => 0.5);
 	const route = createSampleRoute({services: [{service: 'old', weight: 0}, {service: 'new', weight: 3}]});
 	assert.deepEqual(Array.from({length: 5}, () => roundRobin.pick(route)), ['new', 'new', 'new', 'new', 'new']);
--- a/src/lib/route-config/route-config.ts
+++ b/src/lib/route-config/route-config.ts
@@ -1,56 +1,56 @@
 /**
- * The configuration of a mesh whose routes come ready from a store: routes,
- * services and limits, as one numbered whole.
+ * The configuration of the mesh: routes, services and limits, under one
+ * version. It is decoded from the text in the store.
  *
  * @module
  */
 
-/** May a request run more than once, and is it a large body or does it ask for one? @public */
+/** Whether a request of a route may run more than once, and whether its body or answer is large. @public */
 export type RouteType =
 	/** May run more than once. */
 	| 'safe'
-	/** Runs once at most. */
+	/** Runs at most once. */
 	| 'unsafe'
-	/** Has a large body, and runs once at most. */
+	/** Has a large body, and runs at most once. */
 	| 'upload'
 	/** Has a large answer, and may run more than once. */
 	| 'download';
 
-/** One part of a route's traffic. @public */
+/** A service that receives a share of a route's requests. @public */
 export type WeightedService = {
 	readonly service: string;
-	/** Relative to the weights of the other parts; 0 takes no traffic. */
+	/** Relative to the weights of the route's other services; 0 for no requests. */
 	readonly weight: number;
 };
 
-/** Where requests of one host under one prefix go, and how. @public */
+/** Routing rule for the requests to one host under one path prefix. @public */
 export type RouteRule = {
 	readonly name: string;
 	readonly host: string;
-	/** Begins and ends with a slash; the longest prefix of a path wins. */
+	/** Path prefix that begins and ends with a slash. The rule with the longest matching prefix applies. */
 	readonly prefix: string;
 	readonly type: RouteType;
-	/** Empty if the route could not be read whole: its requests are refused as not run, since they are not known to be unwanted. */
+	/** Empty if a part of the route could not be decoded. Its requests are refused as not executed rather than as not found, since the route does exist. */
 	readonly services: readonly WeightedService[];
-	/** Milliseconds that a caller is kept waiting at the most. */
+	/** Maximum time until a caller gets an answer. */
 	readonly timeoutMs: number;
-	/** Backend servers that one request may be sent to. */
+	/** Maximum number of backend servers that a request is sent to. */
 	readonly maxAttempts: number;
-	/** Milliseconds within which an answer is worth most. */
+	/** Latency objective: an answer within this time has its full value. */
 	readonly targetLatencyMs: number;
-	/** Rank under overload; 0 goes first. */
+	/** Priority under overload; 0 is the highest. */
 	readonly priority: number;
 };
 
-/** A service that routes may lead to. @public */
+/** Settings of a service. @public */
 export type ServiceRule = {
 	readonly name: string;
 	readonly healthCheckPath: string;
-	/** Connections that one backend server accepts from everybody together. */
+	/** Maximum number of connections that one backend server accepts from all its clients together. */
 	readonly maxConnections: number;
 };
 
-/** What a caller may send and how long it may take. @public */
+/** Size limits and timeouts of callers' connections and requests. @public */
 export type CallerLimits = {
 	readonly maxHeaderBytes: number;
 	readonly maxBodyBytes: number;
@@ -60,20 +60,22 @@
 
 /** A whole configuration. @public */
 export type RouteConfig = {
-	/** Grows with every change, in steps of any size. */
+	/** Increases with every change, not necessarily by one. */
 	readonly version: number;
 	readonly routes: readonly RouteRule[];
 	readonly services: readonly ServiceRule[];
 	readonly limits: CallerLimits;
-	/** Hosts with rules whose prefix could not be read: a request of theirs that matches nothing may still be meant for one. */
+	/** Hosts with rules whose prefix could not be decoded: a request to one of them that matches no route may belong to such a rule. */
 	readonly unreadHosts: ReadonlySet<string>;
-	/** What of it this node does not know, with place and remedy. */
+	/** Parts of the configuration that this node does not support, each with its place and a remedy. */
 	readonly warnings: readonly string[];
 };
 
 /**
- * @param type - The type of a route.
- * @returns Whether its requests may run more than once.
+ * Checks whether the requests of a route may run more than once.
+ *
+ * @param type - Type of the route.
+ * @returns Whether its requests may be sent again after they may have been executed.
  * @public
  */
 export function isRepeatable(type: RouteType): boolean {
@@ -81,8 +83,8 @@
 }
 
 /**
- * @param type - The type of a route.
- * @returns Whether answers to its requests are large.
+ * @param type - Type of the route.
+ * @returns Whether the answers to its requests are large.
  * @public
  */
 export function hasLargeAnswers(type: RouteType): boolean {
@@ -90,8 +92,8 @@
 }
 
 /**
- * @param type - The type of a route.
- * @returns Whether bodies or answers of its requests are large: what they cost the links is more than what they cost a server.
+ * @param type - Type of the route.
+ * @returns Whether its requests have large bodies or answers, and so load the network links more than the backend servers.
  * @public
  */
 export function isBulk(type: RouteType): boolean {
--- a/src/lib/route-config/route-index.ts
+++ b/src/lib/route-config/route-index.ts
@@ -1,15 +1,15 @@
 /**
- * Finds the route of a request: by host, then by the longest prefix.
+ * Finds the route of a request by its host, then by the longest path prefix.
  *
  * @module
  */
 import {type RouteConfig, type RouteRule} from './route-config.js';
 
-/** Routes arranged for looking up. @internal */
+/** Routes by host, then by prefix. @internal */
 export type RouteIndex = ReadonlyMap<string, ReadonlyMap<string, RouteRule>>;
 
 /**
- * @param config - A whole configuration.
+ * @param config - The configuration.
  * @returns Its routes by host and prefix.
  * @internal
  */
@@ -26,10 +26,10 @@
 }
 
 /**
- * Cuts the port off a host and spells it as routes are looked up.
+ * Removes the port of a host and converts it to lower case, as in the index.
  *
  * @param host - Value of the `Host` header.
- * @returns The host.
+ * @returns The normalized host.
  * @internal
  */
 export function normalizeHost(host: string): string {
@@ -42,12 +42,13 @@
 }
 
 /**
- * Finds a route. The path is cut back slash by slash, so the cost follows the
- * depth of the path and not the number of routes.
+ * Finds a route. Looks up each prefix of the path that ends with a slash, the
+ * longest first, so the cost depends on the depth of the path and not on the
+ * number of routes.
  *
  * @param index - The routes.
  * @param host - Value of the `Host` header.
- * @param target - Path and query.
+ * @param target - Path and query string.
  * @returns The route, or `undefined` if none matches.
  * @internal
  */
--- a/src/lib/route-config/sample-config.ts
+++ b/src/lib/route-config/sample-config.ts
@@ -1,13 +1,13 @@
 /**
- * A small configuration for tests.
+ * Small sample configuration for tests.
  *
  * @module
  */
 import {type RouteConfig, type RouteRule} from './route-config.js';
 
 /**
- * @param changes - What differs from an ordinary route.
- * @returns A route to the service `logview`.
+ * @param changes - Properties that differ from the defaults.
+ * @returns A route, by default to the service `logview`.
  * @internal
  */
 export function createSampleRoute(changes: Partial<RouteRule> = {}): RouteRule {
@@ -18,9 +18,9 @@
 }
 
 /**
- * @param version - Its version.
- * @param routes - Its routes.
- * @returns A whole configuration.
+ * @param version - Version of the configuration.
+ * @param routes - Routes of the configuration.
+ * @returns A configuration with these routes and their services.
  * @internal
  */
 export function createSampleConfig(version: number, routes: readonly RouteRule[] = [createSampleRoute()]): RouteConfig {
--- a/src/lib/route-config/text-delta.test.ts
+++ b/src/lib/route-config/text-delta.test.ts
@@ -10,13 +10,13 @@
 const createText = (version: number, changed?: number): string =>
 	`{"version":${version},"routes":[${Array.from({length: 400}, (_, index) => describeRoute(index, index === changed ? '2s' : '1s')).join(',')}]}`;
 
-test('a change of one route among many is a small delta', () => {
+test('the delta for a change of one route among many is small', () => {
 	const delta = computeTextDelta(createText(1), createText(2, 37));
 	assert.ok(JSON.stringify(delta).length < 400, `${JSON.stringify(delta).length} characters`);
 	assert.equal(applyTextDelta(createText(1), delta), createText(2, 37));
 });
 
-test('property: a delta makes the new text out of the old one, whatever they hold', () => {
+test('property: applying the delta between two texts to the old one yields the new one', () => {
 	const text = fc.stringMatching(/^[ab{}]{0,40}$/);
 	fc.assert(fc.property(text, text, (before, after) => {
 		const sent = JSON.stringify(computeTextDelta(before, after));
@@ -26,13 +26,13 @@
 	}));
 });
 
-test('a delta that is applied to another text, or was damaged, yields nothing', () => {
+test('a delta that is damaged, or applied to a different text, is rejected', () => {
 	const delta = computeTextDelta(createText(1), createText(2, 37));
 	assert.equal(applyTextDelta(createText(1, 5), delta), undefined);
 	assert.equal(applyTextDelta(createText(1), {...delta, steps: delta.steps.slice(1)}), undefined);
 });
 
-test('property: whatever another node sends is a list of steps or nothing', () => {
+test('property: parseConfigSteps returns valid steps or undefined for any input', () => {
 	fc.assert(fc.property(fc.anything(), value => {
 		const steps = parseConfigSteps(value);
 		assert.ok(steps === undefined || steps.every(({from}) => typeof from === 'number'));
@@ -43,14 +43,14 @@
 
 const createStep = (from: number, to: number): ConfigStep => ({from, to, delta: computeTextDelta(createText(from), createText(to))});
 
-test('the history hands out the chain from a version to the newest, or nothing', () => {
+test('listSteps returns all steps from a version to the newest, or undefined', () => {
 	const history = createConfigHistory();
 	history.add(createStep(1, 4));
 	history.add(createStep(4, 5));
 	assert.deepEqual(history.listSteps(1)?.map(({to}) => to), [4, 5]);
 	assert.deepEqual(history.listSteps(4)?.map(({to}) => to), [5]);
 	assert.equal(history.listSteps(2), undefined);
-	// A version that came whole: what led to it is not known.
+	// A version that was received whole: its step is not known.
 	history.add(undefined);
 	assert.equal(history.listSteps(4), undefined);
 	history.add(createStep(9, 10));
@@ -58,7 +58,7 @@
 	assert.equal(history.listSteps(9), undefined);
 });
 
-test('the history forgets old steps and does not keep large ones', () => {
+test('the history drops old steps and does not keep large ones', () => {
 	const history = createConfigHistory();
 	for (let version = 1; version <= 30; version++) {
 		history.add(createStep(version, version + 1));
@@ -70,7 +70,7 @@
 	assert.equal(history.listSteps(31), undefined);
 });
 
-test('a delta that asks for the old text again and again is refused once it is longer than any text, even if its digest fits', () => {
+test('a delta that copies the old text many times is rejected once the result exceeds the size limit, even if its digest matches', () => {
 	const oldText = '{a}'.repeat(100_000);
 	const apply = (times: number): number | undefined => {
 		const digest = createHash('sha256').update(oldText.repeat(times)).digest('base64url');
@@ -81,7 +81,7 @@
 	assert.equal(apply(60), undefined);
 });
 
-test('steps whose versions are none, or that lead back, are refused', () => {
+test('steps with invalid or decreasing versions, and lists of too many steps, are rejected', () => {
 	const {delta} = createStep(1, 2);
 	assert.deepEqual(parseConfigSteps([{from: 1, to: 2, delta}]), [{from: 1, to: 2, delta}]);
 	for (const [from, to] of [[2, 1], [1, 1], [-1, 2], [0.5, 2], [1, 1e300], ['1', 2], [null, 2]]) {
--- a/src/lib/route-config/text-delta.ts
+++ b/src/lib/route-config/text-delta.ts
@@ -1,23 +1,24 @@
 /**
- * Differences between two texts of which most is the same, such as two versions
- * of a configuration. Knows nothing of what the texts mean, so that whoever
- * takes one over ends with the very text that whoever gave it has.
+ * Deltas between two similar texts, such as two versions of a configuration.
+ * Works on the text rather than on its meaning, so that the receiver ends up
+ * with exactly the text of the sender.
  *
  * @module
  */
 import {getCrypto} from '../common/late-modules.js';
 
-/** A piece of the old text, as the first of its parts and their number, or a new text. */
+/** Copies a range of parts of the old text, given by the index of the first and their number, or inserts a new text. */
 type DeltaOperation = readonly [first: number, count: number] | string;
 
-/** How to make one text out of another. @internal */
+/** The operations that turn one text into another. @internal */
 export type TextDelta = {
 	/** SHA-256 of the new text, base64url. */
 	readonly digest: string;
+	/** Operations in the order of the new text. */
 	readonly steps: readonly DeltaOperation[];
 };
 
-/** Texts are cut before each of these: a configuration becomes some parts for each route, so that a change of one route leaves the others whole. */
+/** Texts are split before each opening brace. A configuration yields a few parts per route, so that a change of one route leaves the parts of the others unchanged. */
 const partBoundary = /(?={)/;
 
 const listParts = (text: string): readonly string[] => text.split(partBoundary);
@@ -36,9 +37,11 @@
 }
 
 /**
- * @param oldText - The text that the other side has.
- * @param newText - The text that it is to have.
- * @returns The delta between them.
+ * Computes the delta from one text to another.
+ *
+ * @param oldText - The text that the receiver has.
+ * @param newText - The text that the receiver needs.
+ * @returns The delta.
  * @internal
  */
 export function computeTextDelta(oldText: string, newText: string): TextDelta {
@@ -86,10 +89,10 @@
 	return {digest: computeTextDigest(newText), steps};
 }
 
-/** The longest text that is put together. Characters: several times what the store of the users holds in a value. Each step may ask for the old text again. */
+/** Limit on the result of a delta, since each operation may copy the whole old text again. Several times the largest value that the store accepts. */
 const maxTextCharacters = 16_777_216;
 
-/** Joins pieces of the old text and new ones; `undefined` if they are longer than any text. */
+/** Applies the operations to a text; returns `undefined` if the result exceeds the size limit. */
 function joinPieces(oldText: string, steps: readonly DeltaOperation[]): string | undefined {
 	const oldParts = listParts(oldText);
 	const pieces: string[] = [];
@@ -108,9 +111,11 @@
 }
 
 /**
+ * Applies a delta and verifies the result.
+ *
  * @param oldText - The text that the delta was computed from.
  * @param delta - The delta.
- * @returns The new text; `undefined` if what comes out is not what the delta was computed for.
+ * @returns The new text; `undefined` if it exceeds the size limit or its digest does not match.
  * @internal
  */
 export function applyTextDelta(oldText: string, {digest, steps}: TextDelta): string | undefined {
@@ -123,8 +128,10 @@
 }
 
 /**
- * @param value - Any JSON that another node sent.
- * @returns The delta, or `undefined` if it is none.
+ * Validates a delta received from another node.
+ *
+ * @param value - Parsed JSON.
+ * @returns The delta, or `undefined` if it is invalid.
  * @internal
  */
 export function parseTextDelta(value: unknown): TextDelta | undefined {
--- a/src/lib/route-config/weighted-round-robin.ts
+++ b/src/lib/route-config/weighted-round-robin.ts
@@ -1,6 +1,6 @@
 /**
- * Deals the requests of a route to its services by weight, exactly: after any
- * number of requests no part is more than about one request off its share.
+ * Smooth weighted round robin over the services of a route: after any number
+ * of requests, each service has received its share within about one request.
  *
  * @module
  */
@@ -8,9 +8,9 @@
 
 /** @internal */
 export type WeightedRoundRobin = {
-	/** Picks the service of the next request of a route. */
+	/** Picks the service for the next request of a route: its only service, or one of several by weight. Returns `undefined` if there is none to pick. */
 	readonly pick: (route: RouteRule) => string | undefined;
-	/** Forgets routes that are no longer in force. */
+	/** Removes the state of all routes except those named. */
 	readonly retain: (names: ReadonlySet<string>) => void;
 };
 
@@ -18,7 +18,7 @@
 
 const formatKey = (services: readonly WeightedService[]): string => services.map(({service, weight}) => `${service}=${weight}`).join(',');
 
-/** Smooth weighted round robin: the part with the most credit goes next and pays the sum of all weights. */
+/** Adds to each current weight the weight of its service, picks the service with the largest, and subtracts the sum of all weights from that one. */
 function pickByCurrentWeight(services: readonly WeightedService[], currentWeights: number[]): string | undefined {
 	const total = services.reduce((sum, {weight}) => sum + weight, 0);
 	let best = -1;
@@ -38,8 +38,8 @@
 }
 
 /**
- * @param random - Yields numbers from 0 up to 1; sets where a node begins, so that nodes are not in step.
- * @returns A splitter that has dealt nothing yet.
+ * @param random - Returns numbers from 0 to less than 1. Sets the initial weights at random, so that nodes do not all pick the same service at the same time.
+ * @returns A round robin without state.
  * @internal
  */
 export function createWeightedRoundRobin(random: () => number): WeightedRoundRobin {
--- a/src/lib/store/budgeted-store.ts
+++ b/src/lib/store/budgeted-store.ts
@@ -1,6 +1,6 @@
 /**
- * Keeps one node's calls on the store within its share, so that a herd of
- * nodes that all want something at once does not take the store down.
+ * Limits the rate of one node's calls to the store, so that many nodes calling
+ * at the same moment do not overload the store.
  *
  * @module
  */
@@ -9,7 +9,7 @@
 import {createTokenBucket, takeToken, type TokenBucketLimits} from '../common/token-bucket.js';
 import {type Store} from './store.js';
 
-/** Counts of what a node asked of the store. @public */
+/** Counts of one node's calls to the store by kind, and of calls refused over the limit. @public */
 export type StoreCounts = {
 	readonly reads: number;
 	readonly writes: number;
@@ -17,15 +17,15 @@
 	readonly refused: number;
 };
 
-/** A store that counts and bounds its calls. @public */
+/** A store that counts its calls and limits their rate. @public */
 export type BudgetedStore = Store & {readonly getCounts: () => StoreCounts};
 
 /**
- * Puts a budget before a store.
+ * Wraps a store with a token bucket.
  *
- * @param store - The store.
- * @param limits - Calls a second and the burst, all kinds together.
- * @returns The store, whose calls over the budget fail at once as `unavailable`.
+ * @param store - The store to wrap.
+ * @param limits - Rate in calls per second and burst, over reads, writes and watches together.
+ * @returns A store whose calls over the limit fail immediately with `unavailable`.
  * @public
  */
 export function createBudgetedStore(store: Store, limits: TokenBucketLimits): BudgetedStore {
@@ -45,7 +45,7 @@
 	};
 
 	const refuse = <T>(): ResultAsync<T, {readonly type: 'unavailable'; readonly reason: string}> =>
-		errAsync({type: 'unavailable', reason: 'this node has used up its share of calls on the store'});
+		errAsync({type: 'unavailable', reason: 'this node has exceeded its rate limit for calls to the store'});
 
 	return {
 		read(key) {
--- a/src/lib/store/call-timeout.test.ts
+++ b/src/lib/store/call-timeout.test.ts
@@ -2,7 +2,7 @@
 import test from 'node:test';
 import {createCallTimeout} from './call-timeout.js';
 
-test('a call may take longer after each that was given up, calls that were under way together count once, and an answer ends that', () => {
+test('the timeout doubles after a call that timed out, once for concurrent calls, and an answer resets it', () => {
 	const callTimeout = createCallTimeout();
 	const initialMs = callTimeout.getMs();
 	callTimeout.recordTimeout(initialMs);
@@ -15,8 +15,8 @@
 	assert.equal(callTimeout.getMs(), initialMs);
 });
 
-// Guards against a store that is slow and never heard, since each call is given up just before its answer.
-test('a store of any latency up to a second is answered by the second call at the latest, and from then on by each', () => {
+// Guards against a slow store whose calls all time out just before their answers arrive.
+test('with a store latency of up to one second, at most the first call times out', () => {
 	for (let latencyMs = 1; latencyMs <= 1000; latencyMs += 9) {
 		const callTimeout = createCallTimeout();
 		const outcomes = Array.from({length: 5}, () => {
--- a/src/lib/store/call-timeout.ts
+++ b/src/lib/store/call-timeout.ts
@@ -1,35 +1,35 @@
 /**
- * How long a call on the store may go without an answer: the decision part. A
- * store that answers seldom fails, and then a new connection is better than
- * waiting; one that is slow would never answer if each call were given up and
- * begun anew just before its answer.
+ * Adaptive timeout for calls to the store, without I/O. The timeout is short,
+ * so that a call on a broken connection is soon retried on a new one. It grows
+ * with the latency of the store, since calls to a slow store would otherwise
+ * all time out just before their answers arrive.
  *
  * @module
  */
 
 /** @internal */
 export type CallTimeout = {
-	/** Milliseconds that the next call may take. */
+	/** Timeout of the next call, in milliseconds. */
 	readonly getMs: () => number;
-	/** Notes that a call was answered, and after how many milliseconds. */
+	/** Records the latency of an answered call, in milliseconds. */
 	readonly recordAnswer: (tookMs: number) => void;
-	/** Notes that a call was given up after so many milliseconds without an answer. */
+	/** Records that a call timed out after `limitMs` milliseconds. */
 	readonly recordTimeout: (limitMs: number) => void;
 };
 
-/** A usual store answers in a few milliseconds. */
+/** Lower bound; a healthy store answers in a few milliseconds. */
 const minTimeoutMs = 700;
 
-/** Beyond this a change could not be in force in time. Milliseconds. */
+/** Upper bound; with a longer timeout, a configuration change would not be applied within its deadline. */
 const maxTimeoutMs = 2000;
 
-/** A slow store's next answer may take this much longer than its last. */
+/** Ratio of the timeout to the last latency or timeout. */
 const latencyFactor = 2;
 
 const clampTimeoutMs = (ms: number): number => Math.min(maxTimeoutMs, Math.max(minTimeoutMs, ms));
 
 /**
- * @returns The patience with a store of which nothing is known.
+ * @returns A timeout at its lower bound.
  * @internal
  */
 export function createCallTimeout(): CallTimeout {
@@ -40,7 +40,7 @@
 			timeoutMs = clampTimeoutMs(tookMs * latencyFactor);
 		},
 		recordTimeout(limitMs) {
-			// Calls that were under way together are one silence.
+			// Calls that were in flight together have the same limit, so together they raise the timeout once.
 			timeoutMs = Math.max(timeoutMs, clampTimeoutMs(limitMs * latencyFactor));
 		},
 	};
--- a/src/lib/store/era-tracker.test.ts
+++ b/src/lib/store/era-tracker.test.ts
@@ -3,7 +3,7 @@
 import fc from 'fast-check';
 import {createEraTracker} from './era-tracker.js';
 
-test('the first answer is no change, a newer era is one, the same is none', () => {
+test('watchers are notified of a new era, but not of the first one or of the same one', () => {
 	const tracker = createEraTracker();
 	const changedEras: number[] = [];
 	tracker.watch(era => {
@@ -17,19 +17,19 @@
 	assert.deepEqual([changedEras, tracker.get()], [[4], 4]);
 });
 
-test('an answer of an era that is over counts no more, unless it was asked for since', () => {
+test('an answer from an older era is rejected, unless its call was sent after the last era change', () => {
 	const tracker = createEraTracker();
 	tracker.accept(3, tracker.getChangeCount());
 	const beforeChange = tracker.getChangeCount();
 	tracker.accept(4, tracker.getChangeCount());
 	assert.equal(tracker.accept(3, beforeChange), false);
 	assert.equal(tracker.get(), 4);
-	assert.equal(tracker.accept(1, tracker.getChangeCount()), true, 'a store that was replaced counts from anew');
+	assert.equal(tracker.accept(1, tracker.getChangeCount()), true, 'a replacement store may start at a lower era');
 	assert.equal(tracker.get(), 1);
 });
 
-test('property: whatever order the answers of a store come in, the era never goes back', () => {
-	// Each call is answered in the era in which it arrives, and its answer may come after any number of later ones.
+test('property: the era never decreases, whatever the order of the answers', () => {
+	// An answer carries the era in which the store processed the call, and may arrive after the answers to later calls.
 	fc.assert(fc.property(fc.array(fc.record({restores: fc.nat(1), delay: fc.nat(6)}), {maxLength: 40}), calls => {
 		const tracker = createEraTracker();
 		let era = 1;
--- a/src/lib/store/era-tracker.ts
+++ b/src/lib/store/era-tracker.ts
@@ -1,6 +1,6 @@
 /**
- * Which era the store is in, as its answers say. Answers overtake one another:
- * one that was asked for before a newer era was heard of tells of what is over.
+ * Tracks the era of the store by its answers. Answers may arrive out of order:
+ * the answer to a call that was sent before an era change may be stale.
  *
  * @module
  */
@@ -8,23 +8,24 @@
 
 /** @internal */
 export type EraTracker = {
+	/** Returns the current era; `undefined` before the first answer. */
 	readonly get: () => StoreEra | undefined;
-	/** Notes that a call is sent; yields what `accept` is to be handed with its answer. */
+	/** Returns the number of era changes so far. Read it when a call is sent, and pass it to `accept` with the answer. */
 	readonly getChangeCount: () => number;
-	/** Takes in the era of an answer; yields whether the answer counts. */
+	/** Updates the current era from an answer. Returns false if the answer is stale and must be discarded. */
 	readonly accept: (era: StoreEra, sentAtChange: number) => boolean;
-	/** Calls back at each change of era. */
+	/** Registers a handler that is called on each change of era. The first era is not a change. */
 	readonly watch: (handleEra: (era: StoreEra) => void) => void;
 };
 
 /**
- * @returns A book before the first answer.
+ * @returns A tracker without an era.
  * @internal
  */
 export function createEraTracker(): EraTracker {
 	const handlers: Array<(era: StoreEra) => void> = [];
 	let current: StoreEra | undefined;
-	/** Counts changes of era: a call belongs to the one in which it was sent. */
+	/** Number of era changes, the first answer included; identifies the era in which a call was sent. */
 	let changeCount = 0;
 	return {
 		get: () => current,
@@ -34,7 +35,7 @@
 				return true;
 			}
 
-			// A store that another one took the place of may count from anew; only what was asked for before can be late.
+			// A lower era is stale only if the call was sent before the last change: a replacement store may start at a lower era.
 			const isStale = current !== undefined && sentAtChange !== changeCount && era < current;
 			if (isStale) {
 				return false;
--- a/src/lib/store/http-store.test.ts
+++ b/src/lib/store/http-store.test.ts
@@ -6,7 +6,7 @@
 
 const timeoutMs = 300;
 
-test('compare-and-swap, and each failure typed by whether it may have taken effect', async t => {
+test('writes are compare-and-swap, and each error type tells whether the write may have taken effect', async t => {
 	const server = await startStoreServer('127.0.0.1', 0);
 	const store = createHttpStore({address: toAddress(server.address), timeoutMs});
 	t.after(async () => {
@@ -39,7 +39,7 @@
 	assert.equal((await store.write({key: 'k', value: undefined, expectedRevision: 3})).isOk(), true);
 });
 
-test('a store that is not there is unavailable, and a write to it has no effect', async t => {
+test('reads and writes fail with unavailable if nothing listens at the address of the store', async t => {
 	const store = createHttpStore({address: toAddress('127.0.0.1:9'), timeoutMs});
 	t.after(store.dispose);
 	assert.equal((await store.write({key: 'k', value: 'a', expectedRevision: 0}))._unsafeUnwrapErr().type, 'unavailable');
--- a/src/lib/store/http-store.ts
+++ b/src/lib/store/http-store.ts
@@ -1,5 +1,5 @@
 /**
- * Speaks to the platform's store over HTTP.
+ * HTTP client of the platform's key-value store.
  *
  * @module
  */
@@ -17,7 +17,7 @@
 /** @public */
 export type HttpStoreSettings = {
 	readonly address: Address;
-	/** Milliseconds until a call without an answer has failed. */
+	/** Timeout of reads and writes, in milliseconds. */
 	readonly timeoutMs: number;
 };
 
@@ -26,16 +26,16 @@
 
 type Reply = {readonly status: number; readonly body: string};
 
-/** Connections to the store: one for calls that wait, one for those that do not. */
+/** Connections to the store: one for watches, which block until a change, and one for reads and writes. */
 const connectionsPerNode = 2;
 
-/** Answers to a watch may come this much later than its timeout, in milliseconds. */
+/** Added to the timeout of a watch on the client side, so that the store's answer at the end of the watch still arrives. */
 const watchGraceMs = 2000;
 
 const storedValueSchema = z.object({value: z.string(), revision: z.int()}).readonly();
 const revisionSchema = z.object({revision: z.int()}).readonly();
 
-/** Failures in which not a byte of the request has left. */
+/** Error codes of failures before any byte of the request was sent. */
 const unsentCodes = new Set(['ECONNREFUSED', 'EHOSTUNREACH', 'ENETUNREACH', 'UND_ERR_CONNECT_TIMEOUT', 'EADDRNOTAVAIL']);
 
 function describeFailure(error: unknown): {readonly code: string; readonly reason: string} {
@@ -45,7 +45,7 @@
 
 function parseStoredValue(body: string): Result<StoredValue, StoreReadError> {
 	return parseJson(body, storedValueSchema)
-		.mapErr((problem): StoreReadError => ({type: 'unavailable', reason: `the store's answer ${problem}`}));
+		.mapErr((problem): StoreReadError => ({type: 'unavailable', reason: `invalid answer from the store: ${problem}`}));
 }
 
 function parseWriteReply(reply: Reply): Result<number, StoreError> {
@@ -72,10 +72,10 @@
 }
 
 /**
- * Opens the store at an address. No connection is made before the first call.
+ * Creates a client of the store. It connects on the first call.
  *
- * @param settings - Where the store is.
- * @returns The store.
+ * @param settings - Address and timeout.
+ * @returns The client.
  * @public
  */
 export function createHttpStore(settings: HttpStoreSettings): DisposableStore {
--- a/src/lib/store/mesh-store.ts
+++ b/src/lib/store/mesh-store.ts
@@ -1,6 +1,6 @@
 /**
- * A store of keys with revisions, watches and leases, as a sidecar node needs
- * it. An adapter puts a platform's own protocol behind this interface.
+ * Interface of the key-value store of sidecar nodes, with revisions, watches
+ * and leases. An adapter implements it for the protocol of a platform.
  *
  * @module
  */
@@ -8,14 +8,14 @@
 import {type StoreError, type StoreReadError} from './store.js';
 import {type StoreEra, type StoreLease, type StorePosition} from './store-position.js';
 
-/** One key as it was read. @public */
+/** A key with its value and revision. @public */
 export type StoreItem = {
 	readonly key: string;
 	readonly value: string;
 	readonly revision: number;
 };
 
-/** Keys as they were at about one place in the store's history. @public */
+/** The keys that a read returned. The keys may be newer than `position`, not older. @public */
 export type StoreItems = {
 	readonly items: readonly StoreItem[];
 	readonly position: StorePosition;
@@ -26,30 +26,30 @@
 	| {readonly type: 'written'; readonly item: StoreItem}
 	| {readonly type: 'removed'; readonly key: string; readonly revision: number};
 
-/** What a watch yields. @public */
+/** Result of a watch. @public */
 export type WatchResult =
 	| {readonly type: 'changes'; readonly changes: readonly StoreChange[]; readonly position: StorePosition}
-	/** The store no longer has this history, or has come back from a copy: read anew. */
+	/** The store has compacted this part of its history, or was restored from a backup: the caller must read again. */
 	| {readonly type: 'history-gone'};
 
 /** @public */
 export type MeshStore = {
-	/** Reads one key; no item if it does not exist. What may be stale is cheap. */
+	/** Reads one key; returns no item if it does not exist. Stale reads cost the store less. */
 	readonly readItem: (key: string, options: {readonly mayBeStale: boolean}) => Promise<Result<StoreItems, StoreReadError>>;
-	/** Reads all keys that begin with a prefix. What may be stale is cheap. */
+	/** Reads all keys with a prefix. Stale reads cost the store less. */
 	readonly listItems: (prefix: string, options: {readonly mayBeStale: boolean}) => Promise<Result<StoreItems, StoreReadError>>;
-	/** Waits for changes of keys that begin with a prefix. */
+	/** Waits up to `waitMs` milliseconds for changes of keys with a prefix that follow a position. Returns an empty list if there are none. */
 	readonly watchItems: (prefix: string, after: StorePosition, waitMs: number, signal: AbortSignal) => Promise<Result<WatchResult, StoreReadError>>;
-	/** Writes a key whatever its revision. Under a lease of an earlier era nothing is written. */
+	/** Writes a key at any revision. Fails without writing if the lease is known to be from an earlier era. */
 	readonly putItem: (key: string, value: string, lease: StoreLease) => Promise<Result<StorePosition, StoreError>>;
-	/** Removes a key if it was last written at a position. */
+	/** Removes a key if its last write was at `writtenAt`; otherwise does nothing. */
 	readonly removeItem: (key: string, writtenAt: StorePosition) => Promise<Result<void, StoreError>>;
 	readonly grantLease: (ttlMs: number) => Promise<Result<StoreLease, StoreError>>;
-	/** Yields whether the lease still runs; one of an earlier era does not. */
+	/** Renews a lease. Returns false if it has expired or is from an earlier era. */
 	readonly renewLease: (lease: StoreLease) => Promise<Result<boolean, StoreReadError>>;
-	/** The era of the newest answer; `undefined` before the first. */
+	/** Returns the current era of the store; `undefined` before the first answer. */
 	readonly getEra: () => StoreEra | undefined;
-	/** Calls back when the store is found to have come back from a copy. */
+	/** Registers a handler that is called when the store was restored from a backup. */
 	readonly watchEra: (handleEra: (era: StoreEra) => void) => void;
 	readonly dispose: () => void;
 };
--- a/src/lib/store/store-position.ts
+++ b/src/lib/store/store-position.ts
@@ -1,15 +1,15 @@
 /**
- * A place in the store's history. A store may come back from a copy: its
- * revisions go back then and are given out again, so a revision alone says
- * nothing. This is the one place where positions are compared.
+ * Positions in the history of the store. When a store is restored from a
+ * backup, its revisions decrease and are assigned again, so revisions are
+ * comparable only within one era. All comparisons of positions belong here.
  *
  * @module
  */
 
-/** Counts how often the store came back from a copy; 0 for a store that does not say. @public */
+/** Number of times the store was restored from a backup; 0 for a store that does not report it. @public */
 export type StoreEra = number;
 
-/** The era of a store that does not say it. @internal */
+/** The era of a store that does not report one. @internal */
 export const noEra: StoreEra = 0;
 
 /** @public */
@@ -18,16 +18,18 @@
 	readonly revision: number;
 };
 
-/** A lease, which ends with its era: its id may be somebody else's in the next one. @public */
+/** A lease, valid only in its era: in the next era, the store may assign its id to another lease. @public */
 export type StoreLease = {
 	readonly era: StoreEra;
 	readonly id: number;
 };
 
 /**
- * @param position - A place in the store's history.
- * @param other - Another one.
- * @returns Whether what was written at the second is known at the first; not so if they are of different eras.
+ * Checks whether a read at one position includes a write at another.
+ *
+ * @param position - Position of the read.
+ * @param other - Position of the write.
+ * @returns Whether `position` is at or after `other`; false if their eras differ.
  * @internal
  */
 export function hasReached(position: StorePosition, other: StorePosition): boolean {
--- a/src/lib/store/store.ts
+++ b/src/lib/store/store.ts
@@ -1,6 +1,6 @@
 /**
- * The platform's key-value service as the mesh needs it. An adapter puts the
- * platform's own protocol behind this interface.
+ * Interface of the platform's key-value store. An adapter implements it for
+ * the protocol of a platform.
  *
  * @module
  */
@@ -9,17 +9,17 @@
 /** @public */
 export type StoredValue = {
 	readonly value: string;
-	/** Grows with every write of the key; a key that does not exist has revision 0. */
+	/** Increases with every write of the key; a key that does not exist has revision 0. */
 	readonly revision: number;
 };
 
 /**
- * How a call on the store failed.
+ * Error of a call to the store.
  *
- * - `not-applied`: the store refused a write, which has no effect.
- * - `conflict`: the key has another revision; the write has no effect.
- * - `unavailable`: no answer, and certainly no effect.
- * - `unknown`: the write may have taken effect; read to find out.
+ * - `not-applied`: the store refused the write, which had no effect.
+ * - `conflict`: the key has another revision, and the write had no effect.
+ * - `unavailable`: the call failed, and had no effect.
+ * - `unknown`: the write may have taken effect; read the key to find out.
  *
  * @public
  */
@@ -39,14 +39,14 @@
 	readonly value: string | undefined;
 	/** 0 for a key that must not exist yet. */
 	readonly expectedRevision: number;
-	/** The platform's lease on the key: it is removed after so many milliseconds. Without it, it stays. */
+	/** Milliseconds after which the store removes the key; `undefined` for a key that does not expire. */
 	readonly ttlMs?: number;
 };
 
 /** @public */
 export type StoreWatch = {
 	readonly key: string;
-	/** The wait ends when the key's revision differs from this one. */
+	/** The watch ends when the revision of the key differs from this one. */
 	readonly knownRevision: number;
 	readonly timeoutMs: number;
 	readonly signal?: AbortSignal;
@@ -55,11 +55,11 @@
 /** The platform's store. @public */
 export type Store = {
 	readonly read: (key: string) => ResultAsync<StoredValue | undefined, StoreReadError>;
-	/** Compare-and-swap; yields the key's new revision. */
+	/** Writes a key by compare-and-swap; returns its new revision. */
 	readonly write: (write: StoreWrite) => ResultAsync<number, StoreError>;
-	/** Waits for a change; yields `undefined` when nothing changed in time. */
+	/** Waits for a change of a key; returns `undefined` if the key did not change before the timeout, or was removed. */
 	readonly watch: (watch: StoreWatch) => ResultAsync<StoredValue | undefined, StoreReadError>;
 };
 
-/** Values larger than this are refused by the platform. Bytes. @public */
+/** Largest value that the platform accepts. @public */
 export const maximumValueBytes = 1_000_000;
--- a/src/lib/sync/config-follower.test.ts
+++ b/src/lib/sync/config-follower.test.ts
@@ -9,19 +9,19 @@
 import {createStoreHealth} from './store-health.js';
 
 type Fixture = {
-	/** When each watch was opened, in milliseconds since the change before. */
+	/** Time from the previous change to the start of each watch, in milliseconds. */
 	readonly listWatchDelaysMs: () => readonly number[];
-	/** The watch that waits hears of a change. */
+	/** Answers the open watch with a change. */
 	readonly sendChange: () => Promise<void>;
 	readonly advance: (milliseconds: number) => Promise<void>;
 };
 
-/** Lets what waits for a promise run. */
+/** Waits until the continuations of settled promises have run. */
 const flushPromises = async (): Promise<void> => new Promise(resolve => {
 	setImmediate(resolve);
 });
 
-/** A watcher that draws one number, under a clock that the test advances. */
+/** Starts a follower with a constant random value and a clock that the test advances. */
 async function startFollower(context: TestContext, randomValue: number): Promise<Fixture> {
 	context.mock.timers.enable({apis: ['setTimeout']});
 	let now = 0;
@@ -63,7 +63,8 @@
 }
 
 for (const [randomValue, expectedDelayMs] of [[0, 450], [0.5, 750], [0.999, 1050]] as const) {
-	test(`a watcher that draws ${randomValue} opens its watch ${expectedDelayMs} ms after a change: the watches of several are spread over more than a short silence of the store`, async context => {
+	// If all followers reopened their watches at the same moment, a short stall of the store could make all of them miss the next change.
+	test(`with a random value of ${randomValue}, a follower reopens its watch ${expectedDelayMs} ms after a change`, async context => {
 		const {listWatchDelaysMs, sendChange, advance} = await startFollower(context, randomValue);
 		assert.equal(listWatchDelaysMs().length, 1);
 		await sendChange();
--- a/src/lib/sync/config-follower.ts
+++ b/src/lib/sync/config-follower.ts
@@ -1,6 +1,6 @@
 /**
- * Follows the configuration in the store: one read, then a watch that is
- * opened again after each change.
+ * Follows the configuration in the store: reads it once, then watches it, and
+ * reopens the watch after each change.
  *
  * @module
  */
@@ -19,74 +19,80 @@
 	readonly store: MeshStore;
 	readonly health: StoreHealth;
 	readonly holder: ConfigHolder;
-	/** Key under which the operators' configuration stands. */
+	/** Key of the configuration in the store. */
 	readonly key: string;
 	readonly decode: (text: string) => Result<RouteConfig, string>;
 	readonly log: MeshLog;
 	readonly random: () => number;
-	/** Whether this node is one of those that ask the store; the others hear of changes from these. */
+	/** Returns whether this node should watch the store; the other nodes get changes from the nodes that do. */
 	readonly shouldFollow: () => boolean;
-	/** Told when the store has told what is newest, with when it was asked, in steady milliseconds. */
+	/** Called after a successful read of the configuration, with the time at which the read started, by `readSteadyMs`. */
 	readonly handleRead: (startedAt: number) => void;
 };
 
 /** @internal */
 export type ConfigFollower = {
-	/** Follows until it is disposed. */
+	/** Follows the configuration until `dispose` is called. */
 	readonly run: () => Promise<void>;
-	/** Reads anew at once: a watch may have missed something. */
+	/** Aborts the open watch and reads the configuration immediately, since a watch may have missed changes. */
 	readonly resync: () => void;
-	/** Puts a configuration that another node handed over in force. */
+	/** Applies a configuration received from another node, if it is valid and newer than the active one. */
 	readonly applyText: (text: string, source: string, steps?: readonly ConfigStep[]) => void;
-	/** Whether it asks the store itself now. */
+	/** Returns whether this node watches the store. */
 	readonly isFollowing: () => boolean;
 	readonly dispose: () => void;
 };
 
-/** How long a watch waits for a change at the most. Milliseconds: a connection that has fallen silent without a reset looks like a store in which nothing changes, for as long as this. Each new watch is a call more. */
+/** Longest wait of a watch. Until the wait ends, a half-open connection is indistinguishable from a store without changes; shorter waits cost the store more calls. */
 const maxWatchMs = 6000;
 
-/** The shortest wait, as a share of the longest. Watchers draw theirs, so that after a change, when all open a watch at once, not all of them ask again at once: when all connections fall silent together, the first to ask again finds out for the others. */
+/**
+ * Shortest wait of a watch, as a fraction of the longest. Waits are random in between, so that watches that are opened together, as after a change, do not all end
+ * together: when all connections become half-open at the same time, the first node to reopen its watch detects it for the others.
+ */
 const minWatchFraction = 0.3;
 
-/** After a change the watch rests for this long at the least, so that changes in quick succession come as one. Milliseconds, a quarter of the shortest time in which a change must be in force. */
+/** Minimum delay between a change and the next watch, so that several quick changes are read together. A quarter of the shortest deadline for applying a change. */
 const minRewatchDelayMs = 450;
 
 /**
- * By how much longer it may rest. Watchers draw it: if all opened their watches at the same moment, a silence of the store as short as 200 ms could swallow all of them, and the next change would be in force only when the
- * first of them had waited in vain. The first to open hears for the others. Milliseconds.
+ * Maximum random addition to this delay. If all nodes reopened their watches at the same moment, a stall of the store of only 200 ms could lose all of these calls,
+ * and the next change would be applied only when the first watch timed out. With jitter, the first node to reopen its watch gets the change for the others.
  */
 const rewatchJitterMs = 600;
 
-/** A node that has just started hears within this time who watches the store; if it asked for a watch at once, so would all that start together. Milliseconds, two periods of heartbeats; it hears of changes from the others meanwhile. */
+/**
+ * Delay between the first configuration and the first watch: two heartbeat periods, in which a node learns from the heartbeats which nodes watch the store. Without
+ * it, all nodes that start together would open watches. Meanwhile the node gets changes from the others.
+ */
 const startupDelayMs = 900;
 
-/** Between two looks whether this node has to ask the store itself. Milliseconds: a small part of the time in which a change must be in force. */
+/** Interval at which a node that does not watch the store checks whether it should: a small part of the deadline for applying a change. */
 const dutyCheckIntervalMs = 300;
 
-/** Values of one configuration that are named in the log: one route of a new type rarely comes alone, and the first ones tell what is missing. */
+/** Maximum number of warnings logged per configuration. Routes of an unsupported type usually come in groups, and the first warnings show what is unsupported. */
 const maxLoggedWarningCount = 5;
 
-/** Between two tries to reach a store that does not answer. Milliseconds. */
+/** Minimum delay before a retry after a failed call; jitter can double it. */
 const minRetryDelayMs = 250;
 
 /**
- * @param context - The store and what holds the configuration.
- * @returns The follower, not running yet.
+ * @param context - The store, the holder of the configuration, and callbacks.
+ * @returns The follower; `run` starts it.
  * @internal
  */
 export function createConfigFollower(context: ConfigFollowerContext): ConfigFollower {
 	const {store, health, holder, key, decode, log, random, shouldFollow, handleRead} = context;
 	const disposed = new AbortController();
 	let watchAbort = new AbortController();
-	/** Up to where in the store's history changes are known; `undefined` if it has to be read anew. */
+	/** Position up to which changes are known; `undefined` if the configuration must be read again. */
 	let position: StorePosition | undefined;
 	let rejectedText: string | undefined;
 	let loggedWarnings: ReadonlySet<string> = new Set();
 	let isFollowing = false;
 	let hasDelayedStartup = false;
 
-	/** Names what this node does not know, once for as long as it stays the same. */
+	/** Logs the warnings that the previous configuration did not have. */
 	const reportWarnings = ({version, warnings}: RouteConfig): void => {
 		for (const reason of warnings.filter(warning => !loggedWarnings.has(warning)).slice(0, maxLoggedWarningCount)) {
 			log.record('warn', {
@@ -104,7 +110,7 @@
 
 		const decoded = decode(text);
 		if (decoded.isErr()) {
-			// Named once: whatever is in force stays so, whole.
+			// Logged once per text. The active configuration stays in force unchanged.
 			rejectedText = text;
 			log.record('error', {
 				kind: 'configuration-refused', version: holder.getVersion(), from: source, reason: decoded.error,
@@ -128,7 +134,7 @@
 		}
 	};
 
-	/** How long the store took; of a watch, most is the time until something changed. */
+	/** Logs how long a call took; for a watch, this is mostly the time until a change. */
 	const reportRead = (call: 'read' | 'watch', startedAt: number): void => {
 		log.record('info', {
 			kind: 'configuration-read', call, version: holder.getVersion(), tookMs: Math.round(readSteadyMs() - startedAt),
@@ -161,7 +167,7 @@
 		applyItems(read.value.items);
 		reportRead('read', startedAt);
 		health.recordSuccess();
-		// A store without a configuration tells nothing of what others have.
+		// A store without a configuration does not disprove the newer versions that other nodes report.
 		if (read.value.items.length > 0) {
 			handleRead(startedAt);
 		}
@@ -204,7 +210,7 @@
 		}
 	};
 
-	/** Once the first configuration is there, waits for what the other nodes say of who watches. */
+	/** Waits once, after the first configuration, until heartbeats have shown which other nodes watch the store. */
 	const delayStartup = async (): Promise<void> => {
 		if (!hasDelayedStartup && holder.get() !== undefined) {
 			hasDelayedStartup = true;
@@ -215,7 +221,7 @@
 	return {
 		async run() {
 			while (!disposed.signal.aborted) {
-				// Whatever a node is, it reads the configuration once at its start: nobody may be there to hand it over.
+				// Every node reads the configuration once at its start, since there may be no other node to get it from.
 				setFollowing(shouldFollow());
 				if (isFollowing || holder.get() === undefined) {
 					await (position === undefined ? readConfig() : watchOnce(position));
--- a/src/lib/sync/crash-entries.test.ts
+++ b/src/lib/sync/crash-entries.test.ts
@@ -18,7 +18,7 @@
 	crash: computeCrashKey({id: toBackendServerId('i-1'), startedAt}), fingerprints: [getFingerprint('/fatal'), getFingerprint('/beside')],
 });
 
-/** A store that several nodes share. */
+/** Fake store that several nodes share. */
 type SharedStore = {readonly items: Map<string, string>; isUnavailable: boolean; writeCount: number};
 
 const createStore = (): SharedStore => ({items: new Map(), isUnavailable: false, writeCount: 0});
@@ -38,7 +38,7 @@
 	const entries = createCrashEntries({
 		store: {
 			async grantLease() {
-				return store.isUnavailable ? err({type: 'unknown', reason: 'away'}) : ok({era: 1, id: 7});
+				return store.isUnavailable ? err({type: 'unknown', reason: 'store is down'}) : ok({era: 1, id: 7});
 			},
 			async putItem(key, value) {
 				store.writeCount++;
@@ -46,7 +46,7 @@
 				return ok(position);
 			},
 			async listItems() {
-				return store.isUnavailable ? err({type: 'unavailable', reason: 'away'}) : ok({items: listStore(store), position});
+				return store.isUnavailable ? err({type: 'unavailable', reason: 'store is down'}) : ok({items: listStore(store), position});
 			},
 		},
 		log: silentLog,
@@ -67,11 +67,11 @@
 	setImmediate(resolve);
 });
 
-/** Crashes of which a node has heard that a request was in work at them. */
+/** Lists the crashes at which a request was in flight, as received by one node. */
 const listCrashes = ({handled}: Fixture, target: string): readonly string[] =>
 	[...new Set(handled.filter(({fingerprint}) => fingerprint === getFingerprint(target)).flatMap(({crashes}) => crashes))].toSorted();
 
-test('a node that tells of a crash knows at once of those that others told of, and they know with their next list', async () => {
+test('a node reads the crashes of other nodes immediately when it publishes one, and otherwise with the next list', async () => {
 	const store = createStore();
 	const [first, second] = [createFixture(store), createFixture(store)];
 	const reports = [createReport(1), createReport(2)] as const;
@@ -84,7 +84,7 @@
 	assert.deepEqual(listCrashes(first, '/beside'), both);
 });
 
-test('a crash that the store did not take, or lost when it came back from a copy, is written with the next list; an old one is not', async ({mock}: TestContext) => {
+test('an entry that could not be written, or was lost in a restore from a backup, is written at the next reconcile, but not once it has expired', async ({mock}: TestContext) => {
 	let now = 0;
 	mock.method(performance, 'now', () => now);
 	const store = createStore();
@@ -98,7 +98,7 @@
 	assert.equal(store.items.size, 1);
 	entries.reconcile([]);
 	await waitForWrites();
-	assert.equal(store.writeCount, 1, 'an entry that a stale list lacks was written again');
+	assert.equal(store.writeCount, 1, 'an entry that was missing from a stale list was written again');
 
 	store.items.clear();
 	entries.handleRestored();
@@ -114,7 +114,7 @@
 	assert.equal(store.items.size, 0);
 });
 
-test('an entry of another writer is refused with its place, and the others count', () => {
+test('an invalid entry is refused with its key, and the valid ones are handled', () => {
 	const fixture = createFixture(createStore());
 	const {crash, fingerprints} = createReport(1);
 	const good = JSON.stringify(fingerprints);
--- a/src/lib/sync/crash-entries.ts
+++ b/src/lib/sync/crash-entries.ts
@@ -1,9 +1,9 @@
 /**
- * Tells of crashes of backend servers through the store, one entry a crash.
- * Nodes tell one another faster. Those that a cut keeps from doing so would
- * count the crashes of each side apart, and let a request end three servers on
- * each: nodes that reach the store hold the bound together, and know after all
- * of them were killed at once.
+ * Shares crashes of backend servers through the store, one entry per crash.
+ * Heartbeats between nodes are faster, but a network partition blocks them:
+ * each side would then count its own crashes, and a request could crash three
+ * backend servers on each. The nodes that reach the store enforce the limit
+ * together, and still know the crashes after all nodes were killed at once.
  *
  * @module
  */
@@ -23,32 +23,32 @@
 	readonly store: Pick<MeshStore, 'putItem' | 'grantLease' | 'listItems'>;
 	readonly log: MeshLog;
 	readonly refusals: Refusals;
-	/** Told of what the store holds. */
+	/** Called with the records from the store, if there are any. */
 	readonly handleRecords: (records: readonly SuspectRecord[]) => void;
 };
 
 /** @internal */
 export type CrashEntries = {
-	/** Takes the entries as they stand, and writes those of this node that are missing. */
+	/** Handles the listed entries, and retries those of this node that are not written. */
 	readonly reconcile: (items: readonly StoreItem[]) => void;
-	/** Writes an entry, and looks for those of other nodes at once: the next request on trial would not wait for it. */
+	/** Writes an entry, and lists those of other nodes immediately, since the next trial request may be sent before the next regular list. */
 	readonly publish: (report: CrashReport) => Promise<void>;
-	/** The store came back from a copy: what was written may be missing. */
+	/** Must be called when the store was restored from a backup. Marks all entries of this node as not written. */
 	readonly handleRestored: () => void;
 };
 
-/** Where crashes are told. @internal */
+/** Prefix of the keys of crash entries. @internal */
 export const crashPrefix = 'stonemoor/crashes/';
 
-/** An entry ends after this. Milliseconds: as long as nodes remember what was in work at one crash. */
+/** TTL of an entry: the time for which nodes remember the requests in flight at a crash. */
 const entryTtlMs = 60_000;
 
 /** An entry of this node. */
 type OwnEntry = {readonly report: CrashReport; readonly createdAt: number; isWritten: boolean};
 
 /**
- * @param context - The store, and who is told.
- * @returns Entries, none written yet.
+ * @param context - The store, the logs, and the handler of records.
+ * @returns The crash entries, without any of this node.
  * @internal
  */
 export function createCrashEntries({store, log, refusals, handleRecords}: CrashEntriesContext): CrashEntries {
@@ -59,7 +59,7 @@
 			const name = key.slice(crashPrefix.length);
 			const crash = parseCrashKey(name);
 			if (crash === undefined) {
-				throw new FieldError('key', name, 'the name of a crash');
+				throw new FieldError('key', name, 'the key of a crash');
 			}
 
 			return toSuspectRecords(decodeCrashReport(crash, value, 'value'));
@@ -111,7 +111,7 @@
 			ownEntries.set(report.crash, entry);
 			await write(entry);
 			const read = await store.listItems(crashPrefix, {mayBeStale: false});
-			// Without an answer the next list tells.
+			// If this list fails, the next regular one returns the entries.
 			handleItems(read.map(({items}) => items).unwrapOr([]));
 		},
 		handleRestored() {
--- a/src/lib/sync/node-entry-tracker.test.ts
+++ b/src/lib/sync/node-entry-tracker.test.ts
@@ -22,7 +22,7 @@
 
 const createItem = (key: string, value: string, revision = 1): StoreItem => ({key, value, revision});
 
-test('an entry that names no address is told once, and the others hold', () => {
+test('an entry without a valid address is reported once, and the other entries are used', () => {
 	const tracker = createTracker();
 	const items = ['nowhere', '', '127.0.0.1:0', '\uFFFD', '{"a":1}'].map((value, index) => createItem(`k${index}`, value));
 	for (let check = 0; check < 50; check++) {
@@ -35,7 +35,7 @@
 	assert.equal(tracker.refused.length, items.length + 1);
 });
 
-test('an address at which nobody answers is greeted for a while, and again once its entry is written anew', () => {
+test('an address without an answer is contacted for a limited time, and again after its entry is rewritten', () => {
 	const tracker = createTracker();
 	const count = (revision: number, from: number): number => {
 		let contactCount = 0;
@@ -51,7 +51,7 @@
 	assert.deepEqual(tracker.refused.map(({cause}) => cause), ['no-answer', 'no-answer']);
 });
 
-test('an address at which a node has answered is greeted for as long as its entry stands', () => {
+test('an address at which a node has answered is contacted for as long as its entry exists', () => {
 	const known = new Set(['10.0.0.2:1']);
 	const tracker = createTracker(known);
 	const item = createItem('k', '10.0.0.2:1');
@@ -61,7 +61,7 @@
 	assert.deepEqual(tracker.refused, []);
 });
 
-test('property: whatever stands in the store, the entries of nodes are greeted', () => {
+test('property: whatever other entries the store holds, the entries of nodes are contacted', () => {
 	const other = fc.record({key: fc.string(), value: fc.oneof(fc.string(), fc.constantFrom('127.0.0.1:0', '1.2.3.4:5:6', '[::]:')), revision: fc.nat()});
 	fc.assert(fc.property(fc.array(other), items => {
 		assert.ok(createTracker().update([...items, createItem('stonemoor/nodes/n2', '10.0.0.2:1')], 1, 0).includes('10.0.0.2:1' as Address));
--- a/src/lib/sync/node-entry-tracker.ts
+++ b/src/lib/sync/node-entry-tracker.ts
@@ -1,7 +1,8 @@
 /**
- * Which entries of the store are worth a greeting. Anybody who reaches the
- * store may write under the prefix of the nodes: an entry that names no
- * address, or one at which nobody answers, costs little and is told once.
+ * Tracks the entries of nodes in the store, and selects the addresses to
+ * contact. Any client of the store can write under the prefix of the nodes, so
+ * an entry without a valid address, or whose address does not answer, must cost
+ * little; it is reported once.
  *
  * @module
  */
@@ -14,28 +15,27 @@
 
 /** @internal */
 export type NodeEntryTrackerContext = {
-	/** Whether a node takes heartbeats at an address. */
+	/** Returns whether a known node receives heartbeats at an address. */
 	readonly isKnown: (address: Address) => boolean;
 	readonly refusals: Refusals;
 };
 
 /** @internal */
 export type NodeEntryTracker = {
-	/** Takes all entries of nodes as they stand in an era of the store; yields the addresses that are to be greeted. */
+	/** Updates the tracked entries to a complete list from an era of the store, and returns the addresses to contact. */
 	readonly update: (items: readonly StoreItem[], era: StoreEra, now: number) => readonly Address[];
 };
 
 /**
- * For how long an address is greeted at which nobody has answered since its entry was written. Milliseconds: longer than nodes are cut off from one another
- * and from each other's greetings, at one datagram every few seconds; a node that starts again writes its entry anew. One that has answered is greeted for as
- * long as its entry stands.
+ * Time for which an address without an answer is contacted, from when its entry is first seen at its current revision. Longer than network partitions between nodes
+ * last; the cost is one datagram every few seconds. A node that restarts rewrites its entry. An address that has answered is contacted for as long as its entry exists.
  */
 const unansweredContactMs = 300_000;
 
-/** Addresses that are greeted at once at the most: several times the largest mesh that starts at once. */
+/** Maximum number of addresses contacted per update: several times the size of the largest mesh that starts at once. */
 const maxContactCount = 2000;
 
-/** What is known of an entry since it was last written. */
+/** State of an entry at one revision. */
 type Entry = {
 	readonly revision: number;
 	readonly firstSeenAt: number;
@@ -44,13 +44,13 @@
 };
 
 /**
- * @param context - Who is known, and who is told of entries that are of no use.
- * @returns A book of no entries.
+ * @param context - The known addresses, and the log of refused entries.
+ * @returns A tracker without entries.
  * @internal
  */
 export function createNodeEntryTracker({isKnown, refusals}: NodeEntryTrackerContext): NodeEntryTracker {
 	let entries: ReadonlyMap<string, Entry> = new Map();
-	/** Revisions tell entries apart within one. */
+	/** Era of the tracked entries; revisions are comparable only within one. */
 	let entriesEra: StoreEra | undefined;
 
 	const getEntry = ({key, revision}: StoreItem, now: number): Entry => {
--- a/src/lib/sync/registration.test.ts
+++ b/src/lib/sync/registration.test.ts
@@ -9,23 +9,23 @@
 import {createStoreHealth} from './store-health.js';
 
 type Fixture = {
-	/** Calls by name, since the start. */
+	/** Number of calls to the store by name. */
 	readonly counts: Map<string, number>;
-	/** Whether the entry of the node stands in the store. */
+	/** Returns whether the store holds the entry of the node. */
 	readonly hasEntry: () => boolean;
-	/** The store is away, and all leases end meanwhile. */
+	/** Makes the store unavailable, and ends all leases. */
 	readonly stopStore: () => void;
 	readonly startStore: () => void;
 	readonly advance: (milliseconds: number) => Promise<void>;
 	readonly withdraw: () => Promise<void>;
-	/** Holds the answers to writes back until the function that it yields is called. */
+	/** Delays the answers to writes until the returned function is called. */
 	readonly delayAnswers: () => () => void;
 };
 
-/** Where the store's history stands. */
+/** Current position of the store. */
 const at = {era: 1, revision: 9} as const;
 
-/** A node that registers, among so many others, under a clock that the test advances. */
+/** Starts the registration of a node among other nodes, with a clock that the test advances. */
 function startFixture(context: TestContext, peers: number, {isFollowing = false, silent = 0} = {}): Fixture {
 	context.mock.timers.enable({apis: ['setTimeout']});
 	let now = 0;
@@ -35,11 +35,11 @@
 	let nextLease = 1;
 	let entryLease: number | undefined;
 	let isUnavailable = false;
-	/** Settles when a write is answered; at once unless a test holds it back. */
+	/** Resolves when writes may be answered. */
 	let answered: Promise<void> = Promise.resolve();
 	const call = <Value>(name: string, answer: () => Value) => {
 		counts.set(name, (counts.get(name) ?? 0) + 1);
-		return isUnavailable ? err({type: 'unavailable' as const, reason: 'away'}) : ok(answer());
+		return isUnavailable ? err({type: 'unavailable' as const, reason: 'store is down'}) : ok(answer());
 	};
 
 	const hasEntry = (): boolean => entryLease !== undefined && leases.has(entryLease);
@@ -99,7 +99,7 @@
 	};
 }
 
-test('in a large mesh a node mostly renews its lease, which is all that it asks of the store', async context => {
+test('in a large mesh, almost all calls to the store are lease renewals', async context => {
 	const {counts, hasEntry, advance} = startFixture(context, 194);
 	await advance(30_000);
 	assert.equal(hasEntry(), true);
@@ -109,7 +109,7 @@
 	assert.ok((counts.get('list') ?? 0) <= 2);
 });
 
-test('in a small mesh the lease is renewed every four seconds, and nodes are listed as often', async context => {
+test('in a small mesh, the lease is renewed and the nodes are listed every four seconds', async context => {
 	const {counts, advance} = startFixture(context, 12);
 	await advance(30_000);
 	assert.ok((counts.get('renew') ?? 0) >= 6);
@@ -117,7 +117,7 @@
 	assert.equal(counts.get('grant'), 1);
 });
 
-test('in a large mesh a node that watches the store for others, and misses some, lists what they may have left there every two seconds, and renews its lease in between', async context => {
+test('in a large mesh, a relay that does not hear from some nodes lists the store every two seconds, and renews its lease in between', async context => {
 	const {counts, advance} = startFixture(context, 194, {isFollowing: true, silent: 3});
 	await advance(30_000);
 	assert.ok((counts.get('list') ?? 0) >= 13);
@@ -125,11 +125,11 @@
 });
 
 for (const [name, peers, downMs] of [
-	['long', 194, 9000],
-	['so short that no call failed', 194, 200],
-	['long, in a small mesh', 12, 9000],
+	['large mesh, long outage', 194, 9000],
+	['large mesh, outage too short for a failed call', 194, 200],
+	['small mesh, long outage', 12, 9000],
 ] as const) {
-	test(`an entry that lapsed while the store was away is back within two seconds of its return: ${name}`, async context => {
+	test(`an entry that expired during an outage of the store is rewritten within two seconds after it: ${name}`, async context => {
 		const {hasEntry, stopStore, startStore, advance} = startFixture(context, peers);
 		await advance(5000);
 		assert.equal(hasEntry(), true);
@@ -142,7 +142,7 @@
 	});
 }
 
-test('an entry that was written, but not answered, when the node withdrew does not stay', async context => {
+test('an entry whose write was not answered yet when the node withdrew is removed', async context => {
 	const {hasEntry, withdraw, delayAnswers, advance} = startFixture(context, 12);
 	const release = delayAnswers();
 	await advance(100);
--- a/src/lib/sync/registration.ts
+++ b/src/lib/sync/registration.ts
@@ -1,7 +1,7 @@
 /**
- * Keeps this node's address in the store, under a lease, and finds the
- * addresses of the others there. Only addresses are kept: whatever changes is
- * told by heartbeats.
+ * Keeps the address of this node in the store, under a lease, and reads the
+ * addresses of the other nodes from it. The store holds only addresses; nodes
+ * send everything that changes in heartbeats.
  *
  * @module
  */
@@ -22,67 +22,71 @@
 	readonly gossip: Address;
 	readonly log: MeshLog;
 	readonly random: () => number;
-	/** Whether others rely on what this node hears from the store. */
+	/** Returns whether this node watches the store for other nodes. */
 	readonly isFollowing: () => boolean;
-	/** Other nodes that are known now. */
+	/** Returns the number of other nodes that are known. */
 	readonly countPeers: () => number;
-	/** Nodes that were heard once and have fallen silent. */
+	/** Returns the number of nodes whose heartbeats have stopped. */
 	readonly countSilent: () => number;
-	/** Whether a node takes heartbeats at an address. */
+	/** Returns whether a known node receives heartbeats at an address. */
 	readonly isKnown: (address: Address) => boolean;
 	readonly refusals: Refusals;
-	/** Told of the addresses at which other nodes may listen. */
+	/** Called after each list with the addresses of other nodes to contact. */
 	readonly handleAddresses: (addresses: readonly Address[]) => void;
-	/** Told of what else the mesh keeps in the store, each time that all of it was listed. */
+	/** Called after each list with the entries of the mesh other than those of nodes. */
 	readonly handleOtherItems: (items: readonly StoreItem[]) => void;
 };
 
 /** @internal */
 export type Registration = {
+	/** Registers this node and keeps its entry until `dispose` is called. */
 	readonly run: () => Promise<void>;
-	/** Looks at the store soon: it may have lost this node's entry. All nodes do at once, so each waits for a moment of its own. */
+	/** Checks the store soon, since it may have lost the entry of this node. Waits for a random delay, since all nodes do this at the same time. */
 	readonly checkSoon: () => void;
-	/** Takes this node's address out of the store. */
+	/** Removes the entry of this node from the store, and stops registering it. */
 	readonly withdraw: () => Promise<void>;
 	readonly dispose: () => void;
 };
 
-/** Where the mesh keeps what lasts. It is listed whole: a second list would be a second call, and what stands beside the addresses is little. */
+/** Prefix of all keys of the mesh. All are listed in one call, since the entries other than addresses are few. */
 const meshPrefix = 'stonemoor/';
 
-/** Where nodes keep their addresses. */
+/** Prefix of the keys with the addresses of nodes. */
 const nodePrefix = `${meshPrefix}nodes/`;
 
-/** Milliseconds after which the address of a node that is gone disappears. */
+/** TTL of the entry of a node that ended without withdrawing. */
 const leaseTtlMs = 12_000;
 
-/** Nodes that are listed at each look. In a larger mesh a node lists all others less often, and renews its lease in between: newcomers tell the others of themselves, so that a list only mends what was missed. */
+/**
+ * Number of listed nodes per check, on average. In a larger mesh, a node lists the others less often and renews its lease in between: new nodes contact the others
+ * themselves, so a list only recovers what was missed.
+ */
 const listedNodesPerCheck = 13;
 
-/** Of so many looks at the least one lists and the others renew the lease, so that it is renewed every four seconds in the smallest mesh: two may fail before it ends. */
+/** Minimum number of checks per list. The other checks renew the lease, so it is renewed at least every four seconds, and two renewals may fail before it expires. */
 const minChecksPerList = 2;
 
 /**
- * Milliseconds between two looks at the store. Most renew the lease, which costs no more than a stale read, shows whether the store is reached, and finds
- * the lease ended soon enough to put this node's entry back within two seconds.
+ * Interval between checks of the store on a node that watches it for others. Most checks renew the lease, which costs no more than a stale read, shows whether the
+ * store is reachable, and detects an expired lease early enough to rewrite the entry of this node within two seconds.
  */
 const relayCheckIntervalMs = 1000;
 
-/** Milliseconds between two looks of a node on which nobody relies. */
+/** Interval between checks on other nodes. */
 const checkIntervalMs = 2000;
 
-/** When all nodes write their entries anew, they do so over this many milliseconds for each node: two writes each, at the 400 a second that the users' smallest stores take. */
+/** Jitter per node of the mesh when all nodes may rewrite their entries. Each node needs two writes, and the smallest stores accept 400 writes per second. */
 const jitterPerNodeMs = 5;
 
-/** The same over all nodes at the most: entries have to be back within two seconds. */
+/** Upper bound of this jitter, since entries must be rewritten within two seconds. */
 const maxJitterMs = 1000;
 
-/** Milliseconds between two tries to reach a store that does not answer. */
+/** Delay before a retry after a failed call. */
 const retryDelayMs = 400;
 
 /**
- * @param context - The store and who this is.
- * @returns The registration, not running yet.
+ * @param context - The store, this node, and callbacks.
+ * @returns The registration; `run` starts it.
  * @internal
  */
 export function createRegistration(context: RegistrationContext): Registration {
@@ -90,7 +94,7 @@
 	const disposed = new AbortController();
 	const key = `${nodePrefix}${self}`;
 	const entries = createNodeEntryTracker({isKnown, refusals});
-	/** The lease of the own entry, and where in the store's history the entry was written: a read from before it may miss the entry. */
+	/** Lease of the entry of this node, and the position of its write: a read from an earlier position may not include the entry. */
 	let ownEntry: {readonly lease: StoreLease; readonly writtenAt: StorePosition} | undefined;
 	let checkCount = 0;
 	let isWithdrawn = false;
@@ -98,13 +102,13 @@
 	const register = async (reason: string): Promise<boolean> => {
 		const granted = await store.grantLease(leaseTtlMs);
 		if (granted.isErr()) {
-			health.recordFailure('take a lease', describeError(granted.error));
+			health.recordFailure('grant a lease', describeError(granted.error));
 			return false;
 		}
 
 		const put = await store.putItem(key, gossip, granted.value);
 		if (isWithdrawn && put.isOk()) {
-			// The node has withdrawn meanwhile, and there was no entry to take out yet.
+			// `withdraw` was called during the write, and had no entry to remove yet.
 			await store.removeItem(key, put.value);
 			return true;
 		}
@@ -132,9 +136,9 @@
 		}
 
 		health.recordSuccess();
-		// A node that is shutting down has given its lease up meanwhile, and no other.
+		// `withdraw` may have removed the entry during the call.
 		if (!renewed.value && ownEntry === entry) {
-			handleEntryLost('the store says that the lease has ended, or has come back from a copy');
+			handleEntryLost('the lease has expired, or the store was restored from a backup');
 		}
 
 		return true;
@@ -146,7 +150,7 @@
 		}
 
 		if (position.era !== ownEntry.lease.era) {
-			handleEntryLost('the store has come back from a copy');
+			handleEntryLost('the store was restored from a backup');
 			return;
 		}
 
@@ -171,7 +175,7 @@
 		return true;
 	};
 
-	/** Ends the pause between two looks early. */
+	/** Ends the pause before the next check early. */
 	let pauseAbort = new AbortController();
 	let isCheckRequested = false;
 
@@ -187,7 +191,7 @@
 		}
 	};
 
-	/** What silent nodes would have told may stand in the store: a cut leaves no other way. */
+	/** Returns the number of checks per list. Lists most often while heartbeats of some nodes are missing: during a network partition, these nodes can share data only through the store. */
 	const countChecksPerList = (): number => countSilent() > 0 ? minChecksPerList : Math.max(minChecksPerList, Math.ceil((countPeers() + 1) / listedNodesPerCheck));
 
 	const isListDue = (): boolean => checkCount % countChecksPerList() === 0;
@@ -199,7 +203,7 @@
 		}
 
 		checkCount++;
-		return ownEntry !== undefined || isWithdrawn || register(isFirst ? 'start' : 'the entry was gone');
+		return ownEntry !== undefined || isWithdrawn || register(isFirst ? 'start' : 'the entry was missing');
 	};
 
 	return {
--- a/src/lib/sync/relay-duty.test.ts
+++ b/src/lib/sync/relay-duty.test.ts
@@ -12,43 +12,43 @@
 
 const createDomain = (count: number): readonly DomainNode[] => Array.from({length: count}, (_, index) => createNode(`n${String(index).padStart(3, '0')}`));
 
-/** Names of the nodes that watch, when each decides by what all others say; the relays of the first round say so in the second. */
+/** Names of the relays when each node decides by the reports of all others. Two rounds, since the second one sees the relays of the first. */
 function listRelays(nodes: readonly DomainNode[], domains = 1): readonly string[] {
 	const decide = (all: readonly DomainNode[]): readonly DomainNode[] =>
 		all.map(self => ({...self, isFollowing: isRelay(self, all.filter(other => other !== self), domains)}));
 	return decide(decide(nodes)).filter(({isFollowing}) => isFollowing).map(({node}) => node);
 }
 
-test('every node of a small failure domain watches, four of a large one', () => {
+test('all nodes of a small failure domain are relays, and four of a large one', () => {
 	assert.equal(listRelays(createDomain(4)).length, 4);
 	assert.equal(listRelays(createDomain(25)).length, 4);
 	assert.equal(listRelays(createDomain(400)).length, 4);
 });
 
-test('the more failure domains there are, the fewer watch in each, and never fewer than two', () => {
+test('the number of relays per failure domain decreases with the number of failure domains, down to two', () => {
 	const count = (domains: number): number => listRelays(createDomain(25), domains).length;
 	assert.deepEqual([3, 4, 5, 40].map(domains => count(domains)), [4, 3, 2, 2]);
 });
 
-test('nodes with large links go first', () => {
+test('nodes with faster links are preferred as relays', () => {
 	const nodes = createDomain(25).map((node, index) => index === 20 || index === 24 ? {...node, linkMbps: 140} : node);
 	assert.deepEqual(listRelays(nodes).slice(-2), ['n020', 'n024']);
 });
 
-test('a node that the store turns away gives the duty to the next', () => {
+test('a node without access to the store is replaced by the next', () => {
 	const nodes = createDomain(25).map((node, index) => index < 3 ? {...node, storeSeenMs: undefined} : node);
 	const relays = listRelays(nodes);
 	assert.deepEqual(relays.filter(name => name >= 'n003'), ['n003', 'n004', 'n005', 'n006']);
 });
 
-test('a node that hears of no fresh watcher asks the store itself', () => {
+test('a node without a fresh relay among the others becomes a relay itself', () => {
 	const self = createNode('n900');
 	const others = createDomain(10).map(node => ({...node, isFollowing: true}));
 	assert.equal(isRelay(self, others, 1), false);
 	assert.equal(isRelay(self, others.map(node => ({...node, storeSeenMs: 1650})), 1), true);
 	assert.equal(isRelay(self, others.map(node => ({...node, isFollowing: false})), 1), true);
 	assert.equal(isRelay(self, [], 1), true);
-	// In a domain so large that watchers are heard every 1.2 s, that is no reason to ask.
+	// In a failure domain so large that heartbeats arrive every 1.2 s, older reports still count as fresh.
 	const seldom = others.map(node => ({
 		...node, storeSeenMs: 1100, heardMsAgo: 1150, periodMs: 1200,
 	}));
@@ -56,7 +56,7 @@
 	assert.equal(isRelay(self, seldom.map(node => ({...node, heardMsAgo: 1500})), 1), true);
 });
 
-test('property: among nodes that reach the store somebody watches, and never all of a large domain', () => {
+test('property: if any node reaches the store, one of these is a relay, and there are at most eight relays', () => {
 	const node = fc.record({linkMbps: fc.constantFrom(7, 140), storeSeenMs: fc.constantFrom(undefined, 100, 900)});
 	fc.assert(fc.property(fc.array(node, {minLength: 12, maxLength: 30}), list => {
 		const nodes = list.map((changes, index) => createNode(`n${String(index).padStart(3, '0')}`, changes));
@@ -67,7 +67,7 @@
 	}));
 });
 
-/** The duty by its definition: who goes before this node, of all, and whether any watcher is fresh, of all. */
+/** Reference implementation: counts all nodes that precede this one, and looks for a fresh relay among all. */
 function isRelayByDefinition(self: DomainNode, others: readonly DomainNode[], relays: number): boolean {
 	const countBefore = (nodes: readonly DomainNode[]): number => nodes.filter(({linkMbps, node}) => linkMbps > self.linkMbps || (linkMbps === self.linkMbps && node < self.node)).length;
 	if (self.storeSeenMs === undefined) {
@@ -78,7 +78,7 @@
 	return countBefore(others.filter(({storeSeenMs}) => storeSeenMs !== undefined)) < relays || !others.some(other => isFresh(other));
 }
 
-test('property: looking at a few of the others yields what looking at all of them does', () => {
+test('property: the result is the same as that of the reference implementation, which does not return early', () => {
 	const node = fc.record({
 		linkMbps: fc.constantFrom(7, 140), storeSeenMs: fc.constantFrom(undefined, 100, 900, 1650), isFollowing: fc.boolean(), heardMsAgo: fc.constantFrom(20, 100, 900),
 	});
--- a/src/lib/sync/relay-duty.ts
+++ b/src/lib/sync/relay-duty.ts
@@ -1,41 +1,51 @@
 /**
- * Which nodes of a failure domain watch the store for the others: the decision
- * part. No promise rests on it. Every node decides for itself by what it has
- * heard; where two see it differently there are more watches or fewer, and a
- * node that hears of no fresh one asks the store itself.
+ * Selects the relays of a failure domain, the nodes that watch the store for
+ * the others. Each node decides for itself by the heartbeats that it has
+ * received, without I/O. Correctness does not depend on agreement: if nodes
+ * disagree, there are more or fewer watches, and a node without a fresh relay
+ * becomes one itself.
  *
  * @module
  */
 import {type NodeId} from '../common/ids.js';
 import {type NodeDuties} from '../peers/peer-report.js';
 
-/** A node of the own failure domain that was heard lately. @internal */
+/** A node of the same failure domain whose heartbeats arrive. @internal */
 export type DomainNode = Omit<NodeDuties, 'storeEra'> & {
 	readonly node: NodeId;
-	/** Milliseconds since it said so. */
+	/** Milliseconds since its last heartbeat. */
 	readonly heardMsAgo: number;
 	/** Milliseconds between its heartbeats. */
 	readonly periodMs: number;
 };
 
-/** Nodes of a failure domain that watch the store at the most. With four, one of them is left when the store turns a third of the nodes away in 98 of 100 domains, and where the domain is no larger every node watches. */
+/**
+ * Maximum number of relays per failure domain. With four, at least one still reaches the store in 98 of 100 failure domains when the store rejects a third of the
+ * nodes. In a failure domain of up to four nodes, all may be relays.
+ */
 const maxRelaysPerDomain = 4;
 
-/** The same at the least: while one finds out that the store turns it away, the other one watches. */
+/** Minimum number of relays per failure domain: while one relay detects that the store rejects it, the other still watches. */
 const minRelaysPerDomain = 2;
 
 /**
- * Nodes of the whole mesh that watch the store. Each change costs a call, and a whole configuration, for each of them, and what one domain
- * learns goes to the others. One of ten is left when the store turns half of the nodes away in 999 of 1,000 cases.
+ * Target number of relays in the mesh. Each change costs the store one call and one whole configuration per relay, and failure domains pass changes on to each other.
+ * With ten, at least one still reaches the store in 999 of 1,000 cases when the store rejects half of the nodes.
  */
 const relaysPerMesh = 10;
 
 const countRelays = (domains: number): number => Math.min(maxRelaysPerDomain, Math.max(minRelaysPerDomain, Math.ceil(relaysPerMesh / Math.max(1, domains))));
 
-/** A watcher that has heard from the store within this time has the newest configuration, or is about to. Milliseconds: the longest time between two looks at the store and a heartbeat, so that it is noticed before a change has to be in force. */
+/**
+ * Maximum age of a relay's last answer from the store: the longest interval between two checks of the store, plus a heartbeat period, so that a relay that has lost the
+ * store is detected before the deadline for applying a change. A relay within this age has the newest configuration, or is about to get it.
+ */
 const maxStoreAgeMs = 1700;
 
-/** Milliseconds between two heartbeats that are part of that time; in a domain so large that they come less often, what they add is granted as well: else all nodes would ask the store between two of them. */
+/**
+ * Heartbeat period included in that age. In a failure domain so large that its heartbeats are less frequent, the difference is added to the age: otherwise all nodes
+ * would call the store between two heartbeats.
+ */
 const usualHeartbeatPeriodMs = 400;
 
 const hasStoreAccess = ({storeSeenMs}: DomainNode): boolean => storeSeenMs !== undefined;
@@ -43,21 +53,23 @@
 const isFreshRelay = ({isFollowing, storeSeenMs, heardMsAgo, periodMs}: DomainNode): boolean =>
 	isFollowing && storeSeenMs !== undefined && storeSeenMs + heardMsAgo <= maxStoreAgeMs + Math.max(0, periodMs - usualHeartbeatPeriodMs);
 
-/** Large links first, since a whole configuration takes a quarter of a second over the smallest; then by name, which all see alike. */
+/** Orders nodes by link bandwidth, the highest first, since a whole configuration takes a quarter of a second over the slowest links; then by name, so that all nodes use the same order. */
 function compareNodes(left: DomainNode, right: DomainNode): number {
 	return right.linkMbps - left.linkMbps || (left.node < right.node ? -1 : 1);
 }
 
 /**
+ * Decides whether a node is a relay.
+ *
  * @param self - This node.
- * @param others - The other nodes of its failure domain that it hears. Of many, a few are looked at: nodes that go before this one, and one that watches.
- * @param domains - Failure domains of the mesh, this one included.
- * @returns Whether this node watches the store.
+ * @param others - The other nodes of its failure domain whose heartbeats arrive. Iteration stops once the result is certain, so only a few of many nodes are read.
+ * @param domains - Number of failure domains of the mesh, this one included.
+ * @returns Whether this node should watch the store.
  * @internal
  */
 export function isRelay(self: DomainNode, others: Iterable<DomainNode>, domains: number): boolean {
 	const relays = countRelays(domains);
-	// A node that the store turns away cannot help anybody now; the first ones go on trying, so that somebody notices at once when the store is back.
+	// A node without access to the store cannot serve as a relay. The first nodes in the order keep trying, so that the return of the store is detected immediately.
 	const canReachStore = hasStoreAccess(self);
 	let precedingCount = 0;
 	let hasFreshRelay = false;
--- a/src/lib/sync/store-health.ts
+++ b/src/lib/sync/store-health.ts
@@ -1,5 +1,5 @@
 /**
- * Whether this node reaches the store, as its own calls show it.
+ * Tracks whether this node reaches the store, by the results of its own calls.
  *
  * @module
  */
@@ -11,16 +11,16 @@
 	readonly recordSuccess: () => void;
 	readonly recordFailure: (call: string, reason: string) => void;
 	readonly isReachable: () => boolean;
-	/** Milliseconds since the store last answered; `undefined` if its last call failed. */
+	/** Returns the milliseconds since the last answer of the store; `undefined` if the last call failed. */
 	readonly getLastAnswerAgeMs: (now: number) => number | undefined;
-	/** When the store was last reached again after it had been lost, in steady milliseconds. */
+	/** Returns the time of the last recovery of the store, by `readSteadyMs`; 0 before the first. */
 	readonly getRecoveredAt: () => number;
 };
 
 /**
- * @param log - Told when the store is lost and when it is back.
- * @param handleRecovery - Called when it is back: what was missed meanwhile is unknown.
- * @returns The state of a store that was not called yet.
+ * @param log - Records the loss and the recovery of the store.
+ * @param handleRecovery - Called when the store answers again; changes may have been missed in between.
+ * @returns The health of the store, which counts as reachable until a call fails.
  * @internal
  */
 export function createStoreHealth(log: MeshLog, handleRecovery: () => void): StoreHealth {
--- a/src/lib/sync/suspect-entries.test.ts
+++ b/src/lib/sync/suspect-entries.test.ts
@@ -76,17 +76,17 @@
 	setImmediate(resolve);
 });
 
-test('an entry that was written is read by another node as it was', async context => {
+test('an entry written by one node is read unchanged by another', async context => {
 	const {entries, list} = createFixture(context);
 	entries.write([record]);
 	await waitForWrites();
 	const other = createFixture(context);
 	other.entries.reconcile(list());
 	assert.deepEqual(other.handled, [record]);
-	assert.equal(other.countCalls(), 0, 'an entry that is there was written again');
+	assert.equal(other.countCalls(), 0, 'an entry that the store holds was written again');
 });
 
-test('an entry that the store lost is written again, but not while a list may be older than it', async context => {
+test('an entry that the store lost is written again, but only once a stale list cannot be the reason', async context => {
 	const {entries, store, countCalls, setNow} = createFixture(context);
 	entries.write([record]);
 	await waitForWrites();
@@ -102,7 +102,7 @@
 	assert.equal(countCalls(), 4);
 });
 
-test('an entry of another writer is refused with its place, and the others count', context => {
+test('an invalid entry is refused with its key, and the valid ones are handled', context => {
 	const {entries, handled, refused} = createFixture(context, []);
 	const values = ['', '{}', '[1]', JSON.stringify(['short', 0, [], []]), JSON.stringify([record.fingerprint, -1, [], []]), JSON.stringify([record.fingerprint, 0, ['x'], []]), JSON.stringify(encodeSuspect(record))];
 	entries.reconcile(values.map((value, place) => ({key: `${suspectPrefix}${place}`, value, revision: place})));
--- a/src/lib/sync/suspect-entries.ts
+++ b/src/lib/sync/suspect-entries.ts
@@ -1,6 +1,7 @@
 /**
- * Keeps quarantined requests in the store, so that they outlive the end of all
- * nodes at once. Nodes tell one another faster; this is for those that start.
+ * Keeps quarantined requests in the store, so that they survive when all nodes
+ * end at once. Running nodes learn of them faster through heartbeats; the
+ * entries are for nodes that start.
  *
  * @module
  */
@@ -18,41 +19,41 @@
 	readonly log: MeshLog;
 	readonly refusals: Refusals;
 	readonly random: () => number;
-	/** Other nodes that are known now. */
+	/** Returns the number of other nodes that are known. */
 	readonly countPeers: () => number;
 	readonly listQuarantined: () => readonly SuspectRecord[];
-	/** Told of what the store holds. */
+	/** Called with the records from each list. */
 	readonly handleRecords: (records: readonly SuspectRecord[]) => void;
 };
 
 /** @internal */
 export type SuspectEntries = {
-	/** Takes the entries as they stand, and writes some of those that are missing. */
+	/** Handles the listed entries, and writes some of the missing ones. */
 	readonly reconcile: (items: readonly StoreItem[]) => void;
-	/** Writes entries at once. */
+	/** Writes entries immediately. */
 	readonly write: (records: readonly SuspectRecord[]) => void;
-	/** The store came back from a copy: what was written may be missing. */
+	/** Must be called when the store was restored from a backup, since entries may be missing. */
 	readonly handleRestored: () => void;
 };
 
-/** Where quarantined requests are kept. @internal */
+/** Prefix of the keys of quarantined requests. @internal */
 export const suspectPrefix = 'stonemoor/crashing/';
 
-/** An entry ends after this unless it is written anew. Milliseconds: the longest that stores grant; nodes that still hold the request write it again. */
+/** TTL of an entry: the longest that stores grant. After it, nodes that still quarantine the request write the entry again. */
 const entryTtlMs = 600_000;
 
-/** An entry that was written this long ago may be missing in a list that is a little old. Milliseconds. */
+/** Time after a write in which a missing entry is not written again, since a stale list may not include it yet. */
 const rewriteDelayMs = 10_000;
 
-/** Nodes that write a missing entry after a look of each, on average: one may fail. */
+/** Average number of nodes that write a missing entry when each node has listed the store once. Two, since one may fail. */
 const expectedWriterCount = 2;
 
-/** Entries that one look writes at the most: each is two calls on the store. */
+/** Maximum number of entries written after one list; each takes two calls to the store. */
 const maxWriteCount = 4;
 
 /**
- * @param context - The store and what is quarantined.
- * @returns Entries, none known yet.
+ * @param context - The store, the quarantined requests, and the handler of records.
+ * @returns The entries of quarantined requests.
  * @internal
  */
 export function createSuspectEntries(context: SuspectEntriesContext): SuspectEntries {
@@ -84,7 +85,7 @@
 		}
 	};
 
-	/** Forgets when those were written that are quarantined no more. */
+	/** Removes the write times of requests that are no longer quarantined. */
 	const removeOthers = (quarantined: ReadonlySet<Fingerprint>): void => {
 		for (const fingerprint of writtenAt.keys()) {
 			if (!quarantined.has(fingerprint)) {
