--- a/bench/experiment/entry.ts
+++ b/bench/experiment/entry.ts
@@ -9,9 +9,9 @@
 } from '../../src/lib/common/ids.js';
 import {toLifetimeKey} from '../../src/lib/common/server-lifetime.js';
 import {computeRank} from '../../src/lib/decisions/call-rank.js';
-import {mayAskAnother, planAttempt, type CallFacts} from '../../src/lib/decisions/plan-attempt.js';
+import {mayTryAnotherGate, planAttempt, type CallState} from '../../src/lib/decisions/plan-attempt.js';
 import {rankServers, type Candidate} from '../../src/lib/decisions/rank-servers.js';
-import {type RepeatReason} from '../../src/lib/decisions/retry-allowance.js';
+import {type RetryReason} from '../../src/lib/decisions/mesh-retry-budget.js';
 import {type ModelServer} from './model-server.js';
 import {type RequestKind} from './pattern.js';
 import {type World} from './world.js';
@@ -45,7 +45,7 @@
 			id, lifetime, node: toNodeId(`n${server.node}`), gate: toAddress('10.0.0.1:1'), domain: toFailureDomain(nodes[server.node]!.domain), isLocal, slots: server.slots, isCold: false,
 			view: isLocal
 				? {
-					...view, ...server.describe(), own: 0, ownThen: 0, heardAt: events.getNow(),
+					...view, ...server.describe(), ownInFlight: 0, ownInFlightAtReport: 0, reportedAt: events.getNow(),
 				}
 				: view,
 		};
@@ -65,21 +65,21 @@
 	const node = world.nodes[one.node]!;
 	const route = world.getRoute(kind.name);
 	const receivedAt = events.getNow();
-	const isAwaited = policy.areCallsKnown && node.awaited.note(kind.service, kind.name, kind.targetLatencyMs);
-	const ageMs = isAwaited ? 0 : node.returning.note(kind.name, one.leftMs);
+	const isAwaited = policy.areCallsKnown && node.awaited.recordCall(kind.service, kind.name, kind.targetLatencyMs);
+	const ageMs = isAwaited ? 0 : node.returning.recordCall(kind.name, one.leftMs);
 	const history = {tried: new Set<Candidate['lifetime']>(), full: new Set<Candidate['lifetime']>(), refusals: 0};
 	let arrivals = 0;
 	let soonestMs = Number.POSITIVE_INFINITY;
-	node.allowance.noteRequest(kind.service, isAwaited, receivedAt);
+	node.allowance.recordRequest(kind.service, isAwaited, receivedAt);
 
 	const measureLeft = (): number => Math.min(one.leftMs, kind.timeoutMs) - (events.getNow() - receivedAt);
 
 	const refuse = (waitMs: number, isFull: boolean): void => {
-		one.handleEnd({type: 'refused', comeBackMs: policy.computeComeBack({waitMs: Math.min(soonestMs, waitMs), targetLatencyMs: kind.targetLatencyMs, isFull}, random)});
+		one.handleEnd({type: 'refused', comeBackMs: policy.computeComeBack({waitMs: Math.min(soonestMs, waitMs), targetLatencyMs: kind.targetLatencyMs, isOverloaded: isFull}, random)});
 	};
 
-	const describeFacts = (): CallFacts => ({
-		targetLatencyMs: kind.targetLatencyMs, ageMs: ageMs + events.getNow() - receivedAt, leftMs: measureLeft(), isAwaited, isBulk: false,
+	const describeFacts = (): CallState => ({
+		targetLatencyMs: kind.targetLatencyMs, ageMs: ageMs + events.getNow() - receivedAt, leftMs: measureLeft(), isNestedCall: isAwaited, isBulk: false,
 	});
 
 	const step = (): void => {
@@ -102,9 +102,9 @@
 	const answer = (server: ModelServer, target: Candidate, handle: () => void): void => {
 		const wayMs = world.getWayMs(server.node, one.node);
 		events.schedule(wayMs, () => {
-			node.loads.end(target.lifetime);
-			node.loads.hear(target.lifetime, server.describe(), events.getNow());
-			node.loads.noteWay(target.lifetime, kind.name, wayMs * 2);
+			node.loads.recordEnd(target.lifetime);
+			node.loads.recordReport(target.lifetime, server.describe(), events.getNow());
+			node.loads.recordRoundTrip(target.lifetime, kind.name, wayMs * 2);
 			handle();
 		});
 	};
@@ -113,7 +113,7 @@
 		soonestMs = Math.min(soonestMs, retryAfterMs);
 		history.refusals++;
 		(mayWaitMs === 0 ? history.full : history.tried).add(target.lifetime);
-		if (mayAskAnother({isBulk: false}, history.refusals)) {
+		if (mayTryAnotherGate({isBulk: false}, history.refusals)) {
 			step();
 		} else {
 			refuse(retryAfterMs, true);
@@ -121,12 +121,12 @@
 	};
 
 	/** A server that was reached turned it away, or failed. */
-	const handleArrival = (target: Candidate, reason: Exclude<RepeatReason, 'call-turned-away'>): void => {
+	const handleArrival = (target: Candidate, reason: Exclude<RetryReason, 'call-turned-away'>): void => {
 		arrivals++;
 		history.tried.add(target.lifetime);
 		const mayRepeat = kind.mayRepeat || reason === 'turned-away';
 		const repeatReason = reason === 'turned-away' && isAwaited ? 'call-turned-away' : reason;
-		if (mayRepeat && arrivals < route.maxAttempts && node.allowance.take(kind.service, repeatReason, events.getNow())) {
+		if (mayRepeat && arrivals < route.maxAttempts && node.allowance.tryAcquire(kind.service, repeatReason, events.getNow())) {
 			step();
 		} else if (reason === 'turned-away') {
 			refuse(0, false);
@@ -173,7 +173,7 @@
 
 	const send = (target: Candidate, mayWaitMs: number): void => {
 		const server = servers.find(({id}) => id === target.id)!;
-		node.loads.begin(target.lifetime);
+		node.loads.recordStart(target.lifetime);
 		events.schedule(world.getWayMs(one.node, server.node), () => {
 			askServer(server, target, mayWaitMs);
 		});
--- a/bench/experiment/mesh-model.ts
+++ b/bench/experiment/mesh-model.ts
@@ -204,7 +204,7 @@
 		const report = server.describe();
 		for (const [index, node] of nodes.entries()) {
 			events.schedule(world.getWayMs(server.node, index), () => {
-				node.loads.hear(toLifetimeKey({id: toBackendServerId(server.id), startedAt: 0}), report, events.getNow());
+				node.loads.recordReport(toLifetimeKey({id: toBackendServerId(server.id), startedAt: 0}), report, events.getNow());
 			});
 		}
 
--- a/bench/experiment/model-server.ts
+++ b/bench/experiment/model-server.ts
@@ -5,7 +5,7 @@
  * @module
  */
 import {
-	admitToSlot, createSlotQueue, estimateWait, releaseToNext, removeQueued, type SlotQueue,
+	admitToQueue, createSlotQueue, estimateWaitMs, finishRequest, removeFromQueue, type SlotQueue,
 } from '../../src/lib/decisions/slot-queue.js';
 import {type EventQueue} from './event-queue.js';
 
@@ -46,7 +46,7 @@
 	const run = (request: GateRequest): void => {
 		const startedAt = events.getNow();
 		request.run(isAnswered => {
-			const step = releaseToNext(queue, isAnswered ? events.getNow() - startedAt : undefined, events.getNow());
+			const step = finishRequest(queue, isAnswered ? events.getNow() - startedAt : undefined, events.getNow());
 			queue = step.queue;
 			for (const {id} of step.started) {
 				const next = waiting.get(id);
@@ -62,8 +62,8 @@
 		const request = waiting.get(id);
 		if (request !== undefined) {
 			waiting.delete(id);
-			queue = removeQueued(queue, id);
-			request.handleFull(estimateWait(queue, request.rank));
+			queue = removeFromQueue(queue, id);
+			request.handleFull(estimateWaitMs(queue, request.rank));
 		}
 	};
 
@@ -73,7 +73,7 @@
 			const now = events.getNow();
 			const id = nextId++;
 			const waitUntil = Math.min(now + (request.mayWaitMs * patience), request.lastAt);
-			const step = admitToSlot(queue, {
+			const step = admitToQueue(queue, {
 				id, rank: request.rank, startBy: now + request.mayWaitMs, waitUntil,
 			}, now);
 			queue = step.queue;
@@ -90,8 +90,8 @@
 
 				case 'wait': {
 					waiting.set(id, request);
-					if (step.decision.displaced !== undefined) {
-						putOut(step.decision.displaced.id);
+					if (step.decision.evicted !== undefined) {
+						putOut(step.decision.evicted.id);
 					}
 
 					events.schedule(waitUntil - now, () => {
@@ -103,7 +103,7 @@
 
 			return () => {
 				if (waiting.delete(id)) {
-					queue = removeQueued(queue, id);
+					queue = removeFromQueue(queue, id);
 				}
 			};
 		},
--- a/bench/experiment/policy.ts
+++ b/bench/experiment/policy.ts
@@ -4,45 +4,46 @@
  *
  * @module
  */
-import {computeComeBack} from '../../src/lib/decisions/come-back.js';
-import {computeDistances} from '../../src/lib/decisions/distances.js';
+import {computeRetryAfterMs} from '../../src/lib/decisions/retry-after.js';
+import {computeRankingThresholds} from '../../src/lib/decisions/ranking-thresholds.js';
 import {
-	computeWait, standardRules, type CallFacts, type ComputeWait,
+	computeMaxWaitMs, standardRules, type CallState, type ComputeMaxWaitMs,
 } from '../../src/lib/decisions/plan-attempt.js';
 
 /** A set of rules. */
 export type Policy = {
 	readonly name: string;
-	readonly computeWait: ComputeWait;
+	readonly computeWait: ComputeMaxWaitMs;
 	/** Gates that are asked for a slot at once before one is asked to let a request wait. */
 	readonly immediateTries: number;
 	/** A request that was let wait is put out after so many times the wait that was expected. */
 	readonly patience: number;
 	/** Calls that servers make are told from other requests. */
 	readonly areCallsKnown: boolean;
-	readonly computeComeBack: typeof computeComeBack;
-	readonly computeDistances: typeof computeDistances;
+	readonly computeComeBack: typeof computeRetryAfterMs;
+	readonly computeDistances: typeof computeRankingThresholds;
 };
 
 /** Waits of a share of the objective, or of the time left if that is longer, whatever may come of them. */
-function computeShareWait({targetLatencyMs, ageMs, leftMs, isAwaited}: CallFacts): number {
+function computeShareWait({targetLatencyMs, ageMs, leftMs, isNestedCall: isAwaited}: CallState): number {
 	const inTimeMs = (targetLatencyMs * 0.3) - ageMs;
 	const leastMs = leftMs * (isAwaited ? 0.4 : 0.12);
 	return Math.min(Math.max(inTimeMs, leastMs), leftMs) * (ageMs >= targetLatencyMs ? 0.5 : 1);
 }
 
 /** Waits for as long as an answer can still be in time, however many slots come free meanwhile. */
-const computeInTimeWait: ComputeWait = (call, server) => call.isAwaited ? computeWait(call, server) : Math.max(0, call.targetLatencyMs - call.ageMs - (server.view.serviceMs * 1.25));
+const computeInTimeWait: ComputeMaxWaitMs = (call, server) => call.isNestedCall ? computeMaxWaitMs(call, server) : Math.max(0, call.targetLatencyMs - call.ageMs - (server.view.serviceMs * 1.25));
 
-const waitOnlyIfAwaited: ComputeWait = (call, server) => call.isAwaited ? computeWait(call, server) : 0;
+const waitOnlyIfAwaited: ComputeMaxWaitMs = (call, server) => call.isNestedCall ? computeMaxWaitMs(call, server) : 0;
 
 /** Calls that can be in time wait as they do; late ones may wait too. */
-const computeLateWait: ComputeWait = (call, server) => Math.max(computeWait(call, server), call.leftMs * 0.12);
+const computeLateWait: ComputeMaxWaitMs = (call, server) => Math.max(computeMaxWaitMs(call, server), call.leftMs * 0.12);
 
-const delayByShare = (share: number): typeof computeComeBack => ({waitMs, targetLatencyMs}, random) => Math.max(waitMs, targetLatencyMs * share) * (1 + (0.5 * random()));
+const delayByShare = (share: number): typeof computeRetryAfterMs => ({waitMs, targetLatencyMs}, random) => Math.max(waitMs, targetLatencyMs * share) * (1 + (0.5 * random()));
 
 const standard: Policy = {
-	name: 'standard', computeWait, immediateTries: standardRules.immediateTries, patience: 2, areCallsKnown: true, computeComeBack, computeDistances,
+	name: 'standard', computeWait: computeMaxWaitMs, immediateTries: standardRules.immediateTries, patience: 2, areCallsKnown: true,
+	computeComeBack: computeRetryAfterMs, computeDistances: computeRankingThresholds,
 };
 
 /** Every set of rules that is compared, the product's own first. */
@@ -59,6 +60,6 @@
 	{...standard, name: 'calls of servers not known', areCallsKnown: false},
 	{...standard, name: 'back after 0.15 objectives', computeComeBack: delayByShare(0.15)},
 	{...standard, name: 'back after 2 objectives', computeComeBack: delayByShare(2)},
-	{...standard, name: 'every millisecond counts', computeDistances: (...facts) => ({...computeDistances(...facts), soonEnoughMs: 0})},
-	{...standard, name: 'distance does not count', computeDistances: (...facts) => ({...computeDistances(...facts), otherNodeMs: 0, crossDomainMs: 0})},
+	{...standard, name: 'every millisecond counts', computeDistances: (...facts) => ({...computeRankingThresholds(...facts), fastEnoughMs: 0})},
+	{...standard, name: 'distance does not count', computeDistances: (...facts) => ({...computeRankingThresholds(...facts), otherNodePenaltyMs: 0, crossDomainPenaltyMs: 0})},
 ];
--- a/bench/experiment/quarantine-curve.ts
+++ b/bench/experiment/quarantine-curve.ts
@@ -14,8 +14,8 @@
 import {mean} from 'simple-statistics';
 import {toBackendServerId} from '../../src/lib/common/ids.js';
 import {computeFingerprint, type Fingerprint} from '../../src/lib/quarantine/fingerprint.js';
-import {createQuarantineLedger, type QuarantineLedger} from '../../src/lib/quarantine/ledger.js';
-import {createRecentAnswers, type RecentAnswers} from '../../src/lib/quarantine/recent-answers.js';
+import {createSuspectTable, type SuspectTable} from '../../src/lib/quarantine/suspect-table.js';
+import {createRecentResponses, type RecentResponses} from '../../src/lib/quarantine/recent-responses.js';
 import {computeCrashKey} from '../../src/lib/quarantine/suspect-record.js';
 
 /** @internal */
@@ -71,8 +71,8 @@
 }
 
 type World = {
-	readonly ledger: QuarantineLedger;
-	readonly answers: RecentAnswers;
+	readonly ledger: SuspectTable;
+	readonly answers: RecentResponses;
 	readonly servers: Server[];
 	readonly random: () => number;
 	readonly tally: Tally;
@@ -81,7 +81,7 @@
 function endServer({ledger, answers, servers, tally}: World, server: Server, now: number): void {
 	const accused = server.work.filter(({page}) => !answers.has(page, now));
 	const key = computeCrashKey({id: toBackendServerId(`i-${servers.indexOf(server)}`), startedAt: server.starts});
-	ledger.accuse(accused.map(({page}) => getFingerprint(page)), key, now);
+	ledger.recordCrash(accused.map(({page}) => getFingerprint(page)), key, now);
 	for (const {page, isGuilty} of server.work) {
 		if (isGuilty) {
 			tally.ended[Number(page.split('-')[1])]!++;
@@ -100,7 +100,7 @@
 		}
 
 		for (const {page} of server.work.filter(({endsAt}) => endsAt <= now)) {
-			world.answers.note(page, now);
+			world.answers.record(page, now);
 			world.ledger.clear(getFingerprint(page), now);
 		}
 
@@ -110,7 +110,7 @@
 
 function ask(world: World, page: string, isGuilty: boolean, now: number): void {
 	const {ledger, servers, random, tally} = world;
-	const judgement = ledger.judge(getFingerprint(page), now);
+	const judgement = ledger.check(getFingerprint(page), now);
 	const isBusy = judgement.type === 'trial' && servers.some(({work}) => work.some(one => one.page === page));
 	tally.asked += isGuilty ? 0 : 1;
 	if (judgement.type === 'refused' || isBusy) {
@@ -127,7 +127,7 @@
 	const random = randomLcg(seed);
 	const tally: Tally = {asked: 0, held: 0, ended: Array.from({length: culprits}, () => 0)};
 	const world: World = {
-		ledger: createQuarantineLedger(), answers: createRecentAnswers(), random, tally,
+		ledger: createSuspectTable(), answers: createRecentResponses(), random, tally,
 		servers: Array.from({length: service.servers}, () => ({downUntil: 0, starts: 1, work: []})),
 	};
 	const pickCount = (perSecond: number): number => randomPoisson.source(random)(perSecond * stepMs / 1000)();
--- a/bench/experiment/world.ts
+++ b/bench/experiment/world.ts
@@ -5,10 +5,10 @@
  * @module
  */
 import {randomLcg} from 'd3-random';
-import {createAwaitedRoutes, type AwaitedRoutes} from '../../src/lib/decisions/awaited-routes.js';
+import {createNestedCallDetector, type NestedCallDetector} from '../../src/lib/decisions/nested-call-detector.js';
 import {createLoadView, type LoadView} from '../../src/lib/decisions/load-view.js';
-import {createRetryAllowance, type RetryAllowance} from '../../src/lib/decisions/retry-allowance.js';
-import {createReturningCallers, type ReturningCallers} from '../../src/lib/decisions/returning-callers.js';
+import {createMeshRetryBudget, type MeshRetryBudget} from '../../src/lib/decisions/mesh-retry-budget.js';
+import {createCallerRetryDetector, type CallerRetryDetector} from '../../src/lib/decisions/caller-retry-detector.js';
 import {createSampleRoute} from '../../src/lib/route-config/sample-config.js';
 import {type RouteRule} from '../../src/lib/route-config/route-config.js';
 import {createEventQueue, type EventQueue} from './event-queue.js';
@@ -21,9 +21,9 @@
 export type ModelNode = {
 	readonly domain: string;
 	readonly loads: LoadView;
-	readonly awaited: AwaitedRoutes;
-	readonly returning: ReturningCallers;
-	readonly allowance: RetryAllowance;
+	readonly awaited: NestedCallDetector;
+	readonly returning: CallerRetryDetector;
+	readonly allowance: MeshRetryBudget;
 };
 
 /** Disturbances of one type. */
@@ -75,8 +75,8 @@
 	const routes = new Map(pattern.kinds.map(kind => [kind.name, createRoute(kind)]));
 	const places = pattern.services.flatMap(service => service.speeds.map(speed => ({service, speed})));
 	const nodes: readonly ModelNode[] = places.map((_, index) => ({
-		domain: `d${index % pattern.domains}`, loads: createLoadView(), awaited: createAwaitedRoutes(), returning: createReturningCallers(),
-		allowance: createRetryAllowance(() => retryLimits, () => places.length),
+		domain: `d${index % pattern.domains}`, loads: createLoadView(), awaited: createNestedCallDetector(), returning: createCallerRetryDetector(),
+		allowance: createMeshRetryBudget(() => retryLimits, () => places.length),
 	}));
 	const servers = places.map(({service, speed}, node) => createModelServer({
 		id: `s${node}`, service: service.name, node, slots: service.slots, speed,
--- a/src/lib/admission/slot-keeper.ts
+++ b/src/lib/admission/slot-keeper.ts
@@ -7,7 +7,7 @@
  */
 import {trimTimerMs, readSteadyMs} from '../common/clock.js';
 import {
-	admitToSlot, createSlotQueue, estimateWait, releaseToNext, removeQueued, resizeSlots,
+	admitToQueue, createSlotQueue, estimateWaitMs, finishRequest, removeFromQueue, resizeSlots,
 	type QueuedRequest, type SlotQueue,
 } from '../decisions/slot-queue.js';
 
@@ -71,10 +71,10 @@
 			stopListening();
 			waiters.delete(queued.id);
 			if (outcome !== 'run') {
-				queue = removeQueued(queue, queued.id);
+				queue = removeFromQueue(queue, queued.id);
 			}
 
-			resolve(outcome === 'late' ? {type: 'full', reason: 'no slot came free in time', retryAfterMs: estimateWait(queue, request.rank)} : {type: outcome});
+			resolve(outcome === 'late' ? {type: 'full', reason: 'no slot came free in time', retryAfterMs: estimateWaitMs(queue, request.rank)} : {type: outcome});
 		};
 
 		const timer = setTimeout(() => {
@@ -101,7 +101,7 @@
 				startBy: now + request.mayWaitMs,
 				waitUntil: Math.min(now + (request.mayWaitMs * patience), request.lastAt),
 			};
-			const step = admitToSlot(queue, queued, now);
+			const step = admitToQueue(queue, queued, now);
 			queue = step.queue;
 			switch (step.decision.type) {
 				case 'run': {
@@ -113,7 +113,7 @@
 				}
 
 				case 'wait': {
-					const {displaced} = step.decision;
+					const {evicted: displaced} = step.decision;
 					if (displaced !== undefined) {
 						waiters.get(displaced.id)?.('late');
 					}
@@ -123,7 +123,7 @@
 			}
 		},
 		release(tookMs) {
-			const step = releaseToNext(queue, tookMs, readSteadyMs());
+			const step = finishRequest(queue, tookMs, readSteadyMs());
 			queue = step.queue;
 			startAll(step.started);
 		},
--- a/src/lib/calls/attempt.ts
+++ b/src/lib/calls/attempt.ts
@@ -7,7 +7,7 @@
 import {type CallId} from '../common/ids.js';
 import {type Verdict} from '../common/verdict.js';
 import {type WorkClass} from '../policy/decision.js';
-import {type RequestMark} from '../quarantine/request-mark.js';
+import {type LazyFingerprint} from '../quarantine/lazy-fingerprint.js';
 
 /** HTTP headers by lower-case name. @internal */
 export type HeaderMap = Readonly<Record<string, string | readonly string[] | undefined>>;
@@ -28,7 +28,7 @@
 	/** A slot that was reserved before, if any. */
 	readonly ticket?: string;
 	/** It as the quarantine looks at it; `undefined` for a body that is streamed, which nobody holds whole. */
-	readonly mark: RequestMark | undefined;
+	readonly mark: LazyFingerprint | undefined;
 };
 
 /** How an attempt ended. @internal */
--- a/src/lib/calls/entry-server.ts
+++ b/src/lib/calls/entry-server.ts
@@ -12,7 +12,7 @@
 import {readMicroseconds, readNow} from '../common/clock.js';
 import {toCallId, type CallId} from '../common/ids.js';
 import {anyHost} from '../routing/routing-table.js';
-import {createRequestMark, type RequestMark} from '../quarantine/request-mark.js';
+import {createLazyFingerprint, type LazyFingerprint} from '../quarantine/lazy-fingerprint.js';
 import {type RequestAttributes} from '../policy/request-attributes.js';
 import {type Store} from '../store/store.js';
 import {type RoutingSnapshot} from '../routing/routing-snapshot.js';
@@ -78,14 +78,14 @@
 }
 
 /** A body that is streamed is never held whole, so nothing is known of such a request. */
-function createBodyMark({method = 'GET', url: target = '/', headers}: IncomingMessage, plan: CallPlan, body: RequestBody): RequestMark | undefined {
+function createBodyMark({method = 'GET', url: target = '/', headers}: IncomingMessage, plan: CallPlan, body: RequestBody): LazyFingerprint | undefined {
 	if (body.type === 'stream') {
 		return undefined;
 	}
 
 	// Where any host will do, callers name the node that they ask: the same request would be another at each.
 	const host = plan.route.host === anyHost ? '' : headers.host ?? '';
-	return createRequestMark({
+	return createLazyFingerprint({
 		method, host, target, body: body.type === 'held' ? body.bytes : undefined,
 	});
 }
--- a/src/lib/calls/gate-client.ts
+++ b/src/lib/calls/gate-client.ts
@@ -9,7 +9,7 @@
 import {type Address, type BackendServerId} from '../common/ids.js';
 import {createConnector, type Network} from '../common/network.js';
 import {parseVerdict} from '../common/verdict.js';
-import {getBodyDigest} from '../quarantine/request-mark.js';
+import {getBodyDigest} from '../quarantine/lazy-fingerprint.js';
 import {type LamportClock} from '../timeline/lamport-clock.js';
 import {
 	createFailure, failureReasons, judgeClientError,
--- a/src/lib/calls/gate-server.ts
+++ b/src/lib/calls/gate-server.ts
@@ -10,7 +10,7 @@
 import {readNow} from '../common/clock.js';
 import {toBackendServerId, toCallId, type BackendServerId} from '../common/ids.js';
 import {type WorkClass} from '../policy/decision.js';
-import {createKnownMark, type RequestMark} from '../quarantine/request-mark.js';
+import {createLazyFingerprintOfDigest, type LazyFingerprint} from '../quarantine/lazy-fingerprint.js';
 import {type LamportClock} from '../timeline/lamport-clock.js';
 import {type Attempt, type AttemptResult, type FailedAttempt} from './attempt.js';
 import {createCallSignal} from './call-signal.js';
@@ -42,14 +42,14 @@
 }
 
 /** A body that comes as a stream is known by the digest that the entry sent, or not at all. */
-function readMark(request: IncomingMessage): RequestMark | undefined {
+function readMark(request: IncomingMessage): LazyFingerprint | undefined {
 	const digest = getHeader(request.headers, meshHeaders.bodyDigest);
 	if (digest === undefined && hasBody(request)) {
 		return undefined;
 	}
 
 	const {method = 'GET', url: target = '/'} = request;
-	return createKnownMark({method, host: getHeader(request.headers, meshHeaders.routedHost) ?? '', target}, digest);
+	return createLazyFingerprintOfDigest({method, host: getHeader(request.headers, meshHeaders.routedHost) ?? '', target}, digest);
 }
 
 function readCall(request: IncomingMessage, response: ServerResponse): GateCall {
--- a/src/lib/calls/run-attempts.ts
+++ b/src/lib/calls/run-attempts.ts
@@ -11,9 +11,9 @@
 import {toLifetimeKey} from '../common/server-lifetime.js';
 import {joinVerdicts, type Verdict} from '../common/verdict.js';
 import {listServers, type Directory, type DirectoryServer} from '../directory/directory.js';
-import {type Judgement} from '../quarantine/ledger.js';
+import {type QuarantineDecision} from '../quarantine/suspect-table.js';
 import {describeRefusal, type Quarantine} from '../quarantine/quarantine.js';
-import {type RequestMark} from '../quarantine/request-mark.js';
+import {type LazyFingerprint} from '../quarantine/lazy-fingerprint.js';
 import {chooseTrialServer} from '../quarantine/trial-server.js';
 import {chooseServer} from '../routing/choose-server.js';
 import {type ServerLoads} from '../routing/server-load.js';
@@ -38,7 +38,7 @@
 	readonly localServers: LocalServers;
 	readonly gateClient: GateClient;
 	readonly budget: RetryBudget;
-	readonly quarantine: Pick<Quarantine, 'judge'>;
+	readonly quarantine: Pick<Quarantine, 'check'>;
 	readonly timeline: Timeline;
 	readonly random: () => number;
 };
@@ -54,7 +54,7 @@
 	readonly deadline: number;
 	readonly signal: AbortSignal;
 	/** It as the quarantine looks at it; `undefined` for a body that is streamed. */
-	readonly mark: RequestMark | undefined;
+	readonly mark: LazyFingerprint | undefined;
 };
 
 /** How a call ended. @internal */
@@ -70,7 +70,7 @@
 const isSuspected = ({reason}: FailedAttempt): boolean => reason === 'server-crashed' || reason === 'quarantined';
 
 /** A request on trial has one server for all nodes, of those that this node has no reason to leave out. */
-function listFor({getDirectory, loads}: AttemptContext, service: string, judgement: Judgement): readonly DirectoryServer[] {
+function listFor({getDirectory, loads}: AttemptContext, service: string, judgement: QuarantineDecision): readonly DirectoryServer[] {
 	const servers = listServers(getDirectory(), service);
 	if (judgement.type !== 'trial') {
 		return servers;
@@ -185,7 +185,7 @@
 	context.budget.noteCall();
 
 	for (let attempts = 0; ; attempts++) {
-		const judgement: Judgement = outgoing.mark === undefined ? {type: 'free'} : context.quarantine.judge(outgoing.mark);
+		const judgement: QuarantineDecision = outgoing.mark === undefined ? {type: 'free'} : context.quarantine.check(outgoing.mark);
 		if (judgement.type === 'refused') {
 			return {
 				result: createFailure('not-run', 'quarantined', describeRefusal(judgement), judgement.retryAfterMs), verdict, attempts, server: undefined,
--- a/src/lib/calls/watch-runs.ts
+++ b/src/lib/calls/watch-runs.ts
@@ -9,21 +9,21 @@
 import {readNow} from '../common/clock.js';
 import {isRefusingConnections} from '../forwarding/refused-connection.js';
 import {type BackendServer} from '../directory/node-record.js';
-import {createCrashWatch} from '../quarantine/crash-watch.js';
+import {createCrashDetector} from '../quarantine/crash-detector.js';
 import {type Quarantine, type RunAdmission} from '../quarantine/quarantine.js';
-import {type RequestMark} from '../quarantine/request-mark.js';
+import {type LazyFingerprint} from '../quarantine/lazy-fingerprint.js';
 import {type FailedAttempt} from './attempt.js';
 
 /** @internal */
-export type RunQuarantine = Pick<Quarantine, 'judge' | 'settle' | 'admitRun' | 'noteCrash' | 'noteAnswered'>;
+export type RunQuarantine = Pick<Quarantine, 'check' | 'waitForTrial' | 'admitRun' | 'recordCrash' | 'recordResponse'>;
 
 /** A run that was let through. @internal */
-export type AdmittedRun = {readonly type: 'admitted'; readonly mark: RequestMark | undefined; readonly end: () => void};
+export type AdmittedRun = {readonly type: 'admitted'; readonly mark: LazyFingerprint | undefined; readonly end: () => void};
 
 /** @internal */
 export type RunWatch = {
 	/** Lets a request through, after a moment if it is on trial. */
-	readonly admit: (mark: RequestMark | undefined) => Promise<AdmittedRun | Extract<RunAdmission, {readonly type: 'refused'}>>;
+	readonly admit: (mark: LazyFingerprint | undefined) => Promise<AdmittedRun | Extract<RunAdmission, {readonly type: 'refused'}>>;
 	/** Follows an answer to its end. */
 	readonly watchAnswer: (run: AdmittedRun, status: number, body: Readable) => void;
 	/** Names a crash of the server as such, if it was one. */
@@ -53,10 +53,10 @@
 		return crashedAt;
 	};
 
-	const crashWatch = createCrashWatch<RequestMark>({
+	const crashWatch = createCrashDetector<LazyFingerprint>({
 		hasEnded: async () => !isClosing() && isRefusingConnections(server.address, askMs),
 		handleCrash(atWork) {
-			quarantine.noteCrash({id: server.id, startedAt: noteCrashTime()}, atWork);
+			quarantine.recordCrash({id: server.id, startedAt: noteCrashTime()}, atWork);
 		},
 	});
 
@@ -66,7 +66,7 @@
 				return {type: 'admitted', mark, end: () => undefined};
 			}
 
-			await quarantine.settle(mark);
+			await quarantine.waitForTrial(mark);
 			const admission = quarantine.admitRun(mark);
 			return admission.type === 'refused' ? admission : {...admission, mark};
 		},
@@ -79,11 +79,11 @@
 			// A failure says nothing for a request: the server may have given up before it came to what crashes it.
 			body.once('end', () => {
 				if (status < 500) {
-					quarantine.noteAnswered(mark);
+					quarantine.recordResponse(mark);
 				}
 			});
 			body.once('error', () => {
-				void crashWatch.noteLost(mark);
+				void crashWatch.recordLost(mark);
 			});
 		},
 		async judgeLost({mark, end}, failure) {
@@ -92,8 +92,8 @@
 				return failure;
 			}
 
-			const isCrash = await crashWatch.noteLost(mark);
-			return isCrash && quarantine.judge(mark).type !== 'free' ? {...failure, reason: 'server-crashed'} : failure;
+			const isCrash = await crashWatch.recordLost(mark);
+			return isCrash && quarantine.check(mark).type !== 'free' ? {...failure, reason: 'server-crashed'} : failure;
 		},
 	};
 }
--- a/src/lib/decisions/call-rank.ts
+++ b/src/lib/decisions/call-rank.ts
@@ -6,7 +6,7 @@
 import {type RouteRule} from '../route-config/route-config.js';
 
 /** Ranks of two priorities never overlap: no objective is longer than this. Milliseconds. */
-const priorityStep = 1_000_000;
+const ranksPerPriority = 1_000_000;
 
 /**
  * Ranks a route: by the operators' priority, and among equals by the shorter
@@ -18,5 +18,5 @@
  * @internal
  */
 export function computeRank(route: RouteRule): number {
-	return (route.priority * priorityStep) + Math.min(priorityStep - 1, Math.round(route.targetLatencyMs));
+	return (route.priority * ranksPerPriority) + Math.min(ranksPerPriority - 1, Math.round(route.targetLatencyMs));
 }
--- a/src/lib/decisions/link-demand.test.ts
+++ b/src/lib/decisions/link-demand.test.ts
@@ -4,20 +4,20 @@
 	toAddress, toBackendServerId, toFailureDomain, toNodeId,
 } from '../common/ids.js';
 import {toLifetimeKey} from '../common/server-lifetime.js';
-import {computeAnswerWait, computeLinkPace, createLinkDemand} from './link-demand.js';
+import {computeMaxResponseWaitMs, computeLinkBytesPerMs, createLinkDemand} from './link-demand.js';
 import {type Candidate} from './rank-servers.js';
 
 const server: Candidate = {
 	id: toBackendServerId('a'), lifetime: toLifetimeKey({id: toBackendServerId('a'), startedAt: 1}),
 	node: toNodeId('n1'), gate: toAddress('10.0.0.1:1'), domain: toFailureDomain('a'), isLocal: false, slots: 14, isCold: false,
 	view: {
-		running: 0, waiting: 0, serviceMs: 200, failureShare: 0, own: 0, ownThen: 0, wayMs: 0, heardAt: 0,
+		running: 0, waiting: 0, serviceMs: 200, failureShare: 0, ownInFlight: 0, ownInFlightAtReport: 0, roundTripMs: 0, reportedAt: 0,
 	},
 };
 
 test('an answer may wait for the link as long as it still comes in time, and a late one next to not at all', () => {
-	assert.equal(computeAnswerWait({targetLatencyMs: 1000, ageMs: 0}, server), 750);
-	assert.ok(computeAnswerWait({targetLatencyMs: 1000, ageMs: 3000}, server) <= 100);
+	assert.equal(computeMaxResponseWaitMs({targetLatencyMs: 1000, ageMs: 0}, server), 750);
+	assert.ok(computeMaxResponseWaitMs({targetLatencyMs: 1000, ageMs: 3000}, server) <= 100);
 });
 
 /**
@@ -27,7 +27,7 @@
 function runDownloads(isBounded: boolean): {readonly waits: readonly number[]; readonly used: number} {
 	const demand = createLinkDemand(10);
 	const bytes = 90_000;
-	const bytesPerMs = computeLinkPace(10);
+	const bytesPerMs = computeLinkBytesPerMs(10);
 	const workMs = 200;
 	const waits: number[] = [];
 	const ends: Array<{readonly at: number; readonly end: (bytes: number) => void}> = [];
@@ -44,7 +44,7 @@
 		}
 
 		// Three requests each 50 ms: four times the link.
-		if (now % 50 < 3 && (!isBounded || demand.computeWaitMs(held, workMs) <= 750)) {
+		if (now % 50 < 3 && (!isBounded || demand.estimateWaitMs(held, workMs) <= 750)) {
 			ends.push({at: now + workMs, end: demand.begin()});
 		}
 	}
@@ -63,9 +63,9 @@
 test('what ended without an answer leaves no mark', () => {
 	const demand = createLinkDemand(10);
 	demand.begin()(0);
-	demand.begin()(computeLinkPace(10) * 100);
-	assert.equal(demand.computeWaitMs(0, 0), 0);
+	demand.begin()(computeLinkBytesPerMs(10) * 100);
+	assert.equal(demand.estimateWaitMs(0, 0), 0);
 	demand.begin();
-	assert.equal(demand.computeWaitMs(0, 0), 100);
-	assert.equal(demand.computeWaitMs(computeLinkPace(10) * 100, 50), 150);
+	assert.equal(demand.estimateWaitMs(0, 0), 100);
+	assert.equal(demand.estimateWaitMs(computeLinkBytesPerMs(10) * 100, 50), 150);
 });
--- a/src/lib/decisions/link-demand.ts
+++ b/src/lib/decisions/link-demand.ts
@@ -4,23 +4,23 @@
  *
  * @module
  */
-import {type CallFacts, computeWorkMs} from './plan-attempt.js';
+import {type CallState, computeWorkMs} from './plan-attempt.js';
 import {type Candidate} from './rank-servers.js';
 
 /** Part of a link that large answers may fill. The rest is for headers of packets, acknowledgements and heartbeats, which are not counted. */
-const shareOfLink = 0.9;
+const usableLinkShare = 0.9;
 
 /**
  * @param linkMbps - Megabits a second of a link; 0 if they are not known, so that nothing waits.
  * @returns Bytes a millisecond at which large answers leave over it.
  * @internal
  */
-export function computeLinkPace(linkMbps: number): number {
-	return linkMbps > 0 ? linkMbps * 1000 / 8 * shareOfLink : Number.POSITIVE_INFINITY;
+export function computeLinkBytesPerMs(linkMbps: number): number {
+	return linkMbps > 0 ? linkMbps * 1000 / 8 * usableLinkShare : Number.POSITIVE_INFINITY;
 }
 
 /** An answer that is late already may wait this long: a link that is nearly free is as good as a slot that is. Milliseconds. */
-const leastWaitMs = 100;
+const minWaitMs = 100;
 
 /**
  * @param call - A call whose answer is large.
@@ -28,8 +28,8 @@
  * @returns Milliseconds for which its answer may wait for the link of the server's VM. One that waited longer would be late, and make others late that can still be in time.
  * @internal
  */
-export function computeAnswerWait({targetLatencyMs, ageMs}: Pick<CallFacts, 'targetLatencyMs' | 'ageMs'>, server: Candidate): number {
-	return Math.max(leastWaitMs, targetLatencyMs - ageMs - computeWorkMs(server));
+export function computeMaxResponseWaitMs({targetLatencyMs, ageMs}: Pick<CallState, 'targetLatencyMs' | 'ageMs'>, server: Candidate): number {
+	return Math.max(minWaitMs, targetLatencyMs - ageMs - computeWorkMs(server));
 }
 
 /** Large answers that the server of a node is at work on. @internal */
@@ -37,11 +37,11 @@
 	/** Notes that the server begins to work on one; yields what is called with the bytes of the answer, 0 if none came. */
 	readonly begin: () => (bytes: number) => void;
 	/** Milliseconds for which the answer to a request that begins now is to wait, with so many bytes waiting and work that takes so long. */
-	readonly computeWaitMs: (heldBytes: number, serviceMs: number) => number;
+	readonly estimateWaitMs: (heldBytes: number, serviceMs: number) => number;
 };
 
 /** Weight of the newest answer in what an answer is expected to have. */
-const newestWeight = 0.1;
+const smoothingFactor = 0.1;
 
 /**
  * @param linkMbps - Megabits a second of the link; 0 if they are not known.
@@ -49,19 +49,19 @@
  * @internal
  */
 export function createLinkDemand(linkMbps: number): LinkDemand {
-	const bytesPerMs = computeLinkPace(linkMbps);
-	let running = 0;
-	let meanBytes: number | undefined;
+	const bytesPerMs = computeLinkBytesPerMs(linkMbps);
+	let inFlight = 0;
+	let averageBytes: number | undefined;
 	return {
 		begin() {
-			running++;
+			inFlight++;
 			return bytes => {
-				running--;
+				inFlight--;
 				if (bytes > 0) {
-					meanBytes = meanBytes === undefined ? bytes : meanBytes + ((bytes - meanBytes) * newestWeight);
+					averageBytes = averageBytes === undefined ? bytes : averageBytes + ((bytes - averageBytes) * smoothingFactor);
 				}
 			};
 		},
-		computeWaitMs: (heldBytes, serviceMs) => Math.max(0, ((heldBytes + (running * (meanBytes ?? 0))) / bytesPerMs) - serviceMs),
+		estimateWaitMs: (heldBytes, serviceMs) => Math.max(0, ((heldBytes + (inFlight * (averageBytes ?? 0))) / bytesPerMs) - serviceMs),
 	};
 }
--- a/src/lib/decisions/load-view.ts
+++ b/src/lib/decisions/load-view.ts
@@ -15,32 +15,32 @@
 	readonly serviceMs: number;
 	readonly failureShare: number;
 	/** Requests of this node that are under way there. */
-	readonly own: number;
+	readonly ownInFlight: number;
 	/** Of these, the ones that were under way when the gate last spoke. */
-	readonly ownThen: number;
+	readonly ownInFlightAtReport: number;
 	/** Average milliseconds that requests of this node spend on the way there and back: a VM that is slow or far shows here, and for large bodies a link that is full. */
-	readonly wayMs: number;
+	readonly roundTripMs: number;
 	/** When the gate last spoke, in steady milliseconds. */
-	readonly heardAt: number;
+	readonly reportedAt: number;
 };
 
 /** @internal */
 export type LoadView = {
 	/** What is known of a server, for a request of a route. */
 	readonly get: (server: LifetimeKey, route?: string) => ServerView;
-	readonly hear: (server: LifetimeKey, report: Partial<Pick<ServerView, 'running' | 'waiting' | 'serviceMs' | 'failureShare'>>, now: number) => void;
+	readonly recordReport: (server: LifetimeKey, report: Partial<Pick<ServerView, 'running' | 'waiting' | 'serviceMs' | 'failureShare'>>, now: number) => void;
 	/** Notes how long a request of a route spent on the way there and back. */
-	readonly noteWay: (server: LifetimeKey, route: string, wayMs: number) => void;
-	readonly begin: (server: LifetimeKey) => void;
-	readonly end: (server: LifetimeKey) => void;
+	readonly recordRoundTrip: (server: LifetimeKey, route: string, roundTripMs: number) => void;
+	readonly recordStart: (server: LifetimeKey) => void;
+	readonly recordEnd: (server: LifetimeKey) => void;
 	readonly retain: (isKnown: (server: LifetimeKey) => boolean) => void;
 };
 
 /** Weight of the newest request in the average time on the way: some five requests make it. */
-const wayWeight = 0.2;
+const smoothingFactor = 0.2;
 
-const unknownServer: ServerView = {
-	running: 0, waiting: 0, serviceMs: 0, failureShare: 0, own: 0, ownThen: 0, wayMs: 0, heardAt: 0,
+const unknownLoad: ServerView = {
+	running: 0, waiting: 0, serviceMs: 0, failureShare: 0, ownInFlight: 0, ownInFlightAtReport: 0, roundTripMs: 0, reportedAt: 0,
 };
 
 /**
@@ -48,8 +48,8 @@
  * @returns Requests in work and waiting there, as far as this node can tell.
  * @internal
  */
-export function estimateRequests(view: ServerView): number {
-	return Math.max(view.own, view.running + view.waiting + view.own - view.ownThen);
+export function estimateOutstanding(view: ServerView): number {
+	return Math.max(view.ownInFlight, view.running + view.waiting + view.ownInFlight - view.ownInFlightAtReport);
 }
 
 /**
@@ -64,22 +64,22 @@
  * @returns Milliseconds; 0 if a slot is likely to be free.
  * @internal
  */
-export function estimateSlotWait(view: ServerView, slots: number, now: number): number {
-	const requests = estimateRequests(view);
+export function estimateSlotWaitMs(view: ServerView, slots: number, now: number): number {
+	const requests = estimateOutstanding(view);
 	if (requests < slots) {
 		return 0;
 	}
 
 	const slotMs = view.serviceMs / Math.max(1, slots);
-	const endedSince = slotMs === 0 ? 0 : Math.max(0, now - view.heardAt) / slotMs;
-	const waiting = Math.max(0, requests - slots - endedSince);
+	const endedCount = slotMs === 0 ? 0 : Math.max(0, now - view.reportedAt) / slotMs;
+	const waiting = Math.max(0, requests - slots - endedCount);
 	return (waiting + 1) * slotMs;
 }
 
 /** Averages of the requests of one route at one server. */
 type RouteAverages = {
 	readonly get: (server: LifetimeKey, route: string) => number | undefined;
-	readonly note: (server: LifetimeKey, route: string, value: number) => void;
+	readonly record: (server: LifetimeKey, route: string, value: number) => void;
 	readonly delete: (server: LifetimeKey) => void;
 };
 
@@ -87,7 +87,7 @@
 	const servers = new Map<LifetimeKey, Map<string, number>>();
 	return {
 		get: (server, route) => servers.get(server)?.get(route),
-		note(server, route, value) {
+		record(server, route, value) {
 			const averages = servers.get(server) ?? new Map<string, number>();
 			const known = averages.get(route);
 			averages.set(route, known === undefined ? value : (known * (1 - weight)) + (value * weight));
@@ -105,37 +105,37 @@
  */
 export function createLoadView(): LoadView {
 	const views = new Map<LifetimeKey, ServerView>();
-	const ways = createRouteAverages(wayWeight);
-	const get = (server: LifetimeKey): ServerView => views.get(server) ?? unknownServer;
+	const roundTrips = createRouteAverages(smoothingFactor);
+	const get = (server: LifetimeKey): ServerView => views.get(server) ?? unknownLoad;
 	return {
 		get(server, route = '') {
 			const view = get(server);
-			return {...view, wayMs: ways.get(server, route) ?? view.wayMs};
+			return {...view, roundTripMs: roundTrips.get(server, route) ?? view.roundTripMs};
 		},
-		hear(server, report, now) {
+		recordReport(server, report, now) {
 			const view = get(server);
 			views.set(server, {
-				...view, ...report, ownThen: view.own, heardAt: now,
+				...view, ...report, ownInFlightAtReport: view.ownInFlight, reportedAt: now,
 			});
 		},
-		noteWay(server, route, wayMs) {
+		recordRoundTrip(server, route, roundTripMs) {
 			const view = get(server);
-			ways.note(server, route, Math.max(0, wayMs));
-			views.set(server, {...view, wayMs: (view.wayMs * (1 - wayWeight)) + (Math.max(0, wayMs) * wayWeight)});
+			roundTrips.record(server, route, Math.max(0, roundTripMs));
+			views.set(server, {...view, roundTripMs: (view.roundTripMs * (1 - smoothingFactor)) + (Math.max(0, roundTripMs) * smoothingFactor)});
 		},
-		begin(server) {
+		recordStart(server) {
 			const view = get(server);
-			views.set(server, {...view, own: view.own + 1});
+			views.set(server, {...view, ownInFlight: view.ownInFlight + 1});
 		},
-		end(server) {
+		recordEnd(server) {
 			const view = get(server);
-			views.set(server, {...view, own: Math.max(0, view.own - 1)});
+			views.set(server, {...view, ownInFlight: Math.max(0, view.ownInFlight - 1)});
 		},
 		retain(isKnown) {
 			for (const [server, view] of views) {
-				if (view.own === 0 && !isKnown(server)) {
+				if (view.ownInFlight === 0 && !isKnown(server)) {
 					views.delete(server);
-					ways.delete(server);
+					roundTrips.delete(server);
 				}
 			}
 		},
--- a/src/lib/decisions/retry-allowance.ts
+++ b/src/lib/decisions/mesh-retry-budget.ts
@@ -16,39 +16,39 @@
 };
 
 /** Requests and repeats of one service in one slice of time. */
-type Slice = {
+type WindowSlice = {
 	readonly startedAt: number;
 	requests: number;
 	/** Of the requests, those that others wait for: calls that backend servers make. */
-	calls: number;
-	repeats: number;
+	nestedCalls: number;
+	retries: number;
 	/** Of the repeats, those of requests that may have run. */
-	reruns: number;
+	possibleReruns: number;
 };
 
 /** Why a request is sent again: a server turned it away, or turned a call away that another server makes, or it may have run and failed. @internal */
-export type RepeatReason = 'turned-away' | 'call-turned-away' | 'may-have-run';
+export type RetryReason = 'turned-away' | 'call-turned-away' | 'may-have-run';
 
 /** @internal */
-export type RetryAllowance = {
-	readonly noteRequest: (service: string, isCall: boolean, now: number) => void;
+export type MeshRetryBudget = {
+	readonly recordRequest: (service: string, isNestedCall: boolean, now: number) => void;
 	/** Takes a repeat if one is left. */
-	readonly take: (service: string, reason: RepeatReason, now: number) => boolean;
+	readonly tryAcquire: (service: string, reason: RetryReason, now: number) => boolean;
 	/** Repeats that this node may still send to a service. */
-	readonly countLeft: (service: string, reason: RepeatReason, now: number) => number;
+	readonly countRemaining: (service: string, reason: RetryReason, now: number) => number;
 };
 
 /** Slices in a window: the window slides by one of these. */
 const slicesPerWindow = 10;
 
 /** Share of what is allowed that is always used. */
-const usedShare = 0.45;
+const baseShare = 0.45;
 
 /** Share that may be used when few repeated runs make their calls again. The rest is for windows that whoever counts cuts otherwise. */
-const mostUsedShare = 0.8;
+const maxShare = 0.8;
 
 /** Calls that a repeated run is taken to make again at any other service: as many as a run of the users' services makes. */
-const callsOfRerun = 2;
+const callsPerRerun = 2;
 
 /**
  * Share of what is allowed that goes to requests that may have run. A request that runs again makes its calls again, and
@@ -65,66 +65,66 @@
  * @returns The allowance; none is used.
  * @internal
  */
-export function createRetryAllowance(getLimits: () => RetryLimits, countNodes: () => number): RetryAllowance {
-	const services = new Map<string, Slice[]>();
+export function createMeshRetryBudget(getLimits: () => RetryLimits, countNodes: () => number): MeshRetryBudget {
+	const services = new Map<string, WindowSlice[]>();
 
 	const getSliceMs = (): number => getLimits().windowMs / slicesPerWindow;
 
 	/** A slice counts until its last moment is out of the window. */
-	const getSlices = (service: string, now: number): Slice[] => {
+	const getRecentSlices = (service: string, now: number): WindowSlice[] => {
 		const kept = (services.get(service) ?? []).filter(({startedAt}) => now - startedAt < getLimits().windowMs + getSliceMs());
 		services.set(service, kept);
 		return kept;
 	};
 
-	const getCurrent = (slices: Slice[], now: number): Slice => {
+	const getCurrentSlice = (slices: WindowSlice[], now: number): WindowSlice => {
 		const last = slices.at(-1);
 		if (last !== undefined && now - last.startedAt < getSliceMs()) {
 			return last;
 		}
 
-		const slice: Slice = {
-			startedAt: now, requests: 0, calls: 0, repeats: 0, reruns: 0,
+		const slice: WindowSlice = {
+			startedAt: now, requests: 0, nestedCalls: 0, retries: 0, possibleReruns: 0,
 		};
 		slices.push(slice);
 		return slice;
 	};
 
-	const sumWindow = (service: string, now: number): Omit<Slice, 'startedAt'> => {
+	const sumWindow = (service: string, now: number): Omit<WindowSlice, 'startedAt'> => {
 		const sum = {
-			requests: 0, calls: 0, repeats: 0, reruns: 0,
+			requests: 0, nestedCalls: 0, retries: 0, possibleReruns: 0,
 		};
-		for (const slice of getSlices(service, now)) {
+		for (const slice of getRecentSlices(service, now)) {
 			const isWithin = now - slice.startedAt < getLimits().windowMs;
 			sum.requests += isWithin ? slice.requests : 0;
-			sum.calls += isWithin ? slice.calls : 0;
-			sum.repeats += slice.repeats;
-			sum.reruns += slice.reruns;
+			sum.nestedCalls += isWithin ? slice.nestedCalls : 0;
+			sum.retries += slice.retries;
+			sum.possibleReruns += slice.possibleReruns;
 		}
 
 		return sum;
 	};
 
 	/** Calls that repeated runs of the other services may make again at this one. */
-	const countCallsOfReruns = (service: string, now: number): number => {
-		let reruns = 0;
+	const countRerunCalls = (service: string, now: number): number => {
+		let possibleReruns = 0;
 		for (const other of services.keys()) {
-			reruns += other === service ? 0 : sumWindow(other, now).reruns;
+			possibleReruns += other === service ? 0 : sumWindow(other, now).possibleReruns;
 		}
 
-		return reruns * callsOfRerun;
+		return possibleReruns * callsPerRerun;
 	};
 
-	const computeAllowed = ({requests}: Pick<Slice, 'requests'>): number => {
+	const computeBudget = ({requests}: Pick<WindowSlice, 'requests'>): number => {
 		const {ratio, slack} = getLimits();
 		return (requests * ratio) + (slack / Math.max(1, countNodes()));
 	};
 
 	/** Whether another service that calls lead to uses more than what is always used: calls of further repeated runs would come on top. */
-	const isMoreUsedElsewhere = (service: string, now: number): boolean => {
+	const isOtherBudgetStrained = (service: string, now: number): boolean => {
 		for (const other of services.keys()) {
 			const sum = sumWindow(other, now);
-			if (other !== service && sum.calls > 0 && sum.repeats > usedShare * computeAllowed(sum)) {
+			if (other !== service && sum.nestedCalls > 0 && sum.retries > baseShare * computeBudget(sum)) {
 				return true;
 			}
 		}
@@ -132,37 +132,37 @@
 		return false;
 	};
 
-	const countLeft = (service: string, reason: RepeatReason, now: number): number => {
+	const countRemaining = (service: string, reason: RetryReason, now: number): number => {
 		const sum = sumWindow(service, now);
-		const {requests, calls, repeats, reruns} = sum;
-		const allowed = computeAllowed(sum);
-		const least = usedShare * allowed;
+		const {requests, nestedCalls, retries, possibleReruns} = sum;
+		const budget = computeBudget(sum);
+		const base = baseShare * budget;
 		if (reason === 'may-have-run') {
-			return isMoreUsedElsewhere(service, now) ? 0 : Math.min(Math.floor(least) - repeats, Math.floor(rerunShare * allowed) - reruns);
+			return isOtherBudgetStrained(service, now) ? 0 : Math.min(Math.floor(base) - retries, Math.floor(rerunShare * budget) - possibleReruns);
 		}
 
 		// A call that fails costs the run that makes it: what lies between the shares is for calls first.
-		const extra = Math.max(0, (mostUsedShare * allowed) - countCallsOfReruns(service, now) - least);
-		const extraShare = reason === 'call-turned-away' ? 1 : 1 - (calls / Math.max(1, requests));
-		return Math.floor(least + (extra * extraShare)) - repeats;
+		const extra = Math.max(0, (maxShare * budget) - countRerunCalls(service, now) - base);
+		const extraShare = reason === 'call-turned-away' ? 1 : 1 - (nestedCalls / Math.max(1, requests));
+		return Math.floor(base + (extra * extraShare)) - retries;
 	};
 
 	return {
-		noteRequest(service, isCall, now) {
-			const slice = getCurrent(getSlices(service, now), now);
+		recordRequest(service, isNestedCall, now) {
+			const slice = getCurrentSlice(getRecentSlices(service, now), now);
 			slice.requests++;
-			slice.calls += isCall ? 1 : 0;
+			slice.nestedCalls += isNestedCall ? 1 : 0;
 		},
-		take(service, reason, now) {
-			if (countLeft(service, reason, now) <= 0) {
+		tryAcquire(service, reason, now) {
+			if (countRemaining(service, reason, now) <= 0) {
 				return false;
 			}
 
-			const slice = getCurrent(getSlices(service, now), now);
-			slice.repeats++;
-			slice.reruns += reason === 'may-have-run' ? 1 : 0;
+			const slice = getCurrentSlice(getRecentSlices(service, now), now);
+			slice.retries++;
+			slice.possibleReruns += reason === 'may-have-run' ? 1 : 0;
 			return true;
 		},
-		countLeft,
+		countRemaining,
 	};
 }
--- a/src/lib/decisions/awaited-routes.ts
+++ b/src/lib/decisions/nested-call-detector.ts
@@ -11,58 +11,58 @@
  */
 
 /** @internal */
-export type AwaitedRoutes = {
+export type NestedCallDetector = {
 	/** Notes a request of a route to a service; yields whether it is taken for a call of a backend server. */
-	readonly note: (service: string, route: string, targetLatencyMs: number) => boolean;
+	readonly recordCall: (service: string, route: string, targetLatencyMs: number) => boolean;
 	/** Forgets routes that are gone. */
 	readonly retain: (routes: ReadonlySet<string>) => void;
 };
 
-type Traffic = {requests: number; readonly targetLatencyMs: number};
+type RouteTraffic = {requests: number; readonly targetLatencyMs: number};
 
 /** A call's objective is at most this share of the longest one of the service's requests: a server that makes two calls, one after the other, has to have both answered in time. */
-const awaitedShare = 0.5;
+const nestedTargetShare = 0.5;
 
 /** Routes with less than this share of a service's requests say nothing about the others: configurations hold many that nobody uses. */
-const leastShare = 0.02;
+const minTrafficShare = 0.02;
 
 /** Counts are halved when they reach this: what counts are the latest hundreds of requests, a second or two under load. */
-const rememberedRequests = 400;
+const halvingRequestCount = 400;
 
 /**
  * @returns What has seen no request yet: none is taken for a call.
  * @internal
  */
-export function createAwaitedRoutes(): AwaitedRoutes {
-	const services = new Map<string, Map<string, Traffic>>();
+export function createNestedCallDetector(): NestedCallDetector {
+	const services = new Map<string, Map<string, RouteTraffic>>();
 
-	const forgetHalf = (routes: ReadonlyMap<string, Traffic>): void => {
+	const halveCounts = (routes: ReadonlyMap<string, RouteTraffic>): void => {
 		for (const traffic of routes.values()) {
 			traffic.requests /= 2;
 		}
 	};
 
-	const isUsed = (requests: number, total: number): boolean => requests >= total * leastShare;
+	const hasEnoughTraffic = (requests: number, total: number): boolean => requests >= total * minTrafficShare;
 
 	return {
-		note(service, route, targetLatencyMs) {
-			const routes = services.get(service) ?? new Map<string, Traffic>();
+		recordCall(service, route, targetLatencyMs) {
+			const routes = services.get(service) ?? new Map<string, RouteTraffic>();
 			services.set(service, routes);
 			const known = routes.get(route);
 			const requests = (known?.targetLatencyMs === targetLatencyMs ? known.requests : 0) + 1;
 			routes.set(route, {requests, targetLatencyMs});
 			const all = [...routes.values()];
 			const total = all.reduce((sum, traffic) => sum + traffic.requests, 0);
-			if (total >= rememberedRequests) {
-				forgetHalf(routes);
+			if (total >= halvingRequestCount) {
+				halveCounts(routes);
 			}
 
-			return all.some(other => isUsed(other.requests, total) && targetLatencyMs <= other.targetLatencyMs * awaitedShare);
+			return all.some(other => hasEnoughTraffic(other.requests, total) && targetLatencyMs <= other.targetLatencyMs * nestedTargetShare);
 		},
-		retain(names) {
+		retain(routeNames) {
 			for (const routes of services.values()) {
 				for (const name of routes.keys()) {
-					if (!names.has(name)) {
+					if (!routeNames.has(name)) {
 						routes.delete(name);
 					}
 				}
--- a/src/lib/decisions/plan-attempt.test.ts
+++ b/src/lib/decisions/plan-attempt.test.ts
@@ -7,7 +7,7 @@
 import {toLifetimeKey} from '../common/server-lifetime.js';
 import {type Candidate} from './rank-servers.js';
 import {
-	computeWait, planAttempt, standardRules, type AttemptHistory, type CallFacts,
+	computeMaxWaitMs, planAttempt, standardRules, type AttemptHistory, type CallState,
 } from './plan-attempt.js';
 
 function createServer(name: string, slots: number, view: Partial<Candidate['view']> = {}): Candidate {
@@ -15,25 +15,25 @@
 		id: toBackendServerId(name), lifetime: toLifetimeKey({id: toBackendServerId(name), startedAt: 1}),
 		node: toNodeId(`n-${name}`), gate: toAddress('10.0.0.1:1'), domain: toFailureDomain('a'), isLocal: false, slots, isCold: false,
 		view: {
-			running: 0, waiting: 0, serviceMs: 100, failureShare: 0, own: 0, ownThen: 0, wayMs: 0, heardAt: 1000, ...view,
+			running: 0, waiting: 0, serviceMs: 100, failureShare: 0, ownInFlight: 0, ownInFlightAtReport: 0, roundTripMs: 0, reportedAt: 1000, ...view,
 		},
 	};
 }
 
-const call: CallFacts = {
-	targetLatencyMs: 200, ageMs: 0, leftMs: 1200, isAwaited: false, isBulk: false,
+const call: CallState = {
+	targetLatencyMs: 200, ageMs: 0, leftMs: 1200, isNestedCall: false, isBulk: false,
 };
 const nothingYet: AttemptHistory = {tried: new Set(), full: new Set(), refusals: 0};
 const full = {running: 10, waiting: 0} as const;
 
 test('overload: a call waits for a few slots to come free, however long its caller would wait', () => {
 	const server = createServer('a', 10, full);
-	assert.equal(computeWait(call, server), 30);
-	assert.equal(computeWait({...call, leftMs: 60_000}, server), 30);
+	assert.equal(computeMaxWaitMs(call, server), 30);
+	assert.equal(computeMaxWaitMs({...call, leftMs: 60_000}, server), 30);
 });
 
 test('overload: a call that could not be answered in time any more waits for nothing', () => {
-	assert.equal(computeWait({...call, ageMs: 80}, createServer('a', 10, full)), 0);
+	assert.equal(computeMaxWaitMs({...call, ageMs: 80}, createServer('a', 10, full)), 0);
 	const plan = planAttempt({...call, ageMs: 300}, nothingYet, [createServer('a', 10, full), createServer('b', 10, full)], standardRules, 1000);
 	assert.equal(plan.type, 'refuse');
 });
@@ -45,7 +45,7 @@
 
 test('a call that a server waits for is sent even if nothing is known to be free', () => {
 	const plan = planAttempt({
-		...call, isAwaited: true, targetLatencyMs: 60, leftMs: 200,
+		...call, isNestedCall: true, targetLatencyMs: 60, leftMs: 200,
 	}, nothingYet, [createServer('a', 10, {running: 10, waiting: 60})], standardRules, 1000);
 	assert.deepEqual(plan.type === 'send' ? plan.mayWaitMs : 0, 80);
 });
@@ -65,7 +65,7 @@
 const services = fc.array(views, {minLength: 1, maxLength: 200}).map(all => all.map(({slots, ...view}, index) => createServer(`s${index}`, slots, view)));
 const calls = fc.record({
 	targetLatencyMs: fc.integer({min: 5, max: 5000}), ageMs: fc.integer({min: 0, max: 5000}), leftMs: fc.integer({min: 1, max: 20_000}),
-	isAwaited: fc.constant(false), isBulk: fc.boolean(),
+	isNestedCall: fc.constant(false), isBulk: fc.boolean(),
 });
 
 test('property: whatever the service, nobody waits who could not be answered in time', () => {
--- a/src/lib/decisions/plan-attempt.ts
+++ b/src/lib/decisions/plan-attempt.ts
@@ -12,11 +12,11 @@
  * @module
  */
 import {type LifetimeKey} from '../common/server-lifetime.js';
-import {estimateSlotWait} from './load-view.js';
-import {getColdFactor, type Candidate} from './rank-servers.js';
+import {estimateSlotWaitMs} from './load-view.js';
+import {getColdStartFactor, type Candidate} from './rank-servers.js';
 
 /** What decides about a call, at the moment of the decision. @internal */
-export type CallFacts = {
+export type CallState = {
 	/** Latency objective of its route, in milliseconds. */
 	readonly targetLatencyMs: number;
 	/** Since its caller first asked, as far as this node can tell, in milliseconds. */
@@ -24,7 +24,7 @@
 	/** Until its caller gives up, in milliseconds. */
 	readonly leftMs: number;
 	/** A backend server made it and holds a slot until it is answered. */
-	readonly isAwaited: boolean;
+	readonly isNestedCall: boolean;
 	/** Body or answer is large. */
 	readonly isBulk: boolean;
 };
@@ -49,38 +49,38 @@
 	| {readonly type: 'no-server'};
 
 /** Computes how long a call may be expected to wait at a server. @internal */
-export type ComputeWait = (call: CallFacts, server: Candidate) => number;
+export type ComputeMaxWaitMs = (call: CallState, server: Candidate) => number;
 
 /** @internal */
 export type PlanRules = {
-	readonly computeWait: ComputeWait;
+	readonly computeWait: ComputeMaxWaitMs;
 	/** Gates that are asked for a slot at once before one is asked to let the call wait. */
 	readonly immediateTries: number;
 };
 
 /** Gates that are asked for a slot at once before one is asked to let the call wait. Large bodies have more to gain by another server, and a refusal costs them next to nothing: their links are what is short. */
-const immediateTries = {small: 2, bulk: 4} as const;
+const immediateTryLimits = {small: 2, bulk: 4} as const;
 
 /** Refusals by gates after which a call is given up: the caller is better told to come back. */
 const maxRefusals = {small: 3, bulk: 5} as const;
 
 /** A call is refused without asking a gate if the wait that is expected is so many times longer than it may be: estimates are rough. */
-const hopelessFactor = 1.2;
+const waitToleranceFactor = 1.2;
 
 /** No attempt begins with less than this left, in milliseconds: it could not be answered. */
-const shortestAttemptMs = 15;
+const minAttemptMs = 15;
 
 /** Nor with less than this share of the work that is to be expected: of work that varies widely, a tenth is that short, and the rest would keep a slot for nothing. */
-const shortestWorkShare = 0.25;
+const minWorkShare = 0.25;
 
 /** Work takes longer than its average by this share in the answers that are still to be in time: some four in five. */
-const workMargin = 0.25;
+const workMarginShare = 0.25;
 
 /** Slots that come free while a call waits, at the most: a queue of so many keeps the slots busy, and each one more delays all that follow. */
-const releasesPerWait = 2;
+const maxReleasesPerWait = 2;
 
 /** A call that a server waits for may wait for this share of what is left: without it the work of its caller is lost. */
-const awaitedShare = 0.4;
+const nestedCallWaitShare = 0.4;
 
 /**
  * @param server - A server.
@@ -88,7 +88,7 @@
  * @internal
  */
 export function computeWorkMs(server: Candidate): number {
-	return server.view.serviceMs * getColdFactor(server) * (1 + workMargin);
+	return server.view.serviceMs * getColdStartFactor(server) * (1 + workMarginShare);
 }
 
 /**
@@ -99,10 +99,10 @@
  * @returns Milliseconds.
  * @internal
  */
-export function computeWait(call: CallFacts, server: Candidate): number {
-	const {targetLatencyMs, ageMs, leftMs, isAwaited} = call;
-	if (isAwaited) {
-		return leftMs * awaitedShare;
+export function computeMaxWaitMs(call: CallState, server: Candidate): number {
+	const {targetLatencyMs, ageMs, leftMs, isNestedCall} = call;
+	if (isNestedCall) {
+		return leftMs * nestedCallWaitShare;
 	}
 
 	const {view, slots} = server;
@@ -112,21 +112,21 @@
 		return 0;
 	}
 
-	const releaseMs = view.serviceMs / Math.max(1, slots);
-	return Math.min(inTimeMs, leftMs, releaseMs === 0 ? inTimeMs : releaseMs * (releasesPerWait + 1));
+	const slotReleaseMs = view.serviceMs / Math.max(1, slots);
+	return Math.min(inTimeMs, leftMs, slotReleaseMs === 0 ? inTimeMs : slotReleaseMs * (maxReleasesPerWait + 1));
 }
 
 /** Whether a server could not answer a call in the time that is left. A slot that is free is tried all the same: only answers show that a server has become faster. */
-function isTooLate({leftMs}: CallFacts, {view, slots}: Candidate, now: number): boolean {
-	if (leftMs < shortestAttemptMs) {
+function isTooLate({leftMs}: CallState, {view, slots}: Candidate, now: number): boolean {
+	if (leftMs < minAttemptMs) {
 		return true;
 	}
 
-	return estimateSlotWait(view, slots, now) > 0 && leftMs < view.serviceMs * shortestWorkShare;
+	return estimateSlotWaitMs(view, slots, now) > 0 && leftMs < view.serviceMs * minWorkShare;
 }
 
 /** The rules that nodes decide by. @internal */
-export const standardRules: PlanRules = {computeWait, immediateTries: immediateTries.small};
+export const standardRules: PlanRules = {computeWait: computeMaxWaitMs, immediateTries: immediateTryLimits.small};
 
 /**
  * Plans the next attempt of a call.
@@ -139,29 +139,29 @@
  * @returns Whom to ask, or that it is refused.
  * @internal
  */
-export function planAttempt(call: CallFacts, history: AttemptHistory, ranked: readonly Candidate[], rules: PlanRules, now: number): AttemptPlan {
-	const open = ranked.filter(({lifetime}) => !history.tried.has(lifetime));
-	if (open.length > 0 && open.every(server => isTooLate(call, server, now))) {
+export function planAttempt(call: CallState, history: AttemptHistory, ranked: readonly Candidate[], rules: PlanRules, now: number): AttemptPlan {
+	const eligible = ranked.filter(({lifetime}) => !history.tried.has(lifetime));
+	if (eligible.length > 0 && eligible.every(server => isTooLate(call, server, now))) {
 		return {type: 'too-late'};
 	}
 
-	const tries = call.isBulk ? immediateTries.bulk : rules.immediateTries;
-	const fresh = open.find(({lifetime, view, slots}) => !history.full.has(lifetime) && estimateSlotWait(view, slots, now) === 0);
-	if (fresh !== undefined && history.refusals < tries && open.length > 1) {
-		return {type: 'send', target: fresh, mayWaitMs: 0};
+	const tryLimit = call.isBulk ? immediateTryLimits.bulk : rules.immediateTries;
+	const withFreeSlot = eligible.find(({lifetime, view, slots}) => !history.full.has(lifetime) && estimateSlotWaitMs(view, slots, now) === 0);
+	if (withFreeSlot !== undefined && history.refusals < tryLimit && eligible.length > 1) {
+		return {type: 'send', target: withFreeSlot, mayWaitMs: 0};
 	}
 
-	const waits = open.map(target => ({target, waitMs: estimateSlotWait(target.view, target.slots, now), mayWaitMs: rules.computeWait(call, target)}));
+	const waits = eligible.map(target => ({target, waitMs: estimateSlotWaitMs(target.view, target.slots, now), mayWaitMs: rules.computeWait(call, target)}));
 	// The one whose answer is expected first, of those that may let it wait for as long as it takes there.
 	const byWait = waits.toSorted((left, right) => left.waitMs - right.waitMs);
-	const best = byWait.find(({waitMs, mayWaitMs}) => waitMs <= mayWaitMs * hopelessFactor) ?? byWait[0];
+	const best = byWait.find(({waitMs, mayWaitMs}) => waitMs <= mayWaitMs * waitToleranceFactor) ?? byWait[0];
 	if (best === undefined) {
 		return {type: 'no-server'};
 	}
 
 	// Nothing tells how many are before a call that servers wait for: it is always sent.
-	const isHopeless = best.waitMs > best.mayWaitMs * hopelessFactor;
-	return isHopeless && !call.isAwaited ? {type: 'refuse', waitMs: best.waitMs} : {type: 'send', target: best.target, mayWaitMs: best.mayWaitMs};
+	const isWaitTooLong = best.waitMs > best.mayWaitMs * waitToleranceFactor;
+	return isWaitTooLong && !call.isNestedCall ? {type: 'refuse', waitMs: best.waitMs} : {type: 'send', target: best.target, mayWaitMs: best.mayWaitMs};
 }
 
 /**
@@ -170,6 +170,6 @@
  * @returns Whether another gate may be asked.
  * @internal
  */
-export function mayAskAnother(call: Pick<CallFacts, 'isBulk'>, refusals: number): boolean {
+export function mayTryAnotherGate(call: Pick<CallState, 'isBulk'>, refusals: number): boolean {
 	return refusals <= maxRefusals[call.isBulk ? 'bulk' : 'small'];
 }
--- a/src/lib/decisions/rank-servers.test.ts
+++ b/src/lib/decisions/rank-servers.test.ts
@@ -5,7 +5,7 @@
 	toAddress, toBackendServerId, toFailureDomain, toNodeId,
 } from '../common/ids.js';
 import {toLifetimeKey, type LifetimeKey} from '../common/server-lifetime.js';
-import {createLoadView, estimateRequests, estimateSlotWait} from './load-view.js';
+import {createLoadView, estimateOutstanding, estimateSlotWaitMs} from './load-view.js';
 import {rankServers, type Candidate} from './rank-servers.js';
 
 const here = toFailureDomain('a');
@@ -30,8 +30,8 @@
 	};
 }
 
-const rank = (candidates: readonly Candidate[], crossDomainMs = 40): readonly string[] => rankServers(candidates, {
-	domain: here, soonEnoughMs: 0, otherNodeMs: 35, crossDomainMs, random: () => 0.5,
+const rank = (candidates: readonly Candidate[], crossDomainPenaltyMs = 40): readonly string[] => rankServers(candidates, {
+	domain: here, fastEnoughMs: 0, otherNodePenaltyMs: 35, crossDomainPenaltyMs, random: () => 0.5,
 }).map(({id}) => id);
 
 test('the own VM goes first, then the own failure domain, as long as they are about as fast', () => {
@@ -49,7 +49,7 @@
 test('cold, failing and slow to reach servers go last', () => {
 	assert.deepEqual(rank([createCandidate('cold', {isCold: true}), createCandidate('warm')]), ['warm', 'cold']);
 	assert.deepEqual(rank([createCandidate('grey', {}, {failureShare: 0.4}), createCandidate('sound')]), ['sound', 'grey']);
-	assert.deepEqual(rank([createCandidate('slow-node', {}, {wayMs: 300}), createCandidate('sound')]), ['sound', 'slow-node']);
+	assert.deepEqual(rank([createCandidate('slow-node', {}, {roundTripMs: 300}), createCandidate('sound')]), ['sound', 'slow-node']);
 });
 
 test('of many servers the one that looks best does not get everything, and the slow ones get little', () => {
@@ -66,7 +66,7 @@
 	const draws = 4000;
 	for (let draw = 0; draw < draws; draw++) {
 		const {id} = rankServers([...servers, ...slow], {
-			domain: here, soonEnoughMs: 0, otherNodeMs: 35, crossDomainMs: 40, random,
+			domain: here, fastEnoughMs: 0, otherNodePenaltyMs: 35, crossDomainPenaltyMs: 40, random,
 		})[0]!;
 		first.set(id, (first.get(id) ?? 0) + 1);
 	}
@@ -78,54 +78,54 @@
 test('what this node has sent since the gate spoke counts, and so does what has ended meanwhile', () => {
 	const loads = createLoadView();
 	const id = toKey('i-1');
-	loads.begin(id);
-	loads.hear(id, {running: 12, waiting: 6, serviceMs: 120}, 1000);
-	loads.begin(id);
-	assert.equal(estimateRequests(loads.get(id)), 19);
-	assert.equal(estimateSlotWait(loads.get(id), 12, 1000), 80);
+	loads.recordStart(id);
+	loads.recordReport(id, {running: 12, waiting: 6, serviceMs: 120}, 1000);
+	loads.recordStart(id);
+	assert.equal(estimateOutstanding(loads.get(id)), 19);
+	assert.equal(estimateSlotWaitMs(loads.get(id), 12, 1000), 80);
 	// In 50 ms five requests of 120 ms have ended on twelve slots.
-	assert.equal(Math.round(estimateSlotWait(loads.get(id), 12, 1050)), 30);
+	assert.equal(Math.round(estimateSlotWaitMs(loads.get(id), 12, 1050)), 30);
 });
 
 test('a server whose slots were all taken is not taken for free because time has passed', () => {
 	const loads = createLoadView();
 	const id = toKey('i-1');
-	loads.hear(id, {running: 12, waiting: 0, serviceMs: 120}, 1000);
-	assert.equal(estimateSlotWait(loads.get(id), 12, 1300), 10);
-	loads.hear(id, {running: 11, waiting: 0, serviceMs: 120}, 1300);
-	assert.equal(estimateSlotWait(loads.get(id), 12, 1300), 0);
+	loads.recordReport(id, {running: 12, waiting: 0, serviceMs: 120}, 1000);
+	assert.equal(estimateSlotWaitMs(loads.get(id), 12, 1300), 10);
+	loads.recordReport(id, {running: 11, waiting: 0, serviceMs: 120}, 1300);
+	assert.equal(estimateSlotWaitMs(loads.get(id), 12, 1300), 0);
 });
 
 test('servers that are gone are forgotten once nothing is under way there', () => {
 	const loads = createLoadView();
 	const id = toKey('i-1');
-	loads.hear(id, {serviceMs: 120}, 0);
-	loads.begin(id);
+	loads.recordReport(id, {serviceMs: 120}, 0);
+	loads.recordStart(id);
 	loads.retain(() => false);
 	assert.equal(loads.get(id).serviceMs, 120);
-	loads.end(id);
+	loads.recordEnd(id);
 	loads.retain(() => false);
 	assert.equal(loads.get(id).serviceMs, 0);
 });
 
 test('property: every server is in the order once, and the estimate never loses what this node has sent', () => {
 	const view = fc.record({
-		running: fc.nat(20), waiting: fc.nat(20), own: fc.nat(20), ownThen: fc.nat(20), serviceMs: fc.nat(500), wayMs: fc.nat(500),
+		running: fc.nat(20), waiting: fc.nat(20), ownInFlight: fc.nat(20), ownInFlightAtReport: fc.nat(20), serviceMs: fc.nat(500), roundTripMs: fc.nat(500),
 	});
 	fc.assert(fc.property(fc.array(view, {maxLength: 8}), views => {
 		const servers = views.map((changes, index) => createCandidate(`i-${index}`, {}, changes));
 		assert.deepEqual([...rank(servers)].toSorted((left, right) => left.localeCompare(right)), servers.map(({id}) => id).toSorted((left, right) => left.localeCompare(right)));
 		for (const server of servers) {
-			assert.ok(estimateRequests(server.view) >= server.view.own);
-			assert.ok(estimateSlotWait(server.view, server.slots, 1e9) >= 0);
+			assert.ok(estimateOutstanding(server.view) >= server.view.ownInFlight);
+			assert.ok(estimateSlotWaitMs(server.view, server.slots, 1e9) >= 0);
 		}
 	}));
 });
 
 test('a fast server is left to calls that a slot is held for: to others an answer that is soon enough is as good', () => {
 	const servers = [createCandidate('fast', {domain: there}, {serviceMs: 50}), createCandidate('slow', {}, {serviceMs: 120})];
-	const rankFor = (soonEnoughMs: number): string => rankServers(servers, {
-		domain: here, otherNodeMs: 5, crossDomainMs: 10, soonEnoughMs, random: () => 0,
+	const rankFor = (fastEnoughMs: number): string => rankServers(servers, {
+		domain: here, otherNodePenaltyMs: 5, crossDomainPenaltyMs: 10, fastEnoughMs, random: () => 0,
 	})[0]!.id;
 	assert.equal(rankFor(0), 'fast');
 	assert.equal(rankFor(175), 'slow');
@@ -137,13 +137,13 @@
 	const loads = createLoadView();
 	const id = toBackendServerId('i-1');
 	const [before, after] = [toLifetimeKey({id, startedAt: 1}), toLifetimeKey({id, startedAt: 2})];
-	loads.begin(before);
-	loads.hear(before, {
+	loads.recordStart(before);
+	loads.recordReport(before, {
 		running: 12, waiting: 6, serviceMs: 900, failureShare: 1,
 	}, 1000);
-	loads.noteWay(before, 'logs', 500);
+	loads.recordRoundTrip(before, 'logs', 500);
 	assert.deepEqual(loads.get(after, 'logs'), unknown);
-	loads.begin(after);
-	loads.end(before);
-	assert.equal(loads.get(after).own, 1);
+	loads.recordStart(after);
+	loads.recordEnd(before);
+	assert.equal(loads.get(after).ownInFlight, 1);
 });
--- a/src/lib/decisions/rank-servers.ts
+++ b/src/lib/decisions/rank-servers.ts
@@ -9,7 +9,7 @@
 } from '../common/ids.js';
 import {type LifetimeKey} from '../common/server-lifetime.js';
 import {shuffleList} from '../common/shuffle-list.js';
-import {estimateRequests, type ServerView} from './load-view.js';
+import {estimateOutstanding, type ServerView} from './load-view.js';
 
 /** A backend server that may be chosen. @internal */
 export type Candidate = {
@@ -30,34 +30,34 @@
 export type RankingContext = {
 	readonly domain: FailureDomain;
 	/** What a server beside another node of the own failure domain has to be faster by, in milliseconds. */
-	readonly otherNodeMs: number;
+	readonly otherNodePenaltyMs: number;
 	/** What a server of another failure domain has to be faster by, in milliseconds. */
-	readonly crossDomainMs: number;
+	readonly crossDomainPenaltyMs: number;
 	/** An answer within this time is as good as a sooner one, in milliseconds; 0 if every millisecond counts. */
-	readonly soonEnoughMs: number;
+	readonly fastEnoughMs: number;
 	readonly random: () => number;
 };
 
 /** Taken for a server that nothing is known of, so that it is tried. Milliseconds. */
-const unknownServiceMs = 60;
+const assumedServiceMs = 60;
 
 /** A cold server is taken for so many times slower; the users' servers are about twice as slow at first. */
-const coldFactor = 2;
+const coldStartFactor = 2;
 
 /** Failures count as if each took so many times as long, since a failed request has to be sent again. */
 const failureFactor = 4;
 
 /** Estimates are spread by this share, so that nodes that see the same do not all choose the same. */
-const spread = 0.15;
+const jitterShare = 0.15;
 
 /** The time on the way counts so many times: a node that is slow to answer delays what follows as well. */
-const wayFactor = 2;
+const roundTripFactor = 2;
 
 /** Share of its slots in use above which a server is expected to be slower. */
-const busyShare = 0.7;
+const busyThresholdShare = 0.7;
 
 /** How much slower a server is with all slots in use than with few, as a share. */
-const busyFactor = 0.5;
+const busySlowdownShare = 0.5;
 
 /**
  * Servers of each kind that are compared. What is known of their load is up to a heartbeat old: if every node took the best
@@ -71,8 +71,8 @@
  * @returns How much longer work takes there now than what is known of it says.
  * @internal
  */
-export function getColdFactor({isCold}: Pick<Candidate, 'isCold'>): number {
-	return isCold ? coldFactor : 1;
+export function getColdStartFactor({isCold}: Pick<Candidate, 'isCold'>): number {
+	return isCold ? coldStartFactor : 1;
 }
 
 /**
@@ -83,25 +83,25 @@
  * @returns Milliseconds, with a random spread; only their order means anything.
  * @internal
  */
-export function estimateAnswerMs(candidate: Candidate, context: RankingContext): number {
+export function estimateResponseMs(candidate: Candidate, context: RankingContext): number {
 	const {view, slots} = candidate;
-	const slowness = getColdFactor(candidate) * (1 + (view.failureShare * failureFactor));
-	const serviceMs = (view.serviceMs === 0 ? unknownServiceMs : view.serviceMs) * slowness;
-	const requests = estimateRequests(view) + 1;
-	const share = requests / Math.max(1, slots);
-	const busyMs = serviceMs * busyFactor * Math.max(0, Math.min(1, share) - busyShare) / (1 - busyShare);
+	const slowdown = getColdStartFactor(candidate) * (1 + (view.failureShare * failureFactor));
+	const serviceMs = (view.serviceMs === 0 ? assumedServiceMs : view.serviceMs) * slowdown;
+	const requests = estimateOutstanding(view) + 1;
+	const usedShare = requests / Math.max(1, slots);
+	const busyMs = serviceMs * busySlowdownShare * Math.max(0, Math.min(1, usedShare) - busyThresholdShare) / (1 - busyThresholdShare);
 	const queueMs = Math.max(0, requests - slots) * serviceMs / Math.max(1, slots);
-	const domainMs = candidate.isLocal ? 0 : (candidate.domain === context.domain ? context.otherNodeMs : context.crossDomainMs);
-	const expectedMs = (serviceMs + busyMs + (queueMs * 2)) * (1 + (spread * context.random()));
-	return Math.max(context.soonEnoughMs, expectedMs + (view.wayMs * wayFactor)) + domainMs;
+	const penaltyMs = candidate.isLocal ? 0 : (candidate.domain === context.domain ? context.otherNodePenaltyMs : context.crossDomainPenaltyMs);
+	const expectedMs = (serviceMs + busyMs + (queueMs * 2)) * (1 + (jitterShare * context.random()));
+	return Math.max(context.fastEnoughMs, expectedMs + (view.roundTripMs * roundTripFactor)) + penaltyMs;
 }
 
 function pickShortlist(candidates: readonly Candidate[], {domain, random}: RankingContext): ReadonlySet<Candidate> {
-	const drawn = shuffleList(candidates, random);
-	const near = drawn.filter(candidate => !candidate.isLocal && candidate.domain === domain);
-	const far = drawn.filter(candidate => !candidate.isLocal && candidate.domain !== domain);
+	const shuffled = shuffleList(candidates, random);
+	const near = shuffled.filter(candidate => !candidate.isLocal && candidate.domain === domain);
+	const far = shuffled.filter(candidate => !candidate.isLocal && candidate.domain !== domain);
 	return new Set([
-		...drawn.filter(({isLocal}) => isLocal),
+		...shuffled.filter(({isLocal}) => isLocal),
 		...near.slice(0, shortlistSizes.ownDomain),
 		...far.slice(0, shortlistSizes.otherDomains),
 	]);
@@ -118,7 +118,7 @@
 export function rankServers(candidates: readonly Candidate[], context: RankingContext): readonly Candidate[] {
 	const shortlist = pickShortlist(candidates, context);
 	return candidates
-		.map(candidate => ({candidate, isOther: Number(!shortlist.has(candidate)), answerMs: estimateAnswerMs(candidate, context)}))
+		.map(candidate => ({candidate, isOther: Number(!shortlist.has(candidate)), answerMs: estimateResponseMs(candidate, context)}))
 		.toSorted((left, right) => left.isOther - right.isOther || left.answerMs - right.answerMs)
 		.map(({candidate}) => candidate);
 }
--- a/src/lib/decisions/slot-queue.test.ts
+++ b/src/lib/decisions/slot-queue.test.ts
@@ -2,7 +2,7 @@
 import test from 'node:test';
 import fc from 'fast-check';
 import {
-	admitToSlot, createSlotQueue, estimateWait, releaseToNext, removeQueued, resizeSlots, type QueuedRequest, type SlotQueue,
+	admitToQueue, createSlotQueue, estimateWaitMs, finishRequest, removeFromQueue, resizeSlots, type QueuedRequest, type SlotQueue,
 } from './slot-queue.js';
 
 const createRequest = (id: number, rank = 0, waitUntil = 10_000): QueuedRequest => ({
@@ -12,7 +12,7 @@
 function admitAll(queue: SlotQueue, requests: readonly QueuedRequest[], now = 0): SlotQueue {
 	let current = queue;
 	for (const request of requests) {
-		current = admitToSlot(current, request, now).queue;
+		current = admitToQueue(current, request, now).queue;
 	}
 
 	return current;
@@ -22,54 +22,54 @@
 	const queue = admitAll(createSlotQueue(1), [createRequest(1, 5), createRequest(2, 5), createRequest(3, 0), createRequest(4, 5)]);
 	assert.equal(queue.running, 1);
 	assert.deepEqual(queue.waiting.map(({id}) => id), [3, 2, 4]);
-	assert.deepEqual(releaseToNext(queue, 60, 10).started.map(({id}) => id), [3]);
+	assert.deepEqual(finishRequest(queue, 60, 10).started.map(({id}) => id), [3]);
 });
 
 test('a request that could not start in time is refused at once, with a time to come back', () => {
 	const queue = admitAll(createSlotQueue(1), [createRequest(1), createRequest(2)]);
-	const {decision, queue: after} = admitToSlot(queue, createRequest(3, 0, 100), 0);
+	const {decision, queue: after} = admitToQueue(queue, createRequest(3, 0, 100), 0);
 	assert.deepEqual(decision, {type: 'full', retryAfterMs: 120});
 	assert.equal(after, queue);
-	assert.equal(admitToSlot(queue, createRequest(3, 0, 0), 0).decision.type, 'full');
+	assert.equal(admitToQueue(queue, createRequest(3, 0, 0), 0).decision.type, 'full');
 });
 
 test('a request whose time to wait is over does not take the slot', () => {
 	const queue = admitAll(createSlotQueue(1), [createRequest(1), createRequest(2, 0, 500), createRequest(3, 0, 900)]);
-	assert.deepEqual(releaseToNext(queue, 60, 600).started.map(({id}) => id), [3]);
+	assert.deepEqual(finishRequest(queue, 60, 600).started.map(({id}) => id), [3]);
 });
 
 test('a full queue makes room for a lower rank by refusing the last of the highest', () => {
 	const low = Array.from({length: 4}, (_, index) => createRequest(index, 9));
 	const queue = admitAll(createSlotQueue(1), low);
-	const step = admitToSlot(queue, createRequest(9, 0), 0);
-	assert.equal(step.decision.type === 'wait' ? step.decision.displaced?.id : undefined, 3);
-	assert.equal(admitToSlot(queue, createRequest(9, 9), 0).decision.type, 'full');
+	const step = admitToQueue(queue, createRequest(9, 0), 0);
+	assert.equal(step.decision.type === 'wait' ? step.decision.evicted?.id : undefined, 3);
+	assert.equal(admitToQueue(queue, createRequest(9, 9), 0).decision.type, 'full');
 });
 
 test('what ends without an answer tells nothing of the speed', () => {
 	const queue = admitAll(createSlotQueue(2), [createRequest(1)]);
-	assert.equal(releaseToNext(queue, undefined, 0).queue.serviceMs, queue.serviceMs);
-	assert.ok(releaseToNext(queue, 1000, 0).queue.serviceMs > queue.serviceMs);
+	assert.equal(finishRequest(queue, undefined, 0).queue.serviceMs, queue.serviceMs);
+	assert.ok(finishRequest(queue, 1000, 0).queue.serviceMs > queue.serviceMs);
 });
 
 test('the first answers after a start weigh more than later ones', () => {
 	let queue = createSlotQueue(1);
 	for (let count = 0; count < 6; count++) {
-		queue = releaseToNext(queue, 180, 0).queue;
+		queue = finishRequest(queue, 180, 0).queue;
 	}
 
 	assert.ok(queue.serviceMs > 130, String(queue.serviceMs));
 	for (let count = 0; count < 200; count++) {
-		queue = releaseToNext(queue, 180, 0).queue;
+		queue = finishRequest(queue, 180, 0).queue;
 	}
 
-	assert.ok(releaseToNext(queue, 1180, 0).queue.serviceMs < 240);
+	assert.ok(finishRequest(queue, 1180, 0).queue.serviceMs < 240);
 });
 
 test('more slots start who waits; who gave up is gone', () => {
-	const queue = removeQueued(admitAll(createSlotQueue(1), [createRequest(1), createRequest(2), createRequest(3)]), 2);
+	const queue = removeFromQueue(admitAll(createSlotQueue(1), [createRequest(1), createRequest(2), createRequest(3)]), 2);
 	assert.deepEqual(resizeSlots(queue, 2, 0).started.map(({id}) => id), [3]);
-	assert.equal(estimateWait(createSlotQueue(1), 0), 0);
+	assert.equal(estimateWaitMs(createSlotQueue(1), 0), 0);
 });
 
 const listInTime = (queue: SlotQueue, now: number): readonly QueuedRequest[] => queue.waiting.filter(({waitUntil}) => waitUntil > now);
@@ -88,17 +88,17 @@
 		for (const [id, event] of steps.entries()) {
 			now += 10;
 			if (event.type === 'arrive') {
-				const admitted = admitToSlot(queue, createRequest(id, event.rank, now + event.patience), now);
+				const admitted = admitToQueue(queue, createRequest(id, event.rank, now + event.patience), now);
 				queue = admitted.queue;
 				if (admitted.decision.type !== 'full') {
 					open.add(id);
 				}
 
-				if (admitted.decision.type === 'wait' && admitted.decision.displaced !== undefined) {
-					open.delete(admitted.decision.displaced.id);
+				if (admitted.decision.type === 'wait' && admitted.decision.evicted !== undefined) {
+					open.delete(admitted.decision.evicted.id);
 				}
 			} else if (event.type === 'end' && queue.running > 0) {
-				queue = releaseToNext(queue, 50, now).queue;
+				queue = finishRequest(queue, 50, now).queue;
 			} else if (event.type === 'resize') {
 				slotsEver = Math.max(slotsEver, event.slots);
 				queue = resizeSlots(queue, event.slots, now).queue;
--- a/src/lib/decisions/slot-queue.ts
+++ b/src/lib/decisions/slot-queue.ts
@@ -25,30 +25,30 @@
 	/** Average milliseconds that a request keeps its slot. */
 	readonly serviceMs: number;
 	/** Requests that the average is made of. */
-	readonly observed: number;
+	readonly sampleCount: number;
 };
 
 /** What becomes of a request that arrives. @internal */
 export type SlotDecision =
 	| {readonly type: 'run'}
 	/** `displaced` waited behind it and has no place any more. */
-	| {readonly type: 'wait'; readonly displaced: QueuedRequest | undefined}
+	| {readonly type: 'wait'; readonly evicted: QueuedRequest | undefined}
 	| {readonly type: 'full'; readonly retryAfterMs: number};
 
 /** Weight of the newest observation in the average of service times: some twenty requests make it. The first ones weigh more: after a restart of the node the estimate decides how many may wait, while everybody comes back at once. */
-const averageWeight = 0.05;
+const smoothingFactor = 0.05;
 
 /** Assumed until the first request has ended; of the order of what the users' sheets give. Milliseconds. */
 const initialServiceMs = 60;
 
 /** The time assumed at first counts as so many requests: the first to end are the shortest ones. */
-const initialWeight = 3;
+const initialSampleCount = 3;
 
 /** The longest queue for each slot: beyond it every wait is longer than any latency objective. */
-const queuePerSlot = 3;
+const maxQueuedPerSlot = 3;
 
 /** A caller that is told to come back sooner would only be refused again. Milliseconds. */
-const shortestRetryMs = 40;
+const minRetryAfterMs = 40;
 
 /**
  * @param slots - Requests that the server works on at once.
@@ -57,7 +57,7 @@
  */
 export function createSlotQueue(slots: number): SlotQueue {
 	return {
-		slots, running: 0, waiting: [], serviceMs: initialServiceMs, observed: 0,
+		slots, running: 0, waiting: [], serviceMs: initialServiceMs, sampleCount: 0,
 	};
 }
 
@@ -67,15 +67,15 @@
  * @returns Milliseconds until a request that arrives now would start.
  * @internal
  */
-export function estimateWait(queue: SlotQueue, rank: number): number {
+export function estimateWaitMs(queue: SlotQueue, rank: number): number {
 	const ahead = queue.waiting.filter(waiting => waiting.rank <= rank).length;
 	return queue.running < queue.slots && ahead === 0 ? 0 : (ahead + 1) * queue.serviceMs / Math.max(1, queue.slots);
 }
 
 function insertByRank(waiting: readonly QueuedRequest[], request: QueuedRequest): readonly QueuedRequest[] {
-	const found = waiting.findIndex(other => other.rank > request.rank);
-	const place = found === -1 ? waiting.length : found;
-	return [...waiting.slice(0, place), request, ...waiting.slice(place)];
+	const foundIndex = waiting.findIndex(other => other.rank > request.rank);
+	const index = foundIndex === -1 ? waiting.length : foundIndex;
+	return [...waiting.slice(0, index), request, ...waiting.slice(index)];
 }
 
 /**
@@ -87,31 +87,31 @@
  * @returns The next state and what becomes of the request.
  * @internal
  */
-export function admitToSlot(queue: SlotQueue, request: QueuedRequest, now: number): {readonly queue: SlotQueue; readonly decision: SlotDecision} {
-	const isNext = !queue.waiting.some(waiting => waiting.rank <= request.rank);
-	if (queue.running < queue.slots && isNext) {
+export function admitToQueue(queue: SlotQueue, request: QueuedRequest, now: number): {readonly queue: SlotQueue; readonly decision: SlotDecision} {
+	const isFirst = !queue.waiting.some(waiting => waiting.rank <= request.rank);
+	if (queue.running < queue.slots && isFirst) {
 		return {queue: {...queue, running: queue.running + 1}, decision: {type: 'run'}};
 	}
 
-	const wait = estimateWait(queue, request.rank);
+	const wait = estimateWaitMs(queue, request.rank);
 	if (now + wait > request.startBy) {
-		return {queue, decision: {type: 'full', retryAfterMs: Math.max(shortestRetryMs, Math.ceil(wait))}};
+		return {queue, decision: {type: 'full', retryAfterMs: Math.max(minRetryAfterMs, Math.ceil(wait))}};
 	}
 
 	const waiting = insertByRank(queue.waiting, request);
-	if (waiting.length <= queue.slots * queuePerSlot) {
-		return {queue: {...queue, waiting}, decision: {type: 'wait', displaced: undefined}};
+	if (waiting.length <= queue.slots * maxQueuedPerSlot) {
+		return {queue: {...queue, waiting}, decision: {type: 'wait', evicted: undefined}};
 	}
 
-	const displaced = waiting.at(-1);
-	if (displaced?.id === request.id) {
-		return {queue, decision: {type: 'full', retryAfterMs: Math.max(shortestRetryMs, Math.ceil(wait))}};
+	const evicted = waiting.at(-1);
+	if (evicted?.id === request.id) {
+		return {queue, decision: {type: 'full', retryAfterMs: Math.max(minRetryAfterMs, Math.ceil(wait))}};
 	}
 
-	return {queue: {...queue, waiting: waiting.slice(0, -1)}, decision: {type: 'wait', displaced}};
+	return {queue: {...queue, waiting: waiting.slice(0, -1)}, decision: {type: 'wait', evicted}};
 }
 
-function startNext(queue: SlotQueue, now: number): {readonly queue: SlotQueue; readonly started: readonly QueuedRequest[]} {
+function startQueued(queue: SlotQueue, now: number): {readonly queue: SlotQueue; readonly started: readonly QueuedRequest[]} {
 	const inTime = queue.waiting.filter(waiting => waiting.waitUntil > now);
 	const free = Math.max(0, queue.slots - queue.running);
 	const started = inTime.slice(0, free);
@@ -123,10 +123,10 @@
 	};
 }
 
-function recordTime(queue: SlotQueue, tookMs: number): SlotQueue {
-	const observed = queue.observed + 1;
-	const weight = Math.max(averageWeight, 1 / (observed + initialWeight));
-	return {...queue, observed, serviceMs: (queue.serviceMs * (1 - weight)) + (tookMs * weight)};
+function recordServiceTime(queue: SlotQueue, tookMs: number): SlotQueue {
+	const sampleCount = queue.sampleCount + 1;
+	const weight = Math.max(smoothingFactor, 1 / (sampleCount + initialSampleCount));
+	return {...queue, sampleCount, serviceMs: (queue.serviceMs * (1 - weight)) + (tookMs * weight)};
 }
 
 /**
@@ -138,9 +138,9 @@
  * @returns The next state and the requests that start.
  * @internal
  */
-export function releaseToNext(queue: SlotQueue, tookMs: number | undefined, now: number): {readonly queue: SlotQueue; readonly started: readonly QueuedRequest[]} {
+export function finishRequest(queue: SlotQueue, tookMs: number | undefined, now: number): {readonly queue: SlotQueue; readonly started: readonly QueuedRequest[]} {
 	const released = {...queue, running: Math.max(0, queue.running - 1)};
-	return startNext(tookMs === undefined ? released : recordTime(released, tookMs), now);
+	return startQueued(tookMs === undefined ? released : recordServiceTime(released, tookMs), now);
 }
 
 /**
@@ -151,7 +151,7 @@
  * @returns The next state.
  * @internal
  */
-export function removeQueued(queue: SlotQueue, id: number): SlotQueue {
+export function removeFromQueue(queue: SlotQueue, id: number): SlotQueue {
 	return {...queue, waiting: queue.waiting.filter(waiting => waiting.id !== id)};
 }
 
@@ -165,5 +165,5 @@
  * @internal
  */
 export function resizeSlots(queue: SlotQueue, slots: number, now: number): {readonly queue: SlotQueue; readonly started: readonly QueuedRequest[]} {
-	return startNext({...queue, slots}, now);
+	return startQueued({...queue, slots}, now);
 }
--- a/src/lib/forwarding/call-progress.ts
+++ b/src/lib/forwarding/call-progress.ts
@@ -46,7 +46,7 @@
 
 function describeAttempt({target, startedAt}: Attempt, verdict: Verdict, outcome: string): AttemptNote {
 	return {
-		server: target.id, node: target.node, verdict, outcome, tookMs: Math.round(readSteadyMs() - startedAt), infoAgeMs: Math.round(startedAt - target.view.heardAt),
+		server: target.id, node: target.node, verdict, outcome, tookMs: Math.round(readSteadyMs() - startedAt), infoAgeMs: Math.round(startedAt - target.view.reportedAt),
 	};
 }
 
--- a/src/lib/forwarding/entry-server.ts
+++ b/src/lib/forwarding/entry-server.ts
@@ -15,13 +15,13 @@
 import {type Verdict} from '../common/verdict.js';
 import {type CallerLimits, type RouteRule} from '../route-config/route-config.js';
 import {type HeldConfig} from '../route-config/config-holder.js';
-import {type AwaitedRoutes} from '../decisions/awaited-routes.js';
-import {computeComeBack} from '../decisions/come-back.js';
+import {type NestedCallDetector} from '../decisions/nested-call-detector.js';
+import {computeRetryAfterMs} from '../decisions/retry-after.js';
 import {cutPort, findRoute} from '../route-config/route-index.js';
 import {type ShareSplitter} from '../route-config/share-splitter.js';
 import {type AttemptNote, type MeshLog} from '../timeline/mesh-log.js';
-import {type ReturningCallers} from '../decisions/returning-callers.js';
-import {createRequestMark} from '../quarantine/request-mark.js';
+import {type CallerRetryDetector} from '../decisions/caller-retry-detector.js';
+import {createLazyFingerprint} from '../quarantine/lazy-fingerprint.js';
 import {createByteBudget} from './byte-budget.js';
 import {createCallScope, endGraceMs, type CallScope} from './call-scope.js';
 import {
@@ -58,8 +58,8 @@
 	/** Waits until it is here, or a moment has passed. */
 	readonly waitForNewer: () => Promise<void>;
 	readonly splitter: ShareSplitter;
-	readonly returningCallers: ReturningCallers;
-	readonly awaitedRoutes: AwaitedRoutes;
+	readonly returningCallers: CallerRetryDetector;
+	readonly awaitedRoutes: NestedCallDetector;
 	readonly log: MeshLog;
 	/** Waits until the work on a request may begin: whatever has arrived meanwhile is heard first if this process lags behind. */
 	readonly waitForWork: (isNewConnection: boolean) => Promise<void>;
@@ -169,7 +169,7 @@
 
 	const sendFailure = (call: EntryCall, failure: ForwardFailure, verdict: Verdict, targetLatencyMs: number): number => {
 		const status = chooseFailureStatus(failure, verdict);
-		refuse(call, status, failure.reason, status === 503 ? computeComeBack({waitMs: failure.retryAfterMs, targetLatencyMs, isFull: failure.reason === 'full'}, random) : 0);
+		refuse(call, status, failure.reason, status === 503 ? computeRetryAfterMs({waitMs: failure.retryAfterMs, targetLatencyMs, isOverloaded: failure.reason === 'full'}, random) : 0);
 		return status;
 	};
 
@@ -275,9 +275,9 @@
 		}
 
 		const callerWaitsMs = getAmount(request.headers, wire.timeLeft) ?? route.timeoutMs;
-		const isAwaited = context.awaitedRoutes.note(service, route.name, route.targetLatencyMs);
+		const isAwaited = context.awaitedRoutes.recordCall(service, route.name, route.targetLatencyMs);
 		// The time left of calls that backend servers make is that of their own callers.
-		const ageMs = isAwaited ? 0 : context.returningCallers.note(route.name, callerWaitsMs);
+		const ageMs = isAwaited ? 0 : context.returningCallers.recordCall(route.name, callerWaitsMs);
 		const timeLeftMs = Math.min(callerWaitsMs, route.timeoutMs);
 		let heldBytes = 0;
 		const scope = createCallScope(call.receivedAt + timeLeftMs + endGraceMs);
@@ -307,7 +307,7 @@
 				target,
 				headers: filterCallHeaders(request.headers),
 				body,
-				mark: createRequestMark({
+				mark: createLazyFingerprint({
 					method, host: request.headers.host ?? '', target, body,
 				}),
 				receivedAt: call.receivedAt,
--- a/src/lib/forwarding/link-pacer.ts
+++ b/src/lib/forwarding/link-pacer.ts
@@ -5,7 +5,7 @@
  *
  * @module
  */
-import {computeLinkPace} from '../decisions/link-demand.js';
+import {computeLinkBytesPerMs} from '../decisions/link-demand.js';
 
 /** @internal */
 export type LinkPacer = {
@@ -26,7 +26,7 @@
  * @internal
  */
 export function createLinkPacer(linkMbps: number): LinkPacer {
-	const bytesPerMs = computeLinkPace(linkMbps);
+	const bytesPerMs = computeLinkBytesPerMs(linkMbps);
 	/** When the link has carried all that was handed over, in steady milliseconds. */
 	let carriedAt = 0;
 	return {
--- a/src/lib/forwarding/local-gate.test.ts
+++ b/src/lib/forwarding/local-gate.test.ts
@@ -7,8 +7,8 @@
 import {type ServerLifetime} from '../common/server-lifetime.js';
 import {type ServerAnnouncement} from '../local-server/local-server.js';
 import {type Quarantine} from '../quarantine/quarantine.js';
-import {createQuietQuarantine, createSampleMark} from '../quarantine/sample-quarantine.js';
-import {computeLinkPace} from '../decisions/link-demand.js';
+import {createSilentQuarantine, createSampleFingerprint} from '../quarantine/sample-quarantine.js';
+import {computeLinkBytesPerMs} from '../decisions/link-demand.js';
 import {silentLog} from '../timeline/mesh-log.js';
 import {createCallScope} from './call-scope.js';
 import {type WireHeaders} from './call-headers.js';
@@ -49,7 +49,7 @@
 		server.listen(0, '127.0.0.1', resolve);
 	});
 	const address = toAddress(`127.0.0.1:${(server.address() as AddressInfo).port}`);
-	const quarantine = createQuietQuarantine();
+	const quarantine = createSilentQuarantine();
 	const gate = createLocalGate({
 		wire, log: silentLog, handleChange: () => undefined, getMaxConnections: () => 10, quarantine, isLeaving, linkMbps: 7, countHeldBytes: () => fixture.heldBytes,
 	});
@@ -134,7 +134,7 @@
 	const {result} = await fixture.gate.run({...fixture.createCall('late'), answerMayWaitMs: 700});
 	assert.ok(result.type === 'failed');
 	assert.deepEqual([result.reason, result.verdict, result.hasArrived], ['full', 'not-run', false]);
-	assert.ok(result.retryAfterMs > 700 && result.retryAfterMs <= fixture.heldBytes / computeLinkPace(7), `${result.retryAfterMs} ms`);
+	assert.ok(result.retryAfterMs > 700 && result.retryAfterMs <= fixture.heldBytes / computeLinkBytesPerMs(7), `${result.retryAfterMs} ms`);
 	assert.deepEqual(fixture.arrived, []);
 	const small = fixture.gate.run(fixture.createCall('small'));
 	await waitForArrival(fixture);
@@ -169,16 +169,16 @@
 });
 
 /** The mark of each call of a fixture: all ask for the same. */
-const mark = createSampleMark('/logs/1');
+const mark = createSampleFingerprint('/logs/1');
 
 test('a server that has started again before its end was read has crashed: what was in work there is suspected', async context => {
 	const fixture = await createFixture(context);
 	const sent = fixture.gate.run(fixture.createCall('first'));
 	await waitForArrival(fixture);
-	assert.equal(fixture.quarantine.judge(mark).type, 'free');
+	assert.equal(fixture.quarantine.check(mark).type, 'free');
 	fixture.announce({lifetime: later});
 	await sent;
-	assert.equal(fixture.quarantine.judge(mark).type, 'trial');
+	assert.equal(fixture.quarantine.check(mark).type, 'trial');
 });
 
 test('one of another id at the same address is there after a crash, one at another address is not', async context => {
@@ -189,14 +189,14 @@
 	sameAddress.announce({lifetime: other});
 	sameAddress.cutAll();
 	await sent;
-	assert.equal(sameAddress.quarantine.judge(mark).type, 'trial');
+	assert.equal(sameAddress.quarantine.check(mark).type, 'trial');
 	const moved = await createFixture(context);
 	const sentThere = moved.gate.run(moved.createCall('first'));
 	await waitForArrival(moved);
 	moved.announce({lifetime: other, address: toAddress('127.0.0.1:9')});
 	moved.cutAll();
 	await sentThere;
-	assert.equal(moved.quarantine.judge(mark).type, 'free');
+	assert.equal(moved.quarantine.check(mark).type, 'free');
 });
 
 /**
@@ -212,7 +212,7 @@
 		await waitForArrival(fixture);
 		left.scope.end('cancelled');
 		await sent;
-		assert.equal(fixture.quarantine.judge(mark).type, 'free');
+		assert.equal(fixture.quarantine.check(mark).type, 'free');
 		const other = fixture.gate.run({...fixture.createCall('other'), target: '/logs/other'});
 		if (isAlone) {
 			await expectSoon('the other one arrives', () => fixture.arrived.includes('other'));
@@ -225,7 +225,7 @@
 
 		fixture.announce({lifetime: later});
 		await other;
-		await expectSoon('it is suspected', () => fixture.quarantine.judge(mark).type === 'trial');
+		await expectSoon('it is suspected', () => fixture.quarantine.check(mark).type === 'trial');
 	}
 });
 
@@ -236,7 +236,7 @@
 	fixture.announce({isDraining: true});
 	fixture.announce({lifetime: later});
 	await sent;
-	assert.equal(fixture.quarantine.judge(mark).type, 'free');
+	assert.equal(fixture.quarantine.check(mark).type, 'free');
 });
 
 test('when a server starts again, who waits for a slot of the earlier start is told at once that it has not run', async context => {
@@ -360,7 +360,7 @@
 		server.listen(0, '127.0.0.1', resolve);
 	});
 	const gate = createLocalGate({
-		wire, log: silentLog, handleChange: () => undefined, getMaxConnections: () => 10, quarantine: createQuietQuarantine(), isLeaving: () => false, linkMbps: 7, countHeldBytes: () => 0,
+		wire, log: silentLog, handleChange: () => undefined, getMaxConnections: () => 10, quarantine: createSilentQuarantine(), isLeaving: () => false, linkMbps: 7, countHeldBytes: () => 0,
 	});
 	context.after(() => {
 		gate.dispose();
@@ -434,7 +434,7 @@
 		server.listen(0, '127.0.0.1', resolve);
 	});
 	const gate = createLocalGate({
-		wire, log: silentLog, handleChange: () => undefined, getMaxConnections: () => 10, quarantine: createQuietQuarantine(), isLeaving: () => false, linkMbps: 7, countHeldBytes: () => 0,
+		wire, log: silentLog, handleChange: () => undefined, getMaxConnections: () => 10, quarantine: createSilentQuarantine(), isLeaving: () => false, linkMbps: 7, countHeldBytes: () => 0,
 	});
 	context.after(() => {
 		gate.dispose();
--- a/src/lib/forwarding/local-gate.ts
+++ b/src/lib/forwarding/local-gate.ts
@@ -235,8 +235,8 @@
 		}
 
 		const mark = createCallMark(call, undefined);
-		await quarantine.settle(mark);
-		const judgement = quarantine.judge(mark);
+		await quarantine.waitForTrial(mark);
+		const judgement = quarantine.check(mark);
 		return judgement.type === 'refused' ? refuse(call, createNotRun('quarantined', describeQuarantine(judgement), judgement.retryAfterMs)) : undefined;
 	};
 
@@ -267,7 +267,7 @@
 
 	/** How long the answer to a call would wait for the link. A small one does not wait. */
 	const computeLinkWait = (at: ServerSession, {answerMayWaitMs}: GateCall): number =>
-		answerMayWaitMs === undefined ? 0 : demand.computeWaitMs(context.countHeldBytes(), at.describe().serviceMs);
+		answerMayWaitMs === undefined ? 0 : demand.estimateWaitMs(context.countHeldBytes(), at.describe().serviceMs);
 
 	/** Counts the answer among those that the link has to carry. */
 	const runForLink = async (at: ServerSession, call: GateCall): Promise<ForwardResult> => {
--- a/src/lib/forwarding/outgoing-call.ts
+++ b/src/lib/forwarding/outgoing-call.ts
@@ -10,9 +10,9 @@
 import {type Candidate} from '../decisions/rank-servers.js';
 import {type Fingerprint} from '../quarantine/fingerprint.js';
 import {type Quarantine} from '../quarantine/quarantine.js';
-import {type RequestMark} from '../quarantine/request-mark.js';
+import {type LazyFingerprint} from '../quarantine/lazy-fingerprint.js';
 import {type LoadView} from '../decisions/load-view.js';
-import {type RetryAllowance} from '../decisions/retry-allowance.js';
+import {type MeshRetryBudget} from '../decisions/mesh-retry-budget.js';
 import {type AttemptNote, type MeshLog} from '../timeline/mesh-log.js';
 import {type CallScope} from './call-scope.js';
 import {type ForwardResult} from './forward-result.js';
@@ -29,7 +29,7 @@
 	readonly target: string;
 	readonly headers: Readonly<Record<string, string | readonly string[]>>;
 	readonly body: Uint8Array | undefined;
-	readonly mark: RequestMark;
+	readonly mark: LazyFingerprint;
 	/** Steady milliseconds. */
 	readonly receivedAt: number;
 	/** A backend server made it and holds a slot until it is answered. */
@@ -53,12 +53,12 @@
 	readonly callerService: string;
 	/** Servers of a service that are ready, with what is known of them for a request of a route; a few of them if there are many. */
 	readonly listCandidates: (needs: {readonly service: string; readonly route: string; readonly tried: ReadonlySet<LifetimeKey>; readonly trialOf?: Fingerprint | undefined}) => readonly Candidate[];
-	readonly quarantine: Pick<Quarantine, 'judge'>;
+	readonly quarantine: Pick<Quarantine, 'check'>;
 	readonly domain: Candidate['domain'];
 	readonly localGate: LocalGate;
 	readonly gateClient: GateClient;
 	readonly loads: LoadView;
-	readonly allowance: RetryAllowance;
+	readonly allowance: MeshRetryBudget;
 	readonly log: MeshLog;
 	readonly random: () => number;
 	readonly noteUnreachable: (node: NodeId, reason: string) => void;
--- a/src/lib/forwarding/running-attempts.ts
+++ b/src/lib/forwarding/running-attempts.ts
@@ -99,8 +99,8 @@
 		}
 
 		const {tookMs, ...view} = load;
-		context.loads.hear(target.lifetime, view, readSteadyMs());
-		context.loads.noteWay(target.lifetime, call.route.name, readAwakeMs() - startedAwakeAt - tookMs);
+		context.loads.recordReport(target.lifetime, view, readSteadyMs());
+		context.loads.recordRoundTrip(target.lifetime, call.route.name, readAwakeMs() - startedAwakeAt - tookMs);
 	};
 
 	const sendWatched = async (attempt: Attempt): Promise<ForwardResult> => {
@@ -111,14 +111,14 @@
 		};
 
 		const unwatch = target.isLocal ? (): void => undefined : context.watchSilence(target.node, handleDoubt);
-		context.loads.begin(target.lifetime);
+		context.loads.recordStart(target.lifetime);
 		try {
 			const {result, load} = await sendOnce(context, call, attempt, handleDoubt);
 			noteLoad(attempt, load);
 			noteNode(context, target, result);
 			return result;
 		} finally {
-			context.loads.end(target.lifetime);
+			context.loads.recordEnd(target.lifetime);
 			unwatch();
 			scope.dispose();
 		}
--- a/src/lib/forwarding/send-call.test.ts
+++ b/src/lib/forwarding/send-call.test.ts
@@ -7,9 +7,9 @@
 import {createSampleRoute} from '../route-config/sample-config.js';
 import {createLoadView, type LoadView} from '../decisions/load-view.js';
 import {type Candidate} from '../decisions/rank-servers.js';
-import {createQuietQuarantine, createSampleMark} from '../quarantine/sample-quarantine.js';
+import {createSilentQuarantine, createSampleFingerprint} from '../quarantine/sample-quarantine.js';
 import {silentLog} from '../timeline/mesh-log.js';
-import {createRetryAllowance} from '../decisions/retry-allowance.js';
+import {createMeshRetryBudget} from '../decisions/mesh-retry-budget.js';
 import {createCallScope} from './call-scope.js';
 import {
 	createMayHaveRun, createNotRun, type ForwardResult, type GateResult,
@@ -46,9 +46,9 @@
 		},
 	} as unknown as GateClient;
 	const context: SendContext = {
-		self: toNodeId('n1'), callerService: 'caller', domain, listCandidates, gateClient, loads, log: silentLog, quarantine: createQuietQuarantine(),
+		self: toNodeId('n1'), callerService: 'caller', domain, listCandidates, gateClient, loads, log: silentLog, quarantine: createSilentQuarantine(),
 		localGate: {} as unknown as LocalGate,
-		allowance: createRetryAllowance(() => ({ratio: 0.2, slack: 100, windowMs: 10_000}), () => 1),
+		allowance: createMeshRetryBudget(() => ({ratio: 0.2, slack: 100, windowMs: 10_000}), () => 1),
 		random: () => 0,
 		noteUnreachable(node) {
 			unreachable.push(node);
@@ -69,7 +69,7 @@
 
 function createCall(changes: Partial<OutgoingCall> = {}): OutgoingCall {
 	return {
-		id: 'c1', route: createSampleRoute({maxAttempts: 2}), service: 'logview', method: 'GET', target: '/logs/1', headers: {}, body: undefined, mark: createSampleMark(),
+		id: 'c1', route: createSampleRoute({maxAttempts: 2}), service: 'logview', method: 'GET', target: '/logs/1', headers: {}, body: undefined, mark: createSampleFingerprint(),
 		receivedAt: performance.now(), isAwaited: false, ageMs: 0, scope: createCallScope(performance.now() + 1000), ...changes,
 	};
 }
@@ -128,7 +128,7 @@
 	});
 	await sendCall(many.context, createCall({route: createSampleRoute({maxAttempts: 3})}));
 	assert.equal(many.sent.length, 3);
-	const spent = createFixture({a: [failed], b: [failed]}, {allowance: createRetryAllowance(() => ({ratio: 0, slack: 0, windowMs: 10_000}), () => 1)});
+	const spent = createFixture({a: [failed], b: [failed]}, {allowance: createMeshRetryBudget(() => ({ratio: 0, slack: 0, windowMs: 10_000}), () => 1)});
 	await sendCall(spent.context, createCall());
 	assert.equal(spent.sent.length, 1);
 });
@@ -136,7 +136,7 @@
 test('when every server is busy for far too long, no gate is asked, unless others wait behind the call', async () => {
 	const fillQueues = (fixture: Fixture): void => {
 		for (const id of ['a', 'b']) {
-			fixture.loads.hear(toKey(id), {running: 4, waiting: 40, serviceMs: 200}, performance.now());
+			fixture.loads.recordReport(toKey(id), {running: 4, waiting: 40, serviceMs: 200}, performance.now());
 		}
 	};
 
@@ -180,7 +180,7 @@
 	} as unknown as GateClient;
 	const {context} = createFixture({a: [], b: []}, {
 		gateClient,
-		allowance: createRetryAllowance(() => ({ratio: 0, slack, windowMs: 10_000}), () => 1),
+		allowance: createMeshRetryBudget(() => ({ratio: 0, slack, windowMs: 10_000}), () => 1),
 		watchSilence(_node, handleSilence) {
 			tellSilence = handleSilence;
 			return () => undefined;
@@ -251,9 +251,9 @@
 });
 
 test('a quarantined request is refused as not run before any gate is asked', async () => {
-	const quarantine = createQuietQuarantine();
+	const quarantine = createSilentQuarantine();
 	for (const startedAt of [1, 2, 3]) {
-		quarantine.noteCrash({id: toBackendServerId('i-1'), startedAt}, [createSampleMark()]);
+		quarantine.recordCrash({id: toBackendServerId('i-1'), startedAt}, [createSampleFingerprint()]);
 	}
 
 	const {context, sent} = createFixture({a: [answered]}, {quarantine});
@@ -269,8 +269,8 @@
  * Cause: a trial that was turned away was passed on like any call. The attempts in the nodes' logs showed it: `server-unreachable` at one server, `server-crashed` at the next.
  */
 test('a call on trial that is turned away is given up, and goes to no other server', async () => {
-	const quarantine = createQuietQuarantine();
-	quarantine.noteCrash({id: toBackendServerId('i-1'), startedAt: 1}, [createSampleMark()]);
+	const quarantine = createSilentQuarantine();
+	quarantine.recordCrash({id: toBackendServerId('i-1'), startedAt: 1}, [createSampleFingerprint()]);
 	const {context, sent} = createFixture({a: [createNotRun('server-unreachable', 'refused', 500)], b: [answered]});
 	const {result, verdict} = await sendCall({...context, quarantine}, createCall());
 	assert.deepEqual([result.type === 'failed' ? result.reason : '', verdict, sent.length], ['server-unreachable', 'not-run', 1]);
--- a/src/lib/forwarding/send-call.ts
+++ b/src/lib/forwarding/send-call.ts
@@ -9,14 +9,14 @@
 import {type Verdict} from '../common/verdict.js';
 import {hasLargeAnswers, isBulk, isRepeatable} from '../route-config/route-config.js';
 import {rankServers} from '../decisions/rank-servers.js';
-import {computeAnswerWait} from '../decisions/link-demand.js';
-import {computeDistances} from '../decisions/distances.js';
+import {computeMaxResponseWaitMs} from '../decisions/link-demand.js';
+import {computeRankingThresholds} from '../decisions/ranking-thresholds.js';
 import {
-	mayAskAnother, planAttempt, standardRules, type AttemptPlan, type CallFacts,
+	mayTryAnotherGate, planAttempt, standardRules, type AttemptPlan, type CallState,
 } from '../decisions/plan-attempt.js';
-import {type Judgement} from '../quarantine/ledger.js';
+import {type QuarantineDecision} from '../quarantine/suspect-table.js';
 import {describeRefusal as describeQuarantine} from '../quarantine/quarantine.js';
-import {type RepeatReason} from '../decisions/retry-allowance.js';
+import {type RetryReason} from '../decisions/mesh-retry-budget.js';
 import {createCallProgress, hasArrived} from './call-progress.js';
 import {createNotRun, type ForwardFailure, type ForwardResult} from './forward-result.js';
 import {type CallOutcome, type OutgoingCall, type SendContext} from './outgoing-call.js';
@@ -25,17 +25,17 @@
 /** An attempt that is to begin. */
 type PlannedAttempt = Extract<AttemptPlan, {readonly type: 'send'}>;
 
-function describeFacts(call: OutgoingCall, now: number): CallFacts {
+function describeFacts(call: OutgoingCall, now: number): CallState {
 	const {route, ageMs, isAwaited} = call;
 	return {
-		targetLatencyMs: route.targetLatencyMs, ageMs: ageMs + now - call.receivedAt, leftMs: call.scope.endsAt - now, isAwaited, isBulk: isBulk(route.type),
+		targetLatencyMs: route.targetLatencyMs, ageMs: ageMs + now - call.receivedAt, leftMs: call.scope.endsAt - now, isNestedCall: isAwaited, isBulk: isBulk(route.type),
 	};
 }
 
 /** Whether a call may crash whatever runs it, so that no other server is asked of its own accord: its server crashed, or its gate knows of crashes. */
 const isSuspected = (result: ForwardResult): boolean => result.type === 'failed' && (result.reason === 'server-crashed' || result.reason === 'quarantined');
 
-function chooseRepeatReason(call: OutgoingCall, result: ForwardResult): RepeatReason {
+function chooseRepeatReason(call: OutgoingCall, result: ForwardResult): RetryReason {
 	if (result.type === 'answered' || result.verdict !== 'not-run') {
 		return 'may-have-run';
 	}
@@ -56,7 +56,7 @@
 	const mayRepeat = isRepeatable(route.type);
 	const progress = createCallProgress(service);
 	const running = createRunningAttempts(context, call);
-	context.allowance.noteRequest(service, call.isAwaited, readSteadyMs());
+	context.allowance.recordRequest(service, call.isAwaited, readSteadyMs());
 
 	/** Arrivals at servers that may be: the first one, and one for each repeat that was taken from the allowance. */
 	let paidArrivals = 1;
@@ -66,11 +66,11 @@
 
 	const hasPaid = (): boolean => progress.countArrivals() + running.count() < paidArrivals;
 
-	const mayPay = (reason: RepeatReason): boolean =>
-		progress.countArrivals() + running.count() < route.maxAttempts && context.allowance.countLeft(service, reason, readSteadyMs()) > 0;
+	const mayPay = (reason: RetryReason): boolean =>
+		progress.countArrivals() + running.count() < route.maxAttempts && context.allowance.countRemaining(service, reason, readSteadyMs()) > 0;
 
-	const takeRepeat = (reason: RepeatReason): boolean => {
-		if (progress.countArrivals() + running.count() >= route.maxAttempts || !context.allowance.take(service, reason, readSteadyMs())) {
+	const takeRepeat = (reason: RetryReason): boolean => {
+		if (progress.countArrivals() + running.count() >= route.maxAttempts || !context.allowance.tryAcquire(service, reason, readSteadyMs())) {
 			return false;
 		}
 
@@ -78,14 +78,14 @@
 		return true;
 	};
 
-	const planNext = (judgement: Judgement): AttemptPlan => {
+	const planNext = (judgement: QuarantineDecision): AttemptPlan => {
 		const now = readSteadyMs();
 		const facts = describeFacts(call, now);
 		const candidates = context.listCandidates({
 			service, route: route.name, tried: progress.tried, trialOf: judgement.type === 'trial' ? judgement.fingerprint : undefined,
 		});
 		const ranked = rankServers(candidates, {
-			domain: context.domain, random: context.random, ...computeDistances(route, call.isAwaited, facts.ageMs),
+			domain: context.domain, random: context.random, ...computeRankingThresholds(route, call.isAwaited, facts.ageMs),
 		});
 		return planAttempt(facts, progress, ranked, standardRules, now);
 	};
@@ -108,7 +108,7 @@
 	};
 
 	const start = ({target, mayWaitMs}: PlannedAttempt): void => {
-		const answerMayWaitMs = hasLargeAnswers(route.type) ? computeAnswerWait(describeFacts(call, readSteadyMs()), target) : undefined;
+		const answerMayWaitMs = hasLargeAnswers(route.type) ? computeMaxResponseWaitMs(describeFacts(call, readSteadyMs()), target) : undefined;
 		progress.noteStart(running.start({target, mayWaitMs, answerMayWaitMs}));
 	};
 
@@ -124,7 +124,7 @@
 	/** Starts the next attempt; without one, what is under way may still be answered. Yields how the call ended if nothing is. */
 	const startNext = (): CallOutcome | undefined => {
 		// What the node has heard since the last attempt counts for the next one.
-		const judgement = context.quarantine.judge(call.mark);
+		const judgement = context.quarantine.check(call.mark);
 		if (judgement.type === 'refused') {
 			return refuse(createNotRun('quarantined', describeQuarantine(judgement), judgement.retryAfterMs));
 		}
@@ -148,7 +148,7 @@
 
 		if (!hasArrived(result)) {
 			// Another copy may be what took the server away: to pass this one on would be a second trial beside it.
-			return !isOnTrial && hasPaid() && mayAskAnother({isBulk: isBulk(route.type)}, progress.refusals);
+			return !isOnTrial && hasPaid() && mayTryAnotherGate({isBulk: isBulk(route.type)}, progress.refusals);
 		}
 
 		return hasPaid() || takeRepeat(chooseRepeatReason(call, result));
@@ -177,7 +177,7 @@
 	 * where all other servers are full.
 	 */
 	const handleDoubt = (): void => {
-		if (!mayRepeat || running.count() === 0 || !running.hasOnlyDoubted() || !mayAskAnother({isBulk: isBulk(route.type)}, progress.refusals)) {
+		if (!mayRepeat || running.count() === 0 || !running.hasOnlyDoubted() || !mayTryAnotherGate({isBulk: isBulk(route.type)}, progress.refusals)) {
 			return;
 		}
 
@@ -186,7 +186,7 @@
 			return;
 		}
 
-		const judgement = context.quarantine.judge(call.mark);
+		const judgement = context.quarantine.check(call.mark);
 		const plan = judgement.type === 'free' ? planNext(judgement) : undefined;
 		if (plan?.type === 'send' && (hasPaid() || takeRepeat('may-have-run'))) {
 			start(plan);
--- a/src/lib/forwarding/server-session.ts
+++ b/src/lib/forwarding/server-session.ts
@@ -10,9 +10,9 @@
 import {readAwakeMs, readSteadyMs} from '../common/clock.js';
 import {type ServerLifetime} from '../common/server-lifetime.js';
 import {type ServerAnnouncement} from '../local-server/local-server.js';
-import {createCrashWatch} from '../quarantine/crash-watch.js';
+import {createCrashDetector} from '../quarantine/crash-detector.js';
 import {type Quarantine} from '../quarantine/quarantine.js';
-import {createRequestMark, type RequestMark} from '../quarantine/request-mark.js';
+import {createLazyFingerprint, type LazyFingerprint} from '../quarantine/lazy-fingerprint.js';
 import {type MeshLog} from '../timeline/mesh-log.js';
 import {endGraceMs, type CallScope} from './call-scope.js';
 import {filterCallHeaders, getText, type WireHeaders} from './call-headers.js';
@@ -45,7 +45,7 @@
 	readonly maxConnections: number;
 	/** The server could not be reached. */
 	readonly handleUnreachable: (lifetime: ServerLifetime, reason: string) => void;
-	readonly quarantine: Pick<Quarantine, 'judge' | 'settle' | 'admitRun' | 'noteCrash' | 'noteAnswered'>;
+	readonly quarantine: Pick<Quarantine, 'check' | 'waitForTrial' | 'admitRun' | 'recordCrash' | 'recordResponse'>;
 	/** Whether the server, or its node, leaves: its end is no crash then. */
 	readonly isLeaving: () => boolean;
 	/** Another server answered at the address. */
@@ -113,7 +113,7 @@
 export const countPlaces = (slots: number): number => slots + Math.floor(slots / slotsPerRequestAhead);
 
 /** A request that was sent to the server. */
-type SentCall = {readonly id: string; readonly mark: RequestMark};
+type SentCall = {readonly id: string; readonly mark: LazyFingerprint};
 
 /** One that ended here without an answer: a server that does not drop it works on it until then, in steady milliseconds. */
 type GivenUpCall = SentCall & {readonly until: number};
@@ -130,7 +130,7 @@
  * @returns It as the quarantine looks at it.
  * @internal
  */
-export const createCallMark = ({method, target, headers}: Pick<SessionCall, 'method' | 'target' | 'headers'>, body: Uint8Array | undefined): RequestMark => createRequestMark({
+export const createCallMark = ({method, target, headers}: Pick<SessionCall, 'method' | 'target' | 'headers'>, body: Uint8Array | undefined): LazyFingerprint => createLazyFingerprint({
 	method, host: typeof headers.host === 'string' ? headers.host : '', target, body,
 });
 
@@ -157,7 +157,7 @@
 	let isEnded = false;
 	let hasCrashed = false;
 
-	const keepGivenUp = ({id, scope}: SessionCall, mark: RequestMark): void => {
+	const keepGivenUp = ({id, scope}: SessionCall, mark: LazyFingerprint): void => {
 		const until = Math.min(scope.endsAt, readSteadyMs() + givenUpMs);
 		givenUp = [...givenUp, {id, mark, until}].slice(-mostGivenUp);
 	};
@@ -177,11 +177,11 @@
 			kind: 'server-crashed', server: lifetime.id, atWork: atWork.length,
 			suspects: named.map(({mark}) => mark.getFingerprint()), calls: named.map(({id}) => id),
 		});
-		context.quarantine.noteCrash(lifetime, atWork.map(({mark}) => mark));
+		context.quarantine.recordCrash(lifetime, atWork.map(({mark}) => mark));
 		context.handleUnreachable(lifetime, 'it crashed');
 	};
 
-	const crashWatch = createCrashWatch<SentCall>({
+	const crashWatch = createCrashDetector<SentCall>({
 		hasEnded: async () => hasCrashed || (!isEnded && !context.isLeaving() && isRefusingConnections(announcement.address, askMs)),
 		handleCrash,
 	});
@@ -189,7 +189,7 @@
 	/** Nothing else may have been in work when it ended. */
 	const checkGivenUp = (): void => {
 		for (const call of takeGivenUp()) {
-			void crashWatch.noteLost(call);
+			void crashWatch.recordLost(call);
 		}
 	};
 
@@ -227,13 +227,13 @@
 	 * A request that was in work when the server crashed goes to no other server of its own accord: one that crashes whatever runs it
 	 * took as many servers at once as its route allows attempts. One that was answered elsewhere a moment ago goes on as ever.
 	 */
-	const judgeLost = async ({id}: SessionCall, mark: RequestMark, failure: ExchangeFailure): Promise<ForwardFailure> => {
-		const isCrash = await crashWatch.noteLost({id, mark});
+	const judgeLost = async ({id}: SessionCall, mark: LazyFingerprint, failure: ExchangeFailure): Promise<ForwardFailure> => {
+		const isCrash = await crashWatch.recordLost({id, mark});
 		const judged = judgeFailure(failure);
-		return isCrash && context.quarantine.judge(mark).type !== 'free' ? {...judged, reason: 'server-crashed'} : judged;
+		return isCrash && context.quarantine.check(mark).type !== 'free' ? {...judged, reason: 'server-crashed'} : judged;
 	};
 
-	const judgeAnswer = (answer: ExchangeAnswer, mark: RequestMark): ForwardResult => {
+	const judgeAnswer = (answer: ExchangeAnswer, mark: LazyFingerprint): ForwardResult => {
 		if (answer.status === 421) {
 			// Another server has the address: it is not asked again before it has said who it is.
 			context.handleStranger(lifetime);
@@ -254,7 +254,7 @@
 		noteOutcome(hasFailed);
 		// A failure says nothing for a request: a server may give up on one, or a call of its may fail, before it comes to what crashes it.
 		if (!hasFailed) {
-			context.quarantine.noteAnswered(mark);
+			context.quarantine.recordResponse(mark);
 		}
 
 		return {
@@ -270,7 +270,7 @@
 
 	const send = async (call: SessionCall, body: Uint8Array | undefined): Promise<ForwardResult> => {
 		const mark = createCallMark(call, body);
-		const settled = context.quarantine.settle(mark);
+		const settled = context.quarantine.waitForTrial(mark);
 		if (settled !== undefined) {
 			await settled;
 		}
@@ -354,7 +354,7 @@
 		describe: () => ({...slots.describe(), failureShare}),
 		noteCrashed() {
 			hasCrashed = true;
-			crashWatch.noteReplaced();
+			crashWatch.recordReplaced();
 			checkGivenUp();
 		},
 		retire: stopTaking,
--- a/src/lib/forwarding/silent-node.test.ts
+++ b/src/lib/forwarding/silent-node.test.ts
@@ -12,9 +12,9 @@
 import {toLifetimeKey, type LifetimeKey} from '../common/server-lifetime.js';
 import {createLoadView} from '../decisions/load-view.js';
 import {type Candidate} from '../decisions/rank-servers.js';
-import {createRetryAllowance} from '../decisions/retry-allowance.js';
+import {createMeshRetryBudget} from '../decisions/mesh-retry-budget.js';
 import {createSampleRoute} from '../route-config/sample-config.js';
-import {createQuietQuarantine, createSampleMark} from '../quarantine/sample-quarantine.js';
+import {createSilentQuarantine, createSampleFingerprint} from '../quarantine/sample-quarantine.js';
 import {silentLog} from '../timeline/mesh-log.js';
 import {createCallScope} from './call-scope.js';
 import {
@@ -77,15 +77,15 @@
 		},
 	} as unknown as GateClient;
 	const call: OutgoingCall = {
-		id: 'c1', route: createSampleRoute({maxAttempts: 2}), service: 'logview', method: 'GET', target: '/logs/1', headers: {}, body: undefined, mark: createSampleMark(),
+		id: 'c1', route: createSampleRoute({maxAttempts: 2}), service: 'logview', method: 'GET', target: '/logs/1', headers: {}, body: undefined, mark: createSampleFingerprint(),
 		receivedAt: performance.now(), isAwaited: false, ageMs: 0, scope,
 	};
 	return {
 		sent,
 		send: async () => sendCall({
-			self: toNodeId('n1'), callerService: 'caller', domain, listCandidates, gateClient, loads, log: silentLog, quarantine: createQuietQuarantine(),
+			self: toNodeId('n1'), callerService: 'caller', domain, listCandidates, gateClient, loads, log: silentLog, quarantine: createSilentQuarantine(),
 			localGate: {} as unknown as LocalGate,
-			allowance: createRetryAllowance(() => ({ratio: 0, slack, windowMs: 10_000}), () => 1),
+			allowance: createMeshRetryBudget(() => ({ratio: 0, slack, windowMs: 10_000}), () => 1),
 			random: () => 0,
 			noteUnreachable: () => undefined,
 			noteReached: () => undefined,
@@ -109,7 +109,7 @@
 		},
 		fillOthers() {
 			for (const {lifetime} of listCandidates().filter(candidate => candidate.id !== sent[0]?.server)) {
-				loads.hear(lifetime, {running: 4, waiting: 40, serviceMs: 200}, performance.now());
+				loads.recordReport(lifetime, {running: 4, waiting: 40, serviceMs: 200}, performance.now());
 			}
 		},
 	};
--- a/src/lib/forwarding/suspended-gate.test.ts
+++ b/src/lib/forwarding/suspended-gate.test.ts
@@ -9,7 +9,7 @@
 import {expectSoon} from '../../../stand-ins/wait-until.js';
 import {readSteadyMs} from '../common/clock.js';
 import {toAddress, toBackendServerId} from '../common/ids.js';
-import {createQuietQuarantine} from '../quarantine/sample-quarantine.js';
+import {createSilentQuarantine} from '../quarantine/sample-quarantine.js';
 import {silentLog} from '../timeline/mesh-log.js';
 import {createCallScope} from './call-scope.js';
 import {createLocalGate} from './local-gate.js';
@@ -33,7 +33,7 @@
 		wire: {
 			callId: 'x-call', timeLeft: 'x-left', expectedServer: 'x-server', callerService: 'x-caller', signature: 'x-signature', notRun: 'x-not-run',
 		},
-		log: silentLog, handleChange: () => undefined, getMaxConnections: () => 10, quarantine: createQuietQuarantine(), isLeaving: () => false, linkMbps: 7, countHeldBytes: () => 0,
+		log: silentLog, handleChange: () => undefined, getMaxConnections: () => 10, quarantine: createSilentQuarantine(), isLeaving: () => false, linkMbps: 7, countHeldBytes: () => 0,
 	});
 	const scope = createCallScope(readSteadyMs() + 30_000);
 	context.after(() => {
--- a/src/lib/forwarding/two-attempts.test.ts
+++ b/src/lib/forwarding/two-attempts.test.ts
@@ -7,9 +7,9 @@
 import {toLifetimeKey, type LifetimeKey} from '../common/server-lifetime.js';
 import {createLoadView} from '../decisions/load-view.js';
 import {type Candidate} from '../decisions/rank-servers.js';
-import {createRetryAllowance} from '../decisions/retry-allowance.js';
+import {createMeshRetryBudget} from '../decisions/mesh-retry-budget.js';
 import {createSampleRoute} from '../route-config/sample-config.js';
-import {createQuietQuarantine, createSampleMark} from '../quarantine/sample-quarantine.js';
+import {createSilentQuarantine, createSampleFingerprint} from '../quarantine/sample-quarantine.js';
 import {silentLog} from '../timeline/mesh-log.js';
 import {createCallScope} from './call-scope.js';
 import {
@@ -49,7 +49,7 @@
 		},
 		send: async () => sendCall({
 			self: toNodeId('n1'), callerService: 'caller', domain, loads, log: silentLog, localGate: {} as unknown as LocalGate,
-			quarantine: createQuietQuarantine(),
+			quarantine: createSilentQuarantine(),
 			listCandidates: () => ['a', 'b', 'c', 'd'].map((id): Candidate => ({
 				id: toBackendServerId(id), lifetime: toKey(id), node: toNodeId(`n-${id}`), gate: toAddress('10.0.0.1:1'), domain, isLocal: false, slots: 4, isCold: false, view: loads.get(toKey(id)),
 			})),
@@ -65,7 +65,7 @@
 					};
 				},
 			} as unknown as GateClient,
-			allowance: createRetryAllowance(() => ({ratio: 0, slack: 1000, windowMs: 10_000}), () => 1),
+			allowance: createMeshRetryBudget(() => ({ratio: 0, slack: 1000, windowMs: 10_000}), () => 1),
 			random: () => 0,
 			noteUnreachable: () => undefined,
 			noteReached: () => undefined,
@@ -77,7 +77,7 @@
 				};
 			},
 		}, {
-			id: 'c1', route: createSampleRoute({maxAttempts, type}), service: 'logview', method: 'GET', target: '/logs/1', headers: {}, body: undefined, mark: createSampleMark(),
+			id: 'c1', route: createSampleRoute({maxAttempts, type}), service: 'logview', method: 'GET', target: '/logs/1', headers: {}, body: undefined, mark: createSampleFingerprint(),
 			receivedAt: performance.now(), isAwaited: false, ageMs: 0, scope,
 		}),
 	};
--- a/src/lib/membership/gossip.ts
+++ b/src/lib/membership/gossip.ts
@@ -68,7 +68,7 @@
 	readonly network: Network;
 	readonly random: () => number;
 	/** Requests that crash backend servers ride on each datagram, a bounded part of them. */
-	readonly quarantine: Pick<Quarantine, 'describe' | 'take'>;
+	readonly quarantine: Pick<Quarantine, 'listBatch' | 'merge'>;
 };
 
 type MessageKind = MessageInitShape<typeof GossipSchema>['kind'];
@@ -123,7 +123,7 @@
 			epoch: BigInt(directory.getOwnRecord().epoch),
 			sequenceNumber,
 			records: records.map(record => encodeRecord(record)),
-			suspects: context.quarantine.describe().map(suspect => JSON.stringify(encodeSuspect(suspect))),
+			suspects: context.quarantine.listBatch().map(suspect => JSON.stringify(encodeSuspect(suspect))),
 			kind,
 		});
 		if (isClosed) {
@@ -216,7 +216,7 @@
 		decodeRecords(message.records).andTee(records => {
 			directory.merge(records, {type: 'push', from});
 		});
-		context.quarantine.take(message.suspects.map(text => decodeSuspect(JSON.parse(text), 'suspects')), from);
+		context.quarantine.merge(message.suspects.map(text => decodeSuspect(JSON.parse(text), 'suspects')), from);
 		const {kind} = message;
 		switch (kind.case) {
 			case 'ping': {
--- a/src/lib/node/node.ts
+++ b/src/lib/node/node.ts
@@ -124,7 +124,7 @@
 				}
 			},
 		},
-		handleNews() {
+		handleUrgentChange() {
 			gossip.announce();
 		},
 		// This node's store holds the configuration and idempotency keys alone: what crashed servers is told from node to node.
--- a/src/lib/quarantine/crash-watch.test.ts
+++ b/src/lib/quarantine/crash-detector.test.ts
@@ -1,12 +1,12 @@
 import assert from 'node:assert/strict';
 import test, {type TestContext} from 'node:test';
-import {createCrashWatch, type CrashWatch} from './crash-watch.js';
+import {createCrashDetector, type CrashDetector} from './crash-detector.js';
 
 type Fixture = {
-	readonly watch: CrashWatch<string>;
+	readonly detector: CrashDetector<string>;
 	/** What was in work at each crash. */
 	readonly crashes: ReadonlyArray<readonly string[]>;
-	readonly countQuestions: () => number;
+	readonly countProbes: () => number;
 	readonly setEnded: (isOver: boolean) => void;
 	/** Lets time pass, and what waits for it run. */
 	readonly advance: (milliseconds: number) => Promise<void>;
@@ -17,21 +17,21 @@
 	let now = 1000;
 	mock.method(performance, 'now', () => now);
 	const crashes: Array<readonly string[]> = [];
-	let questions = 0;
+	let probes = 0;
 	let isOver = true;
-	const watch = createCrashWatch<string>({
+	const detector = createCrashDetector<string>({
 		async hasEnded() {
-			questions++;
+			probes++;
 			return isOver;
 		},
-		handleCrash(atWork) {
-			crashes.push(atWork);
+		handleCrash(inFlight) {
+			crashes.push(inFlight);
 		},
 	});
 	return {
-		watch,
+		detector,
 		crashes,
-		countQuestions: () => questions,
+		countProbes: () => probes,
 		setEnded(next) {
 			isOver = next;
 		},
@@ -46,37 +46,37 @@
 }
 
 test('all that is lost within a moment was in work at the same crash, which is asked for once', async context => {
-	const {watch, crashes, countQuestions, advance} = createFixture(context);
-	const verdicts = [watch.noteLost('a'), watch.noteLost('b')];
+	const {detector, crashes, countProbes, advance} = createFixture(context);
+	const results = [detector.recordLost('a'), detector.recordLost('b')];
 	await advance(1);
-	verdicts.push(watch.noteLost('c'));
+	results.push(detector.recordLost('c'));
 	await advance(2);
-	assert.deepEqual(await Promise.all(verdicts), [true, true, true]);
+	assert.deepEqual(await Promise.all(results), [true, true, true]);
 	assert.deepEqual(crashes, [['a', 'b', 'c']]);
-	assert.equal(countQuestions(), 1);
+	assert.equal(countProbes(), 1);
 });
 
 test('what is read later than that was in work at the crash as well', async context => {
-	const {watch, crashes, advance} = createFixture(context);
-	const first = watch.noteLost('a');
+	const {detector, crashes, advance} = createFixture(context);
+	const first = detector.recordLost('a');
 	await advance(3);
-	const second = watch.noteLost('b');
+	const second = detector.recordLost('b');
 	await advance(3);
 	assert.deepEqual([await first, await second], [true, true]);
 	assert.deepEqual(crashes, [['a'], ['b']]);
 });
 
 test('a server that goes on listening has not crashed, and is not asked again for each connection that it resets', async context => {
-	const {watch, crashes, countQuestions, setEnded, advance} = createFixture(context);
+	const {detector, crashes, countProbes, setEnded, advance} = createFixture(context);
 	setEnded(false);
-	const first = watch.noteLost('a');
+	const first = detector.recordLost('a');
 	await advance(3);
 	assert.equal(await first, false);
-	assert.equal(await watch.noteLost('b'), false);
-	assert.equal(countQuestions(), 1);
+	assert.equal(await detector.recordLost('b'), false);
+	assert.equal(countProbes(), 1);
 	await advance(60);
 	setEnded(true);
-	const third = watch.noteLost('c');
+	const third = detector.recordLost('c');
 	await advance(3);
 	assert.equal(await third, true);
 	assert.deepEqual(crashes, [['c']], 'what was lost while the server listened is no suspect');
@@ -89,37 +89,37 @@
  * Cause: that somebody listens was taken for a sign that it is the same start.
  */
 test('what was lost while the next start listened already was in work at a crash, once that start is heard of', async context => {
-	const {watch, crashes, setEnded, advance} = createFixture(context);
+	const {detector, crashes, setEnded, advance} = createFixture(context);
 	setEnded(false);
-	const first = watch.noteLost('a');
+	const first = detector.recordLost('a');
 	await advance(3);
 	assert.equal(await first, false);
-	assert.equal(await watch.noteLost('b'), false);
+	assert.equal(await detector.recordLost('b'), false);
 	await advance(1000);
-	watch.noteReplaced();
+	detector.recordReplaced();
 	assert.deepEqual(crashes, [['a', 'b']]);
-	watch.noteReplaced();
+	detector.recordReplaced();
 	assert.equal(crashes.length, 1);
 });
 
 test('what a full server reset long before it was replaced, or before a crash that was seen, is no suspect', async context => {
-	const {watch, crashes, setEnded, advance} = createFixture(context);
+	const {detector, crashes, setEnded, advance} = createFixture(context);
 	setEnded(false);
-	const early = watch.noteLost('early');
+	const early = detector.recordLost('early');
 	await advance(3);
 	await early;
 	await advance(5000);
-	watch.noteReplaced();
+	detector.recordReplaced();
 	assert.deepEqual(crashes, []);
 
-	const reset = watch.noteLost('reset');
+	const reset = detector.recordLost('reset');
 	await advance(3);
 	await reset;
 	await advance(60);
 	setEnded(true);
-	const seen = watch.noteLost('seen');
+	const seen = detector.recordLost('seen');
 	await advance(3);
 	await seen;
-	watch.noteReplaced();
+	detector.recordReplaced();
 	assert.deepEqual(crashes, [['seen']]);
 });
--- a/src/lib/quarantine/crash-report.ts
+++ b/src/lib/quarantine/crash-report.ts
@@ -16,14 +16,14 @@
 };
 
 /** Requests that a report names at the most: several times what is in work at the largest servers of the users. */
-const mostNamed = 64;
+const maxReportedRequests = 64;
 
 /**
  * @param report - A crash.
  * @returns The value of its entry; its key names the crash.
  * @internal
  */
-export const encodeCrashReport = ({fingerprints}: CrashReport): string => JSON.stringify(fingerprints.slice(0, mostNamed));
+export const encodeCrashReport = ({fingerprints}: CrashReport): string => JSON.stringify(fingerprints.slice(0, maxReportedRequests));
 
 /**
  * @param crash - The name of the crash.
@@ -35,8 +35,8 @@
  */
 export function decodeCrashReport(crash: CrashKey, value: string, place: string): CrashReport {
 	const names = readList(JSON.parse(value), place);
-	if (names.length > mostNamed) {
-		throw new FieldError(place, names.length, `at most ${mostNamed} requests`);
+	if (names.length > maxReportedRequests) {
+		throw new FieldError(place, names.length, `at most ${maxReportedRequests} requests`);
 	}
 
 	const fingerprints = names.map((name, index) => {
--- a/src/lib/quarantine/fingerprint.ts
+++ b/src/lib/quarantine/fingerprint.ts
@@ -30,9 +30,9 @@
 const digestLength = 8;
 
 /** Stands for no body. */
-const noBody = '-'.repeat(digestLength);
+const noBodyDigest = '-'.repeat(digestLength);
 
-const fingerprintText = new RegExp(`^[\\w-]{${digestLength}}\\.[\\w-]{${digestLength}}$`);
+const fingerprintPattern = new RegExp(`^[\\w-]{${digestLength}}\\.[\\w-]{${digestLength}}$`);
 
 function computeDigest(content: string | Uint8Array): string {
 	return createHash('sha256').update(content).digest('base64url').slice(0, digestLength);
@@ -65,7 +65,7 @@
  * @internal
  */
 export function joinFingerprint(head: HeadFingerprint, body: Uint8Array | undefined): Fingerprint {
-	return `${head}.${body === undefined || body.length === 0 ? noBody : computeDigest(body)}` as Fingerprint;
+	return `${head}.${body === undefined || body.length === 0 ? noBodyDigest : computeDigest(body)}` as Fingerprint;
 }
 
 /**
@@ -74,7 +74,7 @@
  * @returns The whole fingerprint. One that is no digest stands for a body that nothing is known of: it matches no other.
  * @internal
  */
-export const joinDigest = (head: HeadFingerprint, bodyDigest: string | undefined): Fingerprint => `${head}.${bodyDigest ?? noBody}` as Fingerprint;
+export const joinBodyDigest = (head: HeadFingerprint, bodyDigest: string | undefined): Fingerprint => `${head}.${bodyDigest ?? noBodyDigest}` as Fingerprint;
 
 /**
  * @param identity - A request.
@@ -90,7 +90,7 @@
  * @returns The part of it that the head makes.
  * @internal
  */
-export function cutBody(fingerprint: Fingerprint): HeadFingerprint {
+export function getHeadPart(fingerprint: Fingerprint): HeadFingerprint {
 	return fingerprint.slice(0, digestLength) as HeadFingerprint;
 }
 
@@ -99,7 +99,7 @@
  * @returns The part of it that the body makes.
  * @internal
  */
-export const cutHead = (fingerprint: Fingerprint): string => fingerprint.slice(digestLength + 1);
+export const getBodyPart = (fingerprint: Fingerprint): string => fingerprint.slice(digestLength + 1);
 
 /**
  * @param value - What came over the network.
@@ -107,5 +107,5 @@
  * @internal
  */
 export function parseFingerprint(value: unknown): Fingerprint | undefined {
-	return typeof value === 'string' && fingerprintText.test(value) ? value as Fingerprint : undefined;
+	return typeof value === 'string' && fingerprintPattern.test(value) ? value as Fingerprint : undefined;
 }
--- a/src/lib/quarantine/request-mark.ts
+++ b/src/lib/quarantine/lazy-fingerprint.ts
@@ -5,11 +5,11 @@
  * @module
  */
 import {
-	computeHeadFingerprint, cutHead, formatHead, joinDigest, joinFingerprint, type Fingerprint, type HeadFingerprint, type RequestIdentity,
+	computeHeadFingerprint, getBodyPart, formatHead, joinBodyDigest, joinFingerprint, type Fingerprint, type HeadFingerprint, type RequestIdentity,
 } from './fingerprint.js';
 
 /** @internal */
-export type RequestMark = {
+export type LazyFingerprint = {
 	readonly hasBody: boolean;
 	/** The host that counts. */
 	readonly host: string;
@@ -24,9 +24,9 @@
  * @returns Its mark.
  * @internal
  */
-export function createRequestMark(identity: RequestIdentity): RequestMark {
+export function createLazyFingerprint(identity: RequestIdentity): LazyFingerprint {
 	const {body} = identity;
-	return createMark(identity, body !== undefined && body.length > 0, head => joinFingerprint(head, body));
+	return buildLazyFingerprint(identity, body !== undefined && body.length > 0, head => joinFingerprint(head, body));
 }
 
 /**
@@ -35,8 +35,8 @@
  * @returns Its mark.
  * @internal
  */
-export function createKnownMark(identity: Omit<RequestIdentity, 'body'>, bodyDigest: string | undefined): RequestMark {
-	return createMark(identity, bodyDigest !== undefined, head => joinDigest(head, bodyDigest));
+export function createLazyFingerprintOfDigest(identity: Omit<RequestIdentity, 'body'>, bodyDigest: string | undefined): LazyFingerprint {
+	return buildLazyFingerprint(identity, bodyDigest !== undefined, head => joinBodyDigest(head, bodyDigest));
 }
 
 /**
@@ -44,9 +44,9 @@
  * @returns The digest of its body.
  * @internal
  */
-export const getBodyDigest = (mark: RequestMark): string => cutHead(mark.getFingerprint());
+export const getBodyDigest = (mark: LazyFingerprint): string => getBodyPart(mark.getFingerprint());
 
-function createMark(identity: Omit<RequestIdentity, 'body'>, hasBody: boolean, join: (head: HeadFingerprint) => Fingerprint): RequestMark {
+function buildLazyFingerprint(identity: Omit<RequestIdentity, 'body'>, hasBody: boolean, join: (head: HeadFingerprint) => Fingerprint): LazyFingerprint {
 	let head: string | undefined;
 	let headFingerprint: HeadFingerprint | undefined;
 	let fingerprint: Fingerprint | undefined;
--- a/src/lib/quarantine/quarantine.ts
+++ b/src/lib/quarantine/quarantine.ts
@@ -12,17 +12,17 @@
 import {type MeshLog} from '../timeline/mesh-log.js';
 import {type CrashReport} from './crash-report.js';
 import {computeHeadFingerprint, joinFingerprint, type Fingerprint} from './fingerprint.js';
-import {createQuarantineLedger, type Judgement} from './ledger.js';
-import {createRecentAnswers} from './recent-answers.js';
-import {type RequestMark} from './request-mark.js';
+import {createSuspectTable, type QuarantineDecision} from './suspect-table.js';
+import {createRecentResponses} from './recent-responses.js';
+import {type LazyFingerprint} from './lazy-fingerprint.js';
 import {computeCrashKey, type SuspectRecord} from './suspect-record.js';
-import {createTrialWait} from './trial-wait.js';
+import {createTrialDelay} from './trial-delay.js';
 
 /** @internal */
 export type QuarantineContext = {
 	readonly log: MeshLog;
 	/** Told when the other nodes should hear of it at once. */
-	readonly handleNews: () => void;
+	readonly handleUrgentChange: () => void;
 	/** Told of each crash of the server beside this node that accuses a request. */
 	readonly handleCrash: (report: CrashReport) => void;
 	/** Told of requests that are quarantined because of what this node saw. */
@@ -36,19 +36,19 @@
 
 /** @internal */
 export type Quarantine = {
-	readonly judge: (mark: RequestMark) => Judgement;
+	readonly check: (request: LazyFingerprint) => QuarantineDecision;
 	/** Waits until a request that is on trial may be judged at the gate; yields nothing to wait for if it may be now, as nearly all may. */
-	readonly settle: (mark: RequestMark) => Promise<void> | undefined;
+	readonly waitForTrial: (request: LazyFingerprint) => Promise<void> | undefined;
 	/** Judges a request that is about to be sent to the server, and lets one of each on trial through at a time. */
-	readonly admitRun: (mark: RequestMark) => RunAdmission;
+	readonly admitRun: (request: LazyFingerprint) => RunAdmission;
 	/** The server beside this node crashed with these in work. */
-	readonly noteCrash: (server: ServerLifetime, atWork: readonly RequestMark[]) => void;
+	readonly recordCrash: (server: ServerLifetime, inFlight: readonly LazyFingerprint[]) => void;
 	/** The server beside this node answered it, whatever the answer was. */
-	readonly noteAnswered: (mark: RequestMark) => void;
+	readonly recordResponse: (request: LazyFingerprint) => void;
 	/** Takes in what another node, or the store, knows. */
-	readonly take: (records: readonly SuspectRecord[], from: string) => void;
+	readonly merge: (records: readonly SuspectRecord[], from: string) => void;
 	/** What this node tells the others, a bounded part. */
-	readonly describe: () => readonly SuspectRecord[];
+	readonly listBatch: () => readonly SuspectRecord[];
 	readonly listQuarantined: () => readonly SuspectRecord[];
 	readonly countSuspects: () => number;
 	/** Requests refused since the start. */
@@ -56,16 +56,16 @@
 };
 
 /** When a request of which another one is on trial may be asked for again. Milliseconds: most requests are answered in less. */
-const trialRetryMs = 500;
+const trialRetryAfterMs = 500;
 
 const admitted: RunAdmission = {type: 'admitted', end: () => undefined};
 
 /**
- * @param judgement - A judgement that refuses.
+ * @param decision - A decision that refuses.
  * @returns The reason, for people.
  * @internal
  */
-export function describeRefusal({fingerprint, crashes}: Extract<Judgement, {readonly type: 'refused'}>): string {
+export function describeRefusal({fingerprint, crashes}: Extract<QuarantineDecision, {readonly type: 'refused'}>): string {
 	return `${crashes} backend servers crashed while ${fingerprint} was in work, and none has answered it since`;
 }
 
@@ -74,40 +74,40 @@
  * @returns A quarantine in which nothing is suspected.
  * @internal
  */
-export function createQuarantine({log, handleNews, handleCrash, handleQuarantined}: QuarantineContext): Quarantine {
-	const ledger = createQuarantineLedger();
-	const answers = createRecentAnswers();
-	const trials = new Set<Fingerprint>();
-	let refused = 0;
-
-	const trialWait = createTrialWait({
-		getSettleMs: fingerprint => ledger.getSettleMs(fingerprint, readSteadyMs()),
-		handleRepeated(fingerprint) {
-			if (ledger.noteRepeated(fingerprint, readSteadyMs())) {
+export function createQuarantine({log, handleUrgentChange, handleCrash, handleQuarantined}: QuarantineContext): Quarantine {
+	const suspects = createSuspectTable();
+	const responses = createRecentResponses();
+	const runningTrials = new Set<Fingerprint>();
+	let refusedCount = 0;
+
+	const trialDelay = createTrialDelay({
+		getDelayMs: fingerprint => suspects.getTrialDelayMs(fingerprint, readSteadyMs()),
+		handleRepeat(fingerprint) {
+			if (suspects.recordRepeat(fingerprint, readSteadyMs())) {
 				log.record('warn', {kind: 'request-repeated', fingerprint});
-				handleNews();
+				handleUrgentChange();
 			}
 		},
 	});
 
 	/** Requests that nobody suspects cost no more than this look. */
-	const isKnown = (mark: RequestMark): boolean => ledger.countRecords() > 0 && ledger.hasHead(mark.getHeadFingerprint());
+	const mayBeSuspect = (request: LazyFingerprint): boolean => suspects.countRecords() > 0 && suspects.hasHead(request.getHeadFingerprint());
 
-	const judge = (mark: RequestMark): Judgement => {
-		if (!isKnown(mark)) {
+	const check = (request: LazyFingerprint): QuarantineDecision => {
+		if (!mayBeSuspect(request)) {
 			return {type: 'free'};
 		}
 
-		const judgement = ledger.judge(mark.getFingerprint(), readSteadyMs());
-		refused += judgement.type === 'refused' ? 1 : 0;
-		return judgement;
+		const decision = suspects.check(request.getFingerprint(), readSteadyMs());
+		refusedCount += decision.type === 'refused' ? 1 : 0;
+		return decision;
 	};
 
-	const hasBeenAnswered = (mark: RequestMark, now: number): boolean => !mark.hasBody && answers.has(mark.getHead(), now);
+	const hasBeenAnswered = (request: LazyFingerprint, now: number): boolean => !request.hasBody && responses.has(request.getHead(), now);
 
-	const tellSuspects = (fingerprints: readonly Fingerprint[], from: string, now: number): void => {
+	const logSuspects = (fingerprints: readonly Fingerprint[], from: string, now: number): void => {
 		for (const fingerprint of fingerprints) {
-			const crashes = ledger.get(fingerprint, now)?.crashes.length ?? 0;
+			const crashes = suspects.get(fingerprint, now)?.crashes.length ?? 0;
 			// What was in work at one crash is told by the line of the crash.
 			if (crashes > 1) {
 				log.record('warn', {
@@ -117,95 +117,95 @@
 		}
 	};
 
-	const forgive = (fingerprint: Fingerprint, now: number): void => {
-		const crashes = ledger.clear(fingerprint, now);
+	const clearRequest = (fingerprint: Fingerprint, now: number): void => {
+		const crashes = suspects.clear(fingerprint, now);
 		if (crashes === 0) {
 			return;
 		}
 
 		log.record('info', {kind: 'request-cleared', fingerprint, crashes});
 		if (crashes > 1) {
-			handleNews();
+			handleUrgentChange();
 		}
 	};
 
 	/** Speaks for requests that this node saw answered a moment ago: the node that accuses them may not have. */
-	const forgiveAnswered = (fingerprints: readonly Fingerprint[], now: number): void => {
-		const accused = new Set(fingerprints);
-		for (const head of answers.list(now)) {
+	const clearAnswered = (fingerprints: readonly Fingerprint[], now: number): void => {
+		const suspected = new Set(fingerprints);
+		for (const head of responses.list(now)) {
 			const fingerprint = joinFingerprint(computeHeadFingerprint(head), undefined);
-			if (accused.has(fingerprint)) {
-				forgive(fingerprint, now);
+			if (suspected.has(fingerprint)) {
+				clearRequest(fingerprint, now);
 			}
 		}
 	};
 
 	return {
-		judge,
-		settle: (mark): Promise<void> | undefined => isKnown(mark) ? trialWait.join(mark.getFingerprint()) : undefined,
-		admitRun(mark) {
-			const judgement = judge(mark);
-			switch (judgement.type) {
+		check,
+		waitForTrial: (request): Promise<void> | undefined => mayBeSuspect(request) ? trialDelay.wait(request.getFingerprint()) : undefined,
+		admitRun(request) {
+			const decision = check(request);
+			switch (decision.type) {
 				case 'free': {
 					return admitted;
 				}
 
 				case 'refused': {
-					return {type: 'refused', detail: describeRefusal(judgement), retryAfterMs: judgement.retryAfterMs};
+					return {type: 'refused', detail: describeRefusal(decision), retryAfterMs: decision.retryAfterMs};
 				}
 
 				case 'trial': {
-					const {fingerprint} = judgement;
-					if (trials.has(fingerprint)) {
-						return {type: 'refused', detail: `${fingerprint}, which was in work when a server crashed, is in work here`, retryAfterMs: trialRetryMs};
+					const {fingerprint} = decision;
+					if (runningTrials.has(fingerprint)) {
+						return {type: 'refused', detail: `${fingerprint}, which was in work when a server crashed, is in work here`, retryAfterMs: trialRetryAfterMs};
 					}
 
-					trials.add(fingerprint);
+					runningTrials.add(fingerprint);
 					return {
 						type: 'admitted',
 						end() {
-							trials.delete(fingerprint);
+							runningTrials.delete(fingerprint);
 						},
 					};
 				}
 			}
 		},
-		noteCrash(server, atWork) {
+		recordCrash(server, inFlight) {
 			const now = readSteadyMs();
-			const accused = atWork.filter(mark => !hasBeenAnswered(mark, now)).map(mark => mark.getFingerprint());
+			const suspected = inFlight.filter(request => !hasBeenAnswered(request, now)).map(request => request.getFingerprint());
 			const crash = computeCrashKey(server);
-			const fresh = ledger.accuse(accused, crash, now);
-			if (fresh.length > 0) {
-				tellSuspects(fresh, server.id, now);
-				handleNews();
-				handleCrash({crash, fingerprints: fresh});
-				const quarantined = ledger.listQuarantined(now).filter(({fingerprint}) => fresh.includes(fingerprint));
+			const newSuspects = suspects.recordCrash(suspected, crash, now);
+			if (newSuspects.length > 0) {
+				logSuspects(newSuspects, server.id, now);
+				handleUrgentChange();
+				handleCrash({crash, fingerprints: newSuspects});
+				const quarantined = suspects.listQuarantined(now).filter(({fingerprint}) => newSuspects.includes(fingerprint));
 				if (quarantined.length > 0) {
 					handleQuarantined(quarantined);
 				}
 			}
 		},
-		noteAnswered(mark) {
+		recordResponse(request) {
 			const now = readSteadyMs();
-			if (!mark.hasBody) {
-				answers.note(mark.getHead(), now);
+			if (!request.hasBody) {
+				responses.record(request.getHead(), now);
 			}
 
-			if (isKnown(mark)) {
-				forgive(mark.getFingerprint(), now);
+			if (mayBeSuspect(request)) {
+				clearRequest(request.getFingerprint(), now);
 			}
 		},
-		take(records, from) {
+		merge(records, from) {
 			const now = readSteadyMs();
-			const changed = records.length === 0 ? [] : ledger.merge(records, now);
+			const changed = records.length === 0 ? [] : suspects.merge(records, now);
 			if (changed.length > 0) {
-				forgiveAnswered(changed, now);
-				tellSuspects(changed, from, now);
+				clearAnswered(changed, now);
+				logSuspects(changed, from, now);
 			}
 		},
-		describe: () => ledger.countRecords() === 0 ? [] : ledger.listPart(readSteadyMs()),
-		listQuarantined: () => ledger.listQuarantined(readSteadyMs()),
-		countSuspects: ledger.countRecords,
-		countRefused: () => refused,
+		listBatch: () => suspects.countRecords() === 0 ? [] : suspects.listBatch(readSteadyMs()),
+		listQuarantined: () => suspects.listQuarantined(readSteadyMs()),
+		countSuspects: suspects.countRecords,
+		countRefused: () => refusedCount,
 	};
 }
--- a/src/lib/quarantine/recent-answers.ts
+++ b/src/lib/quarantine/recent-responses.ts
@@ -7,51 +7,51 @@
  */
 
 /** @internal */
-export type RecentAnswers = {
-	readonly note: (head: string, now: number) => void;
+export type RecentResponses = {
+	readonly record: (head: string, now: number) => void;
 	readonly has: (head: string, now: number) => boolean;
 	readonly list: (now: number) => Iterable<string>;
 };
 
 /** How long an answer speaks for a request. Milliseconds: a page that many ask for is answered several times in it; one that begins to crash servers is protected for no longer. */
-const freshMs = 2000;
+const periodMs = 2000;
 
 /** Requests of one period that are remembered at the most: as many as a node answers in it under the users' highest load. */
-const mostPerPeriod = 2000;
+const maxPerPeriod = 2000;
 
 /**
  * @returns A memory of no answer.
  * @internal
  */
-export function createRecentAnswers(): RecentAnswers {
+export function createRecentResponses(): RecentResponses {
 	let current = new Set<string>();
-	let before: ReadonlySet<string> = new Set();
+	let previous: ReadonlySet<string> = new Set();
 	let startedAt = 0;
 
 	const startPeriod = (now: number): void => {
-		if (now - startedAt < freshMs) {
+		if (now - startedAt < periodMs) {
 			return;
 		}
 
-		before = now - startedAt < 2 * freshMs ? current : new Set();
+		previous = now - startedAt < 2 * periodMs ? current : new Set();
 		current = new Set();
 		startedAt = now;
 	};
 
 	return {
-		note(head, now) {
+		record(head, now) {
 			startPeriod(now);
-			if (current.size < mostPerPeriod) {
+			if (current.size < maxPerPeriod) {
 				current.add(head);
 			}
 		},
 		has(head, now) {
 			startPeriod(now);
-			return current.has(head) || before.has(head);
+			return current.has(head) || previous.has(head);
 		},
 		list(now) {
 			startPeriod(now);
-			return new Set([...current, ...before]);
+			return new Set([...current, ...previous]);
 		},
 	};
 }
--- a/src/lib/quarantine/sample-quarantine.ts
+++ b/src/lib/quarantine/sample-quarantine.ts
@@ -5,14 +5,14 @@
  */
 import {silentLog} from '../timeline/mesh-log.js';
 import {createQuarantine, type Quarantine} from './quarantine.js';
-import {createRequestMark, type RequestMark} from './request-mark.js';
+import {createLazyFingerprint, type LazyFingerprint} from './lazy-fingerprint.js';
 
 /**
  * @returns A quarantine that tells nobody.
  * @internal
  */
-export const createQuietQuarantine = (): Quarantine => createQuarantine({
-	log: silentLog, handleNews: () => undefined, handleCrash: () => undefined, handleQuarantined: () => undefined,
+export const createSilentQuarantine = (): Quarantine => createQuarantine({
+	log: silentLog, handleUrgentChange: () => undefined, handleCrash: () => undefined, handleQuarantined: () => undefined,
 });
 
 /**
@@ -21,6 +21,6 @@
  * @returns The mark of a request.
  * @internal
  */
-export const createSampleMark = (target = '/logs/1', body?: Uint8Array): RequestMark => createRequestMark({
+export const createSampleFingerprint = (target = '/logs/1', body?: Uint8Array): LazyFingerprint => createLazyFingerprint({
 	method: 'GET', host: 'mesh.example', target, body,
 });
--- a/src/lib/quarantine/suspect-record.ts
+++ b/src/lib/quarantine/suspect-record.ts
@@ -27,17 +27,17 @@
 };
 
 /** Characters of a crash's name, six bits each: a record holds a few of them. */
-const keyLength = 6;
+const crashKeyLength = 6;
 
-const keyText = new RegExp(`^[\\w-]{${keyLength}}$`);
+const crashKeyPattern = new RegExp(`^[\\w-]{${crashKeyLength}}$`);
 
 /** Crashes of each kind that a record holds at the most: more change nothing. @internal */
-export const mostCrashes = 8;
+export const maxCrashes = 8;
 
 /** The longest time that a record may name; whoever reads it bounds what follows from it. Milliseconds. */
-const longestQuietMs = Number.MAX_SAFE_INTEGER;
+const maxQuietMs = Number.MAX_SAFE_INTEGER;
 
-const tenthMs = 100;
+const quietUnitMs = 100;
 
 /**
  * @param lifetime - The server that crashed.
@@ -45,7 +45,7 @@
  * @internal
  */
 export function computeCrashKey(lifetime: ServerLifetime): CrashKey {
-	return createHash('sha256').update(toLifetimeKey(lifetime)).digest('base64url').slice(0, keyLength) as CrashKey;
+	return createHash('sha256').update(toLifetimeKey(lifetime)).digest('base64url').slice(0, crashKeyLength) as CrashKey;
 }
 
 /**
@@ -54,7 +54,7 @@
  * @internal
  */
 export function encodeSuspect({fingerprint, quietMs, crashes, cleared, repeated}: SuspectRecord): readonly unknown[] {
-	return [fingerprint, Math.round(quietMs / tenthMs), crashes, cleared, repeated];
+	return [fingerprint, Math.round(quietMs / quietUnitMs), crashes, cleared, repeated];
 }
 
 /**
@@ -63,13 +63,13 @@
  * @internal
  */
 export function parseCrashKey(value: unknown): CrashKey | undefined {
-	return typeof value === 'string' && keyText.test(value) ? value as CrashKey : undefined;
+	return typeof value === 'string' && crashKeyPattern.test(value) ? value as CrashKey : undefined;
 }
 
 function readCrashes(value: unknown, place: string): readonly CrashKey[] {
 	const keys = readList(value, place);
-	if (keys.length > mostCrashes || !keys.every(key => parseCrashKey(key) !== undefined)) {
-		throw new FieldError(place, value, `at most ${mostCrashes} names of crashes, each of ${keyLength} characters`);
+	if (keys.length > maxCrashes || !keys.every(key => parseCrashKey(key) !== undefined)) {
+		throw new FieldError(place, value, `at most ${maxCrashes} names of crashes, each of ${crashKeyLength} characters`);
 	}
 
 	return keys as readonly CrashKey[];
@@ -90,7 +90,7 @@
 	}
 
 	return {
-		fingerprint, quietMs: readAmount(quiet, `${place}.quiet`, longestQuietMs) * tenthMs,
+		fingerprint, quietMs: readAmount(quiet, `${place}.quiet`, maxQuietMs) * quietUnitMs,
 		crashes: readCrashes(crashes, `${place}.crashes`), cleared: readCrashes(cleared, `${place}.cleared`),
 		repeated: readCrashes(repeated, `${place}.repeated`),
 	};
--- a/src/lib/quarantine/trial-wait.ts
+++ b/src/lib/quarantine/trial-delay.ts
@@ -12,17 +12,17 @@
 import {type Fingerprint} from './fingerprint.js';
 
 /** @internal */
-export type TrialWaitContext = {
+export type TrialDelayContext = {
 	/** Milliseconds that a trial of a request has to wait; 0 if it may begin. */
-	readonly getSettleMs: (fingerprint: Fingerprint) => number;
+	readonly getDelayMs: (fingerprint: Fingerprint) => number;
 	/** Told when a request is asked for while another of it waits. */
-	readonly handleRepeated: (fingerprint: Fingerprint) => void;
+	readonly handleRepeat: (fingerprint: Fingerprint) => void;
 };
 
 /** @internal */
-export type TrialWait = {
+export type TrialDelay = {
 	/** Waits until a trial may be judged again; yields nothing to wait for if it may be now. */
-	readonly join: (fingerprint: Fingerprint) => Promise<void> | undefined;
+	readonly wait: (fingerprint: Fingerprint) => Promise<void> | undefined;
 };
 
 /**
@@ -30,28 +30,28 @@
  * @returns Waits, none begun.
  * @internal
  */
-export function createTrialWait({getSettleMs, handleRepeated}: TrialWaitContext): TrialWait {
+export function createTrialDelay({getDelayMs, handleRepeat}: TrialDelayContext): TrialDelay {
 	/** The request that waits, by what it asks for; at most one of each. */
 	const waiting = new Map<Fingerprint, AbortController>();
 
-	const wait = async (fingerprint: Fingerprint, settleMs: number): Promise<void> => {
-		const isOver = new AbortController();
-		waiting.set(fingerprint, isOver);
-		await waitFor(settleMs, isOver.signal);
+	const delayTrial = async (fingerprint: Fingerprint, delayMs: number): Promise<void> => {
+		const abort = new AbortController();
+		waiting.set(fingerprint, abort);
+		await waitFor(delayMs, abort.signal);
 		waiting.delete(fingerprint);
 	};
 
 	return {
-		join(fingerprint): Promise<void> | undefined {
+		wait(fingerprint): Promise<void> | undefined {
 			const first = waiting.get(fingerprint);
 			if (first !== undefined) {
-				handleRepeated(fingerprint);
+				handleRepeat(fingerprint);
 				first.abort();
 				return undefined;
 			}
 
-			const settleMs = getSettleMs(fingerprint);
-			return settleMs > 0 ? wait(fingerprint, settleMs) : undefined;
+			const delayMs = getDelayMs(fingerprint);
+			return delayMs > 0 ? delayTrial(fingerprint, delayMs) : undefined;
 		},
 	};
 }
--- a/src/lib/quarantine/trial-server.ts
+++ b/src/lib/quarantine/trial-server.ts
@@ -22,12 +22,12 @@
  */
 export function chooseTrialServer<Server extends {readonly lifetime: LifetimeKey}>(fingerprint: Fingerprint, servers: readonly Server[]): readonly Server[] {
 	let chosen: Server | undefined;
-	let most = -1;
+	let highestWeight = -1;
 	for (const server of servers) {
 		const weight = computeWeight(fingerprint, server.lifetime);
-		if (weight > most) {
+		if (weight > highestWeight) {
 			chosen = server;
-			most = weight;
+			highestWeight = weight;
 		}
 	}
 
--- a/src/lib/sidecar/list-candidates.ts
+++ b/src/lib/sidecar/list-candidates.ts
@@ -12,7 +12,7 @@
 } from '../peers/peer-table.js';
 import {type Fingerprint} from '../quarantine/fingerprint.js';
 import {chooseTrialServer} from '../quarantine/trial-server.js';
-import {estimateSlotWait, type LoadView} from '../decisions/load-view.js';
+import {estimateSlotWaitMs, type LoadView} from '../decisions/load-view.js';
 import {type Candidate} from '../decisions/rank-servers.js';
 
 /** Where this node stands, and the server beside it. @internal */
@@ -60,7 +60,7 @@
 	return {
 		id: server.lifetime.id, lifetime, node: own.node, gate: own.gate, domain: own.domain, isLocal: true, slots: server.slots, isCold: server.coldMs > 0,
 		view: {
-			...loads.get(lifetime, route), running, waiting, serviceMs, failureShare, own: 0, ownThen: 0, wayMs: 0, heardAt: now,
+			...loads.get(lifetime, route), running, waiting, serviceMs, failureShare, ownInFlight: 0, ownInFlightAtReport: 0, roundTripMs: 0, reportedAt: now,
 		},
 	};
 }
@@ -114,7 +114,7 @@
 			}
 
 			found.push(candidate);
-			free += estimateSlotWait(candidate.view, candidate.slots, now) === 0 ? 1 : 0;
+			free += estimateSlotWaitMs(candidate.view, candidate.slots, now) === 0 ? 1 : 0;
 			if (free >= enoughFree && list.length > mostLooks) {
 				break;
 			}
--- a/src/lib/sidecar/sidecar.ts
+++ b/src/lib/sidecar/sidecar.ts
@@ -17,9 +17,9 @@
 import {createGateServer} from '../forwarding/gate-server.js';
 import {createLinkWriter} from '../forwarding/link-writer.js';
 import {createLocalGate} from '../forwarding/local-gate.js';
-import {createRetryAllowance} from '../decisions/retry-allowance.js';
-import {createAwaitedRoutes} from '../decisions/awaited-routes.js';
-import {createReturningCallers} from '../decisions/returning-callers.js';
+import {createMeshRetryBudget} from '../decisions/mesh-retry-budget.js';
+import {createNestedCallDetector} from '../decisions/nested-call-detector.js';
+import {createCallerRetryDetector} from '../decisions/caller-retry-detector.js';
 import {createQuarantine} from '../quarantine/quarantine.js';
 import {createPeerLink} from '../peers/peer-link.js';
 import {type PeerReport} from '../peers/peer-report.js';
@@ -107,8 +107,8 @@
 	let wasReady = false;
 
 	const splitter = createShareSplitter(random);
-	const returningCallers = createReturningCallers();
-	const awaitedRoutes = createAwaitedRoutes();
+	const returningCallers = createCallerRetryDetector();
+	const awaitedRoutes = createNestedCallDetector();
 	const loads = createLoadView();
 	const lag = createLoopLag();
 	const turns = createWorkTurns();
@@ -141,7 +141,7 @@
 
 	const quarantine = createQuarantine({
 		log,
-		handleNews() {
+		handleUrgentChange() {
 			link.announceToAll();
 		},
 		handleCrash(report) {
@@ -168,7 +168,7 @@
 
 	const describeSelf = (sequence: number): Omit<PeerReport, 'periods' | 'isProbe'> => ({
 		node: self, run, sequence, domain, gate: settings.listen.gate, gossip: settings.listen.gossip, version: sync.holder.getVersion(), isLeaving: isGateLeaving, server: gate.describe(),
-		duties: sync.describeDuties(), suspects: quarantine.describe(),
+		duties: sync.describeDuties(), suspects: quarantine.listBatch(),
 	});
 
 	const handleReport = (report: PeerReport, news: PeerNews): void => {
@@ -177,10 +177,10 @@
 		}
 
 		if (report.server !== undefined) {
-			loads.hear(toLifetimeKey(report.server.lifetime), report.server, readSteadyMs());
+			loads.recordReport(toLifetimeKey(report.server.lifetime), report.server, readSteadyMs());
 		}
 
-		quarantine.take(report.suspects, report.node);
+		quarantine.merge(report.suspects, report.node);
 		sync.handleReport(report);
 	};
 
@@ -205,7 +205,7 @@
 		suspects: {
 			listQuarantined: quarantine.listQuarantined,
 			handleRecords(records) {
-				quarantine.take(records, 'store');
+				quarantine.merge(records, 'store');
 			},
 		},
 	});
@@ -245,7 +245,7 @@
 		quarantine,
 		gateClient,
 		loads,
-		allowance: createRetryAllowance(() => settings.retries, countSlackNodes),
+		allowance: createMeshRetryBudget(() => settings.retries, countSlackNodes),
 		log,
 		random,
 		noteUnreachable(node, reason) {
