--- a/src/lib/decisions/call-rank.ts
+++ b/src/lib/decisions/call-rank.ts
@@ -1,20 +1,20 @@
 /**
- * Ranks routes for when there is not room for all requests.
+ * Ranks routes, to decide which requests get a slot first under overload.
  *
  * @module
  */
 import {type RouteRule} from '../route-config/route-config.js';
 
-/** Ranks of two priorities never overlap: no objective is longer than this. Milliseconds. */
+/** Distance between the ranks of two priorities. No latency objective is longer than this in milliseconds, so ranks of two priorities never overlap. */
 const ranksPerPriority = 1_000_000;
 
 /**
- * Ranks a route: by the operators' priority, and among equals by the shorter
- * latency objective. Calls that backend servers make have the shortest ones;
- * while they wait, the slots of those who called stay taken.
+ * Ranks a route by the operators' priority, then by its latency objective, shorter
+ * ones first. Nested calls of backend servers have the shortest objectives; while they
+ * wait, the slots of their callers stay in use.
  *
  * @param route - The route.
- * @returns Its rank; the lowest goes first.
+ * @returns Its rank; lower ranks go first.
  * @internal
  */
 export function computeRank(route: RouteRule): number {
--- a/src/lib/decisions/caller-retry-detector.ts
+++ b/src/lib/decisions/caller-retry-detector.ts
@@ -1,24 +1,24 @@
 /**
- * Tells callers that come back from those that come for the first time. A
- * caller says how long it will still wait; one that was refused before has less
- * time left than the callers of its route have at first.
+ * Detects retries of callers. A request states how much time its caller has
+ * left; a caller that was refused before has less time left than callers
+ * of the same route have in their first request.
  *
  * @module
  */
 
 /** @internal */
 export type CallerRetryDetector = {
-	/** Notes how long a caller will wait; yields how long ago it first asked, in milliseconds, 0 if it asks for the first time. */
+	/** Records the time left of a caller; returns how many milliseconds ago it sent its first request, 0 if this is the first one. */
 	readonly recordCall: (route: string, timeLeftMs: number) => number;
-	/** Forgets routes that are gone. */
+	/** Removes all routes but these. */
 	readonly retain: (routes: ReadonlySet<string>) => void;
 };
 
-/** A caller with less than this share of the longest time left has come before. Times to come back are longer than the rest; what a connection takes is shorter. */
+/** A caller with less than this share of the longest time left is retrying. Retry delays are longer than the remaining share, and the time to connect is shorter. */
 const retryThresholdShare = 0.93;
 
 /**
- * @returns What has seen no caller yet.
+ * @returns A detector without any recorded call.
  * @internal
  */
 export function createCallerRetryDetector(): CallerRetryDetector {
--- a/src/lib/decisions/link-demand.test.ts
+++ b/src/lib/decisions/link-demand.test.ts
@@ -15,14 +15,14 @@
 	},
 };
 
-test('an answer may wait for the link as long as it still comes in time, and a late one next to not at all', () => {
+test('a response may wait for the link while it can still be in time, and a late one for at most 100 ms', () => {
 	assert.equal(computeMaxResponseWaitMs({targetLatencyMs: 1000, ageMs: 0}, server), 750);
 	assert.ok(computeMaxResponseWaitMs({targetLatencyMs: 1000, ageMs: 3000}, server) <= 100);
 });
 
 /**
- * Downloads at a server whose slots would take five times what its link carries: Poisson-like arrivals, work of 200 ms, answers of 90 KB over
- * 10 Mbit/s. Yields how long each that was taken waited for the link, and the bytes that the link carried of those that it could have.
+ * Simulates downloads at a server whose slots would accept five times the capacity of its link: Poisson-like arrivals, 200 ms of work,
+ * responses of 90 KB over 10 Mbit/s. Returns how long each accepted response waited for the link, and the used share of the link.
  */
 function runDownloads(isBounded: boolean): {readonly waits: readonly number[]; readonly used: number} {
 	const demand = createLinkDemand(10);
@@ -43,7 +43,7 @@
 			held += bytes;
 		}
 
-		// Three requests each 50 ms: four times the link.
+		// Three requests every 50 ms: four times the capacity of the link.
 		if (now % 50 < 3 && (!isBounded || demand.estimateWaitMs(held, workMs) <= 750)) {
 			ends.push({at: now + workMs, end: demand.begin()});
 		}
@@ -52,15 +52,15 @@
 	return {waits, used: carried / (20_000 * bytesPerMs)};
 }
 
-// Guards against a link on which every answer is late, since more is begun than it carries.
-test('overload: what is begun for a full link is what it carries in time, and the link stays full', () => {
+// Guards against a server that starts more downloads than its link can transmit, so that every response is late.
+test('overload: only as many downloads start as the link transmits in time, and the link stays fully used', () => {
 	const bounded = runDownloads(true);
 	assert.ok(Math.max(...bounded.waits) <= 900, `${Math.max(...bounded.waits)} ms`);
 	assert.ok(bounded.used > 0.95, `${bounded.used} of the link`);
-	assert.ok(Math.max(...runDownloads(false).waits) > 10_000, 'the pattern does not fill the link');
+	assert.ok(Math.max(...runDownloads(false).waits) > 10_000, 'the simulated load does not saturate the link');
 });
 
-test('what ended without an answer leaves no mark', () => {
+test('a request that ends without a response does not change the estimate', () => {
 	const demand = createLinkDemand(10);
 	demand.begin()(0);
 	demand.begin()(computeLinkBytesPerMs(10) * 100);
--- a/src/lib/decisions/link-demand.ts
+++ b/src/lib/decisions/link-demand.ts
@@ -1,51 +1,52 @@
 /**
- * Answers that share the link of a VM: how long one may wait for it, and how long one to a request that begins now is to
- * wait. What a server answers faster than the link carries is late for all, however many of its slots are free.
+ * Estimates the demand of large responses on the network link of a VM: how long a response may wait for the link, and how long the
+ * response to a request that starts now will wait. If a server answers faster than the link can transmit, all responses are late,
+ * however many slots are free.
  *
  * @module
  */
 import {type CallState, computeWorkMs} from './plan-attempt.js';
 import {type Candidate} from './rank-servers.js';
 
-/** Part of a link that large answers may fill. The rest is for headers of packets, acknowledgements and heartbeats, which are not counted. */
+/** Share of a link that large responses may use. The rest is for packet headers, acknowledgements and heartbeats, which are not counted. */
 const usableLinkShare = 0.9;
 
 /**
- * @param linkMbps - Megabits a second of a link; 0 if they are not known, so that nothing waits.
- * @returns Bytes a millisecond at which large answers leave over it.
+ * @param linkMbps - Capacity of a link in megabits per second; 0 if unknown, so that nothing waits.
+ * @returns Rate in bytes per millisecond at which large responses are sent over it.
  * @internal
  */
 export function computeLinkBytesPerMs(linkMbps: number): number {
 	return linkMbps > 0 ? linkMbps * 1000 / 8 * usableLinkShare : Number.POSITIVE_INFINITY;
 }
 
-/** An answer that is late already may wait this long: a link that is nearly free is as good as a slot that is. Milliseconds. */
+/** A response that is already late may still wait this long for a link that is nearly idle. */
 const minWaitMs = 100;
 
 /**
- * @param call - A call whose answer is large.
+ * @param call - A call whose response is large.
  * @param server - The server that would answer it.
- * @returns Milliseconds for which its answer may wait for the link of the server's VM. One that waited longer would be late, and make others late that can still be in time.
+ * @returns Milliseconds for which the response may wait for the link of the server's VM. If it waited longer, it would be late and delay others that can still be in time.
  * @internal
  */
 export function computeMaxResponseWaitMs({targetLatencyMs, ageMs}: Pick<CallState, 'targetLatencyMs' | 'ageMs'>, server: Candidate): number {
 	return Math.max(minWaitMs, targetLatencyMs - ageMs - computeWorkMs(server));
 }
 
-/** Large answers that the server of a node is at work on. @internal */
+/** Large responses that the server beside this node is producing. @internal */
 export type LinkDemand = {
-	/** Notes that the server begins to work on one; yields what is called with the bytes of the answer, 0 if none came. */
+	/** Records that the server starts to work on one; returns a function to call at the end with the size of the response in bytes, 0 if there was none. */
 	readonly begin: () => (bytes: number) => void;
-	/** Milliseconds for which the answer to a request that begins now is to wait, with so many bytes waiting and work that takes so long. */
+	/** Returns for how many milliseconds the response to a request that starts now will wait, if `heldBytes` are queued for the link and the server takes `serviceMs`. */
 	readonly estimateWaitMs: (heldBytes: number, serviceMs: number) => number;
 };
 
-/** Weight of the newest answer in what an answer is expected to have. */
+/** Weight of the newest response in the moving average of response sizes. */
 const smoothingFactor = 0.1;
 
 /**
- * @param linkMbps - Megabits a second of the link; 0 if they are not known.
- * @returns The demand of a server that is at work on nothing.
+ * @param linkMbps - Capacity of the link in megabits per second; 0 if unknown.
+ * @returns The demand of an idle server.
  * @internal
  */
 export function createLinkDemand(linkMbps: number): LinkDemand {
--- a/src/lib/decisions/load-view.ts
+++ b/src/lib/decisions/load-view.ts
@@ -1,42 +1,42 @@
 /**
- * What a node knows of the load of backend servers: what their gates last
- * said, and what this node itself has sent since. It is known of one lifetime of
- * a server, and nothing of it holds for the next one.
+ * The view that a node has of the load of backend servers: the last report of
+ * each gate, and the requests that this node has sent since. It is kept per lifetime of
+ * a server and is not used for the next lifetime.
  *
  * @module
  */
 import {type LifetimeKey} from '../common/server-lifetime.js';
 
-/** What is known of one server. @internal */
+/** Known load of one server. @internal */
 export type ServerView = {
 	readonly running: number;
 	readonly waiting: number;
-	/** Average milliseconds that a request takes; 0 if nothing is known. */
+	/** Average service time of a request in milliseconds; 0 if unknown. */
 	readonly serviceMs: number;
 	readonly failureShare: number;
-	/** Requests of this node that are under way there. */
+	/** Requests of this node that are in flight to the server. */
 	readonly ownInFlight: number;
-	/** Of these, the ones that were under way when the gate last spoke. */
+	/** Requests of this node that were in flight at the last report of the gate. */
 	readonly ownInFlightAtReport: number;
-	/** Average milliseconds that requests of this node spend on the way there and back: a VM that is slow or far shows here, and for large bodies a link that is full. */
+	/** Average round-trip time of requests of this node in milliseconds, without the time at the gate and the server. It is high for a slow or distant VM, and for large bodies on a full link. */
 	readonly roundTripMs: number;
-	/** When the gate last spoke, in steady milliseconds. */
+	/** When the gate last reported, in milliseconds of the steady clock. */
 	readonly reportedAt: number;
 };
 
 /** @internal */
 export type LoadView = {
-	/** What is known of a server, for a request of a route. */
+	/** Returns the known load of a server, with the round-trip time of a route if it is given. */
 	readonly get: (server: LifetimeKey, route?: string) => ServerView;
 	readonly recordReport: (server: LifetimeKey, report: Partial<Pick<ServerView, 'running' | 'waiting' | 'serviceMs' | 'failureShare'>>, now: number) => void;
-	/** Notes how long a request of a route spent on the way there and back. */
+	/** Records the round-trip time of a request of a route. */
 	readonly recordRoundTrip: (server: LifetimeKey, route: string, roundTripMs: number) => void;
 	readonly recordStart: (server: LifetimeKey) => void;
 	readonly recordEnd: (server: LifetimeKey) => void;
 	readonly retain: (isKnown: (server: LifetimeKey) => boolean) => void;
 };
 
-/** Weight of the newest request in the average time on the way: some five requests make it. */
+/** Weight of the newest request in the moving average of round-trip times, which covers about five requests. */
 const smoothingFactor = 0.2;
 
 const unknownLoad: ServerView = {
@@ -44,8 +44,8 @@
 };
 
 /**
- * @param view - What is known of a server.
- * @returns Requests in work and waiting there, as far as this node can tell.
+ * @param view - The known load of a server.
+ * @returns Requests that run or wait there, as far as this node can tell.
  * @internal
  */
 export function estimateOutstanding(view: ServerView): number {
@@ -53,14 +53,14 @@
 }
 
 /**
- * Estimates how long a request would wait for a slot. Those that waited when
- * the gate last spoke have been worked on since. Slots that were all taken then
- * are still taken for taken: under load others fill them, and a request that is
- * sent for a slot at once would only be refused.
+ * Estimates how long a request would wait for a slot. The queue of the last
+ * report is assumed to shrink at the average rate since. If all slots were in use
+ * then, they are assumed to be still in use: under load other requests fill them, and a
+ * request that needs a slot at once would be refused.
  *
- * @param view - What is known of a server.
- * @param slots - Requests that it works on at once.
- * @param now - Steady milliseconds.
+ * @param view - The known load of a server.
+ * @param slots - Concurrency limit of the server.
+ * @param now - Current time, in milliseconds of the steady clock.
  * @returns Milliseconds; 0 if a slot is likely to be free.
  * @internal
  */
@@ -76,7 +76,7 @@
 	return (waiting + 1) * slotMs;
 }
 
-/** Averages of the requests of one route at one server. */
+/** Moving averages by server and route. */
 type RouteAverages = {
 	readonly get: (server: LifetimeKey, route: string) => number | undefined;
 	readonly record: (server: LifetimeKey, route: string, value: number) => void;
@@ -100,7 +100,7 @@
 }
 
 /**
- * @returns A view of nothing.
+ * @returns A view without any report.
  * @internal
  */
 export function createLoadView(): LoadView {
--- a/src/lib/decisions/mesh-retry-budget.test.ts
+++ b/src/lib/decisions/mesh-retry-budget.test.ts
@@ -7,7 +7,7 @@
 
 const limits: RetryLimits = {ratio: 0.2, slack: 62, windowMs: 10_000};
 
-/** Takes all that is left; a faulty budget must not keep the tests for ever. */
+/** Takes all retries that are left. The bound ends the loop if a faulty budget never runs out. */
 function takeAll(budget: MeshRetryBudget, service: string, now: number, reason: RetryReason = 'turned-away'): number {
 	let taken = 0;
 	while (taken < 100_000 && budget.tryAcquire(service, reason, now)) {
@@ -17,14 +17,14 @@
 	return taken;
 }
 
-test('a node without requests has its part of the slack, and services do not share', () => {
+test('a node without requests may use its part of the slack, separately for each service', () => {
 	const budget = createMeshRetryBudget(() => limits, () => 13);
 	const taken = Array.from({length: 5}, () => budget.tryAcquire('logview', 'turned-away', 0));
 	assert.deepEqual(taken, [true, true, true, false, false]);
 	assert.equal(budget.tryAcquire('depstore', 'turned-away', 0), true);
 });
 
-test('repeats grow with requests, and are forgotten with the window', () => {
+test('the budget grows with the requests, and retries that have left the window no longer count', () => {
 	const budget = createMeshRetryBudget(() => limits, () => 13);
 	for (let sent = 0; sent < 100; sent++) {
 		budget.recordRequest('logview', false, 0);
@@ -38,14 +38,14 @@
 
 const countWithin = (times: readonly number[], now: number, windowMs: number): number => times.filter(at => now - at < windowMs).length;
 
-test('property: over all nodes and any window the repeats stay within what the operators allow', () => {
+test('property: over all nodes and in any window the retries stay within the limit of the operators', () => {
 	const event = fc.record({
 		node: fc.nat(2), isRequest: fc.boolean(), isCall: fc.boolean(), reason: fc.constantFrom<RetryReason>('turned-away', 'call-turned-away', 'may-have-run'), afterMs: fc.nat(800),
 	});
 	fc.assert(fc.property(fc.array(event, {maxLength: 300}), events => {
 		const nodes = Array.from({length: 3}, () => createMeshRetryBudget(() => ({...limits, slack: 9}), () => 3));
 		const requests: number[] = [];
-		const repeats: number[] = [];
+		const retries: number[] = [];
 		let now = 0;
 		for (const {node, isRequest, isCall, reason, afterMs} of events) {
 			now += afterMs;
@@ -53,17 +53,17 @@
 				nodes[node]?.recordRequest('s', isCall, now);
 				requests.push(now);
 			} else if (nodes[node]?.tryAcquire('s', reason, now)) {
-				repeats.push(now);
+				retries.push(now);
 			}
 
-			// The operators' count may take the requests of the window before as well.
+			// The operators may also count the requests of the previous window.
 			const allowed = (countWithin(requests, now, 2 * limits.windowMs) * limits.ratio) + 9;
-			assert.ok(countWithin(repeats, now, limits.windowMs) <= allowed);
+			assert.ok(countWithin(retries, now, limits.windowMs) <= allowed);
 		}
 	}));
 });
 
-test('of the repeats, fewer are for requests that may have run', () => {
+test('requests that may have been executed get a smaller part of the budget', () => {
 	const budget = createMeshRetryBudget(() => limits, () => 13);
 	for (let sent = 0; sent < 1000; sent++) {
 		budget.recordRequest('logview', false, 0);
@@ -73,14 +73,14 @@
 	assert.equal(takeAll(budget, 'logview', 0, 'turned-away'), 123);
 });
 
-test('a repeat counts until its last moment is out of the window', () => {
+test('a retry counts until the end of its slice has left the window', () => {
 	const budget = createMeshRetryBudget(() => limits, () => 13);
 	assert.equal(takeAll(budget, 'logview', 0), 3);
 	assert.equal(takeAll(budget, 'logview', 10_500), 0);
 	assert.equal(takeAll(budget, 'logview', 11_000), 3);
 });
 
-/** Who takes repeats first: what is left for the others depends on it. */
+/** Orders in which the kinds of retries use up the budget: the first ones reduce what is left for the others. */
 const orders: ReadonlyArray<ReadonlyArray<readonly ['logview' | 'hall', RetryReason]>> = [
 	[['hall', 'call-turned-away'], ['logview', 'may-have-run'], ['hall', 'turned-away']],
 	[['logview', 'may-have-run'], ['hall', 'call-turned-away'], ['hall', 'turned-away']],
@@ -88,34 +88,34 @@
 ];
 
 for (const order of orders) {
-	test(`calls that repeated runs make again stay within what the service that they call is allowed: ${order.join('; ')}`, () => {
+	test(`nested calls that retried executions repeat stay within the budget of the called service: ${order.join('; ')}`, () => {
 		const nodes = 13;
-		// The users' mesh while a service sheds: 0.7 of the runs of "logview" make two calls of "hall", and these are the ones that fail and run again.
-		const callsOfEach = 1.4;
-		const callsOfRepeated = 2;
-		const requests = {logview: 4600, hall: 1550 + Math.round(4600 * callsOfEach)};
-		let again = 0;
+		// The users' mesh while a service sheds load: 0.7 of the executions of "logview" make two calls to "hall", and these fail and are retried.
+		const callsPerRequest = 1.4;
+		const callsPerRetry = 2;
+		const requests = {logview: 4600, hall: 1550 + Math.round(4600 * callsPerRequest)};
+		let retryCount = 0;
 		for (let node = 0; node < nodes; node++) {
 			const budget = createMeshRetryBudget(() => limits, () => nodes);
 			for (const service of ['logview', 'hall'] as const) {
 				for (let request = 0; request < Math.ceil(requests[service] / nodes); request++) {
-					budget.recordRequest(service, service === 'hall' && request * nodes < 4600 * callsOfEach, 0);
+					budget.recordRequest(service, service === 'hall' && request * nodes < 4600 * callsPerRequest, 0);
 				}
 			}
 
 			for (const [service, reason] of order) {
-				again += takeAll(budget, service, 0, reason) * (service === 'logview' ? callsOfRepeated : 1);
+				retryCount += takeAll(budget, service, 0, reason) * (service === 'logview' ? callsPerRetry : 1);
 			}
 		}
 
 		const allowed = (requests.hall * limits.ratio) + limits.slack;
-		// Windows are cut otherwise by who counts than by the nodes.
-		assert.ok(again <= allowed * 0.8, `${again} of ${allowed}`);
-		assert.ok(again >= allowed * 0.6, `${again} of ${allowed}`);
+		// The margin is for monitoring whose windows start at other times than those of the nodes.
+		assert.ok(retryCount <= allowed * 0.8, `${retryCount} of ${allowed}`);
+		assert.ok(retryCount >= allowed * 0.6, `${retryCount} of ${allowed}`);
 	});
 }
 
-test('while little is repeated elsewhere, calls that were turned away may use more than requests whose callers can come back', () => {
+test('while other services retry little, refused nested calls may use more of the budget than refused requests of other callers', () => {
 	const budget = createMeshRetryBudget(() => limits, () => 13);
 	for (let sent = 0; sent < 1000; sent++) {
 		budget.recordRequest('hall', sent % 4 !== 0, 0);
@@ -127,7 +127,7 @@
 	assert.equal(requests + calls, 163);
 });
 
-test('with the part of the slack that a dozen nodes share, the first request that fails may run again', () => {
+test('with a twelfth of the slack, the first failed request of a node may be retried', () => {
 	const budget = createMeshRetryBudget(() => limits, () => 12);
 	budget.recordRequest('logview', false, 0);
 	assert.equal(budget.tryAcquire('logview', 'may-have-run', 0), true);
--- a/src/lib/decisions/mesh-retry-budget.ts
+++ b/src/lib/decisions/mesh-retry-budget.ts
@@ -1,68 +1,68 @@
 /**
- * Bounds how often requests reach a second backend server, so that the sum
- * over all nodes stays within what the operators allow, whatever nodes can
- * hear of one another.
+ * Retry budget of one node for each service. It limits how many requests reach a
+ * second backend server, so that the sum over all nodes stays within the limit
+ * that the operators set, even if the nodes cannot reach one another.
  *
  * @module
  */
 
 /** @internal */
 export type RetryLimits = {
-	/** Repeats allowed for each request, over all nodes. */
+	/** Retries allowed per request, over all nodes. */
 	readonly ratio: number;
-	/** Repeats allowed beside that, over all nodes in a window. */
+	/** Retries allowed in addition, over all nodes and per window. */
 	readonly slack: number;
 	readonly windowMs: number;
 };
 
-/** Requests and repeats of one service in one slice of time. */
+/** Requests and retries of one service in one slice of the sliding window. */
 type WindowSlice = {
 	readonly startedAt: number;
 	requests: number;
-	/** Of the requests, those that others wait for: calls that backend servers make. */
+	/** Number of the requests that are nested calls: calls that backend servers make. */
 	nestedCalls: number;
 	retries: number;
-	/** Of the repeats, those of requests that may have run. */
+	/** Number of the retries whose first attempt may have been executed. */
 	possibleReruns: number;
 };
 
-/** Why a request is sent again: a server turned it away, or turned a call away that another server makes, or it may have run and failed. @internal */
+/** Why a request is retried: a server refused it, a server refused a nested call, or the first attempt failed and may have been executed. @internal */
 export type RetryReason = 'turned-away' | 'call-turned-away' | 'may-have-run';
 
 /** @internal */
 export type MeshRetryBudget = {
 	readonly recordRequest: (service: string, isNestedCall: boolean, now: number) => void;
-	/** Takes a repeat if one is left. */
+	/** Takes one retry from the budget; returns whether one was left. */
 	readonly tryAcquire: (service: string, reason: RetryReason, now: number) => boolean;
-	/** Repeats that this node may still send to a service. */
+	/** Returns how many retries this node may still send to a service. */
 	readonly countRemaining: (service: string, reason: RetryReason, now: number) => number;
 };
 
-/** Slices in a window: the window slides by one of these. */
+/** Number of slices in a window; the window slides by one slice. */
 const slicesPerWindow = 10;
 
-/** Share of what is allowed that is always used. */
+/** Share of the budget that may always be used. */
 const baseShare = 0.45;
 
-/** Share that may be used when few repeated runs make their calls again. The rest is for windows that whoever counts cuts otherwise. */
+/** Share of the budget that may be used while few retried executions repeat their nested calls. The rest is a margin for monitoring that starts its windows at other times. */
 const maxShare = 0.8;
 
-/** Calls that a repeated run is taken to make again at any other service: as many as a run of the users' services makes. */
+/** Nested calls that each retried execution is assumed to repeat at every other service; an execution of the users' services makes that many. */
 const callsPerRerun = 2;
 
 /**
- * Share of what is allowed that goes to requests that may have run. A request that runs again makes its calls again, and
- * these count as repeats at the service that is called. Requests that fail because of a call are those that make
- * the most: two each, at the users' services, so that this share counts twice there.
+ * Share of the budget for retries of requests that may have been executed. A second execution repeats its nested calls,
+ * and these count as retries at the called service. A request that fails because of a nested call adds the most: two nested calls
+ * at the users' services, so that this share counts twice at the called service.
  */
 const rerunShare = 0.2;
 
 /**
- * Creates the allowance.
+ * Creates a retry budget of which nothing is used.
  *
- * @param getLimits - What the operators allow now.
- * @param countNodes - Nodes that share the slack.
- * @returns The allowance; none is used.
+ * @param getLimits - Returns the current limits of the operators.
+ * @param countNodes - Returns the number of nodes that share the slack.
+ * @returns The budget.
  * @internal
  */
 export function createMeshRetryBudget(getLimits: () => RetryLimits, countNodes: () => number): MeshRetryBudget {
@@ -70,7 +70,7 @@
 
 	const getSliceMs = (): number => getLimits().windowMs / slicesPerWindow;
 
-	/** A slice counts until its last moment is out of the window. */
+	/** Returns the slices that still count and removes the others. A slice counts until its end has left the window. */
 	const getRecentSlices = (service: string, now: number): WindowSlice[] => {
 		const kept = (services.get(service) ?? []).filter(({startedAt}) => now - startedAt < getLimits().windowMs + getSliceMs());
 		services.set(service, kept);
@@ -105,7 +105,7 @@
 		return sum;
 	};
 
-	/** Calls that repeated runs of the other services may make again at this one. */
+	/** Counts the nested calls that retried executions of the other services may repeat at this service. */
 	const countRerunCalls = (service: string, now: number): number => {
 		let possibleReruns = 0;
 		for (const other of services.keys()) {
@@ -120,7 +120,7 @@
 		return (requests * ratio) + (slack / Math.max(1, countNodes()));
 	};
 
-	/** Whether another service that calls lead to uses more than what is always used: calls of further repeated runs would come on top. */
+	/** Whether another service that receives nested calls has used more than its base share. Nested calls of further retried executions would add to that. */
 	const isOtherBudgetStrained = (service: string, now: number): boolean => {
 		for (const other of services.keys()) {
 			const sum = sumWindow(other, now);
@@ -141,7 +141,7 @@
 			return isOtherBudgetStrained(service, now) ? 0 : Math.min(Math.floor(base) - retries, Math.floor(rerunShare * budget) - possibleReruns);
 		}
 
-		// A call that fails costs the run that makes it: what lies between the shares is for calls first.
+		// A failed nested call wastes the execution that makes it, so nested calls come first in the part between the two shares.
 		const extra = Math.max(0, (maxShare * budget) - countRerunCalls(service, now) - base);
 		const extraShare = reason === 'call-turned-away' ? 1 : 1 - (nestedCalls / Math.max(1, requests));
 		return Math.floor(base + (extra * extraShare)) - retries;
--- a/src/lib/decisions/nested-call-detector.test.ts
+++ b/src/lib/decisions/nested-call-detector.test.ts
@@ -2,22 +2,22 @@
 import test from 'node:test';
 import {createNestedCallDetector} from './nested-call-detector.js';
 
-test('a route whose objective is a small part of others of its service is taken for calls of servers', () => {
+test('a route is taken for nested calls if its objective is a small part of another one at its service', () => {
 	const detector = createNestedCallDetector();
 	assert.equal(detector.recordCall('hall', 'publish', 250), false);
 	assert.equal(detector.recordCall('hall', 'look-up', 60), true);
 	assert.equal(detector.recordCall('hall', 'publish', 250), false);
-	// Another objective for another service says nothing here.
+	// Objectives of other services are not compared.
 	assert.equal(detector.recordCall('logview', 'page', 100), false);
 });
 
-test('objectives that are about as long are all those of callers', () => {
+test('routes with similar objectives are not taken for nested calls', () => {
 	const detector = createNestedCallDetector();
 	assert.equal(detector.recordCall('vault', 'film', 250), false);
 	assert.equal(detector.recordCall('vault', 'order', 150), false);
 });
 
-test('a route that hardly anybody uses says nothing about the others', () => {
+test('a route with very little traffic does not affect the others', () => {
 	const detector = createNestedCallDetector();
 	detector.recordCall('pages', 'idle', 1000);
 	for (let count = 0; count < 100; count++) {
@@ -27,7 +27,7 @@
 	assert.equal(detector.recordCall('pages', 'page', 200), false);
 });
 
-test('a route that is gone, or whose objective has changed, counts no more', () => {
+test('a removed route, or one whose objective has changed, no longer affects the others', () => {
 	const detector = createNestedCallDetector();
 	detector.recordCall('hall', 'publish', 250);
 	detector.retain(new Set(['look-up']));
--- a/src/lib/decisions/nested-call-detector.ts
+++ b/src/lib/decisions/nested-call-detector.ts
@@ -1,36 +1,36 @@
 /**
- * Tells the calls that backend servers make from the requests of other
- * callers. Nothing in a request says so, but a call has to fit into the
- * objective of the request that waits for it, so its own objective is a small
- * part of those of the service's other requests.
+ * Detects nested calls: calls that a backend server makes while it holds a slot
+ * for the request that it works on. No field of a request marks them, but a nested
+ * call has to finish within the latency objective of the request that waits for it. Its own
+ * objective is therefore a small part of those of the service's other routes.
  *
- * What is told apart is worth a slot: a call that is refused costs the work
- * that its caller has done so far.
+ * A refused nested call wastes the work that its caller has done so far, so
+ * nested calls are preferred when slots are short.
  *
  * @module
  */
 
 /** @internal */
 export type NestedCallDetector = {
-	/** Notes a request of a route to a service; yields whether it is taken for a call of a backend server. */
+	/** Records a request of a route to a service; returns whether it is taken for a nested call. */
 	readonly recordCall: (service: string, route: string, targetLatencyMs: number) => boolean;
-	/** Forgets routes that are gone. */
+	/** Removes all routes but these. */
 	readonly retain: (routes: ReadonlySet<string>) => void;
 };
 
 type RouteTraffic = {requests: number; readonly targetLatencyMs: number};
 
-/** A call's objective is at most this share of the longest one of the service's requests: a server that makes two calls, one after the other, has to have both answered in time. */
+/** The objective of a nested call is at most this share of the longest objective at the service: a server that makes two calls one after the other needs both responses in time. */
 const nestedTargetShare = 0.5;
 
-/** Routes with less than this share of a service's requests say nothing about the others: configurations hold many that nobody uses. */
+/** Objectives of routes with less than this share of a service's requests are ignored when others are compared with them: configurations contain many unused routes. */
 const minTrafficShare = 0.02;
 
-/** Counts are halved when they reach this: what counts are the latest hundreds of requests, a second or two under load. */
+/** The counts of a service are halved when their sum reaches this, so that only the latest hundreds of requests count: one or two seconds under load. */
 const halvingRequestCount = 400;
 
 /**
- * @returns What has seen no request yet: none is taken for a call.
+ * @returns A detector without any recorded request.
  * @internal
  */
 export function createNestedCallDetector(): NestedCallDetector {
--- a/src/lib/decisions/plan-attempt.test.ts
+++ b/src/lib/decisions/plan-attempt.test.ts
@@ -26,36 +26,36 @@
 const nothingYet: AttemptHistory = {tried: new Set(), full: new Set(), refusals: 0};
 const full = {running: 10, waiting: 0} as const;
 
-test('overload: a call waits for a few slots to come free, however long its caller would wait', () => {
+test('overload: a call waits only until a few slots are released, even if its deadline is far away', () => {
 	const server = createServer('a', 10, full);
 	assert.equal(computeMaxWaitMs(call, server), 30);
 	assert.equal(computeMaxWaitMs({...call, leftMs: 60_000}, server), 30);
 });
 
-test('overload: a call that could not be answered in time any more waits for nothing', () => {
+test('overload: a call that can no longer be answered in time does not wait', () => {
 	assert.equal(computeMaxWaitMs({...call, ageMs: 80}, createServer('a', 10, full)), 0);
 	const plan = planAttempt({...call, ageMs: 300}, nothingYet, [createServer('a', 10, full), createServer('b', 10, full)], standardRules, 1000);
 	assert.equal(plan.type, 'refuse');
 });
 
-test('a late call takes a slot that is free', () => {
+test('a late call gets a free slot', () => {
 	const plan = planAttempt({...call, ageMs: 300}, nothingYet, [createServer('a', 10, full), createServer('b', 10)], standardRules, 1000);
 	assert.equal(plan.type === 'send' ? plan.target.id : '', 'b');
 });
 
-test('a call that a server waits for is sent even if nothing is known to be free', () => {
+test('a nested call is sent even if no free slot is known', () => {
 	const plan = planAttempt({
 		...call, isNestedCall: true, targetLatencyMs: 60, leftMs: 200,
 	}, nothingYet, [createServer('a', 10, {running: 10, waiting: 60})], standardRules, 1000);
 	assert.deepEqual(plan.type === 'send' ? plan.mayWaitMs : 0, 80);
 });
 
-test('a call with too little time left for any answer is refused before it is sent', () => {
+test('a call with too little time left for a response is refused before it is sent', () => {
 	assert.equal(planAttempt({...call, leftMs: 20}, nothingYet, [createServer('a', 10, full)], standardRules, 1000).type, 'too-late');
 	assert.equal(planAttempt({...call, leftMs: 10}, nothingYet, [createServer('a', 10)], standardRules, 1000).type, 'too-late');
 });
 
-test('a server that was slow is tried again as soon as it has a free slot, however little time its callers have', () => {
+test('a slow server with a free slot is tried again even if the time left is shorter than its service time', () => {
 	assert.equal(planAttempt({...call, leftMs: 200}, nothingYet, [createServer('a', 10, {serviceMs: 60_000})], standardRules, 1000).type, 'send');
 });
 
@@ -68,7 +68,7 @@
 	isNestedCall: fc.constant(false), isBulk: fc.boolean(),
 });
 
-test('property: whatever the service, nobody waits who could not be answered in time', () => {
+test('property: at any service, only calls that can be answered in time wait', () => {
 	fc.assert(fc.property(services, calls, (servers, facts) => {
 		const plan = planAttempt(facts, nothingYet, servers, standardRules, 1000);
 		if (plan.type === 'send' && plan.mayWaitMs > 0) {
@@ -77,7 +77,7 @@
 	}));
 });
 
-test('property: whatever the service, a call that has time goes to a slot that is free', () => {
+test('property: at any service, a call with enough time left is sent if a slot is free', () => {
 	fc.assert(fc.property(services, calls, (servers, facts) => {
 		const hasFree = servers.some(({slots, view}) => view.running + view.waiting < slots);
 		const hasTime = facts.leftMs >= 15;
@@ -86,7 +86,7 @@
 	}));
 });
 
-test('property: a refusal that is known beforehand costs no try at a gate', () => {
+test('property: a call that every gate would refuse is refused without asking one', () => {
 	fc.assert(fc.property(services, calls, (servers, facts) => {
 		const busy = servers.map(server => ({...server, view: {...server.view, running: server.slots, waiting: server.slots * 3}}));
 		assert.notEqual(planAttempt(facts, nothingYet, busy, standardRules, 1000).type, 'send');
--- a/src/lib/decisions/plan-attempt.ts
+++ b/src/lib/decisions/plan-attempt.ts
@@ -1,13 +1,12 @@
 /**
- * Decides what is done next for a call: which backend server is asked, and how
- * long it may let the call wait for a slot, or that the call is refused at once.
+ * Plans the next attempt of a call: the backend server that gets it and how long
+ * it may wait there for a slot, or that the call is refused at once.
  *
- * The pattern of load that it answers is a service that gets more than it can
- * work on. Slots are then the only thing that is short, and what a slot's time
- * earns depends on when the work ends: an answer within the latency objective
- * is worth several times a late one, and an answer that nobody waits for is
- * worth nothing. So a call waits only for as long as it can still be answered
- * in time, and only as long as it takes to keep the slots busy.
+ * The rules are made for an overloaded service, in which slots are the scarce
+ * resource. The value of the work in a slot depends on when it ends: a response
+ * within the latency objective is worth several times a late one, and a response
+ * after the caller has left is worth nothing. So a call waits only while it can
+ * still be answered in time, and only as long as it takes to keep the slots busy.
  *
  * @module
  */
@@ -15,76 +14,76 @@
 import {estimateSlotWaitMs} from './load-view.js';
 import {getColdStartFactor, type Candidate} from './rank-servers.js';
 
-/** What decides about a call, at the moment of the decision. @internal */
+/** State of a call at the time of the decision. @internal */
 export type CallState = {
 	/** Latency objective of its route, in milliseconds. */
 	readonly targetLatencyMs: number;
-	/** Since its caller first asked, as far as this node can tell, in milliseconds. */
+	/** Estimated time since the caller sent it for the first time, in milliseconds. */
 	readonly ageMs: number;
-	/** Until its caller gives up, in milliseconds. */
+	/** Time until its deadline, in milliseconds. */
 	readonly leftMs: number;
-	/** A backend server made it and holds a slot until it is answered. */
+	/** Whether a backend server made the call and holds a slot until it is answered. */
 	readonly isNestedCall: boolean;
-	/** Body or answer is large. */
+	/** Whether the request body or the response is large. */
 	readonly isBulk: boolean;
 };
 
-/** What a call has been through. @internal */
+/** Earlier attempts of a call. @internal */
 export type AttemptHistory = {
-	/** Servers that are out of the question: they were tried, or cannot take it. */
+	/** Servers that are excluded: they were tried, or cannot accept the call. */
 	readonly tried: ReadonlySet<LifetimeKey>;
-	/** Servers whose gate had no slot at once; they may be asked once more, to let it wait. */
+	/** Servers whose gate had no free slot; they may be asked once more, to queue the call. */
 	readonly full: ReadonlySet<LifetimeKey>;
-	/** Refusals by gates, which no server saw. */
+	/** Number of refusals by gates, which did not reach a server. */
 	readonly refusals: number;
 };
 
 /** @internal */
 export type AttemptPlan =
 	| {readonly type: 'send'; readonly target: Candidate; readonly mayWaitMs: number}
-	/** Every server is busy for at least `waitMs`. */
+	/** Every server is busy for at least `waitMs` milliseconds. */
 	| {readonly type: 'refuse'; readonly waitMs: number}
-	/** The time left is too short for any answer. */
+	/** The time left is too short for a response of any server. */
 	| {readonly type: 'too-late'}
 	| {readonly type: 'no-server'};
 
-/** Computes how long a call may be expected to wait at a server. @internal */
+/** Computes the longest acceptable wait of a call at a server in milliseconds. @internal */
 export type ComputeMaxWaitMs = (call: CallState, server: Candidate) => number;
 
 /** @internal */
 export type PlanRules = {
 	readonly computeWait: ComputeMaxWaitMs;
-	/** Gates that are asked for a slot at once before one is asked to let the call wait. */
+	/** Number of gates that are asked for a free slot before one is asked to queue the call. */
 	readonly immediateTries: number;
 };
 
-/** Gates that are asked for a slot at once before one is asked to let the call wait. Large bodies have more to gain by another server, and a refusal costs them next to nothing: their links are what is short. */
+/** Number of gates that are asked for a free slot before one is asked to queue the call. Calls with large bodies gain more from another server, and a refusal costs them very little: their bottleneck is the link. */
 const immediateTryLimits = {small: 2, bulk: 4} as const;
 
-/** Refusals by gates after which a call is given up: the caller is better told to come back. */
+/** Refusals by gates after which a call is refused: it is better that the caller retries later. */
 const maxRefusals = {small: 3, bulk: 5} as const;
 
-/** A call is refused without asking a gate if the wait that is expected is so many times longer than it may be: estimates are rough. */
+/** A call is refused without asking a gate if the expected wait exceeds the longest acceptable one by this factor, since estimates are rough. */
 const waitToleranceFactor = 1.2;
 
-/** No attempt begins with less than this left, in milliseconds: it could not be answered. */
+/** No attempt starts with less time left than this: it could not be answered. */
 const minAttemptMs = 15;
 
-/** Nor with less than this share of the work that is to be expected: of work that varies widely, a tenth is that short, and the rest would keep a slot for nothing. */
+/** No attempt starts with less time left than this share of the average service time. If service times vary widely, a tenth of the requests is that short, and the others would hold a slot in vain. */
 const minWorkShare = 0.25;
 
-/** Work takes longer than its average by this share in the answers that are still to be in time: some four in five. */
+/** Margin on the average service time, as a share, within which about four in five responses are in time. */
 const workMarginShare = 0.25;
 
-/** Slots that come free while a call waits, at the most: a queue of so many keeps the slots busy, and each one more delays all that follow. */
+/** A call waits for at most this many slots to be released. A queue of this length keeps the slots busy, and each additional request delays all that follow. */
 const maxReleasesPerWait = 2;
 
-/** A call that a server waits for may wait for this share of what is left: without it the work of its caller is lost. */
+/** A nested call may wait for this share of the time left, since the work of its caller is lost if it is refused. */
 const nestedCallWaitShare = 0.4;
 
 /**
  * @param server - A server.
- * @returns Milliseconds that its work takes in the answers that are still to be in time.
+ * @returns Its service time in milliseconds, with a margin so that most responses are in time.
  * @internal
  */
 export function computeWorkMs(server: Candidate): number {
@@ -92,10 +91,10 @@
 }
 
 /**
- * Computes how long a call may be expected to wait.
+ * Computes the longest acceptable wait of a call.
  *
  * @param call - The call.
- * @param server - The server that would let it wait.
+ * @param server - The server at whose gate it would wait.
  * @returns Milliseconds.
  * @internal
  */
@@ -108,7 +107,7 @@
 	const {view, slots} = server;
 	const inTimeMs = targetLatencyMs - ageMs - computeWorkMs(server);
 	if (inTimeMs <= 0) {
-		// It takes a slot that is free. If it waited, it would make others late that can still be in time.
+		// A late call may only use a free slot. If it waited, it would delay others that can still be in time.
 		return 0;
 	}
 
@@ -116,7 +115,7 @@
 	return Math.min(inTimeMs, leftMs, slotReleaseMs === 0 ? inTimeMs : slotReleaseMs * (maxReleasesPerWait + 1));
 }
 
-/** Whether a server could not answer a call in the time that is left. A slot that is free is tried all the same: only answers show that a server has become faster. */
+/** Returns whether a server could not answer a call in the time left. A free slot is tried in any case, since only responses show that a server has become faster. */
 function isTooLate({leftMs}: CallState, {view, slots}: Candidate, now: number): boolean {
 	if (leftMs < minAttemptMs) {
 		return true;
@@ -125,18 +124,18 @@
 	return estimateSlotWaitMs(view, slots, now) > 0 && leftMs < view.serviceMs * minWorkShare;
 }
 
-/** The rules that nodes decide by. @internal */
+/** The rules that nodes use. @internal */
 export const standardRules: PlanRules = {computeWait: computeMaxWaitMs, immediateTries: immediateTryLimits.small};
 
 /**
  * Plans the next attempt of a call.
  *
  * @param call - The call.
- * @param history - What it has been through.
- * @param ranked - The servers of its service, the one to ask first at the front.
- * @param rules - What to decide by.
- * @param now - Steady milliseconds.
- * @returns Whom to ask, or that it is refused.
+ * @param history - Its earlier attempts.
+ * @param ranked - The servers of its service, the preferred one at the front.
+ * @param rules - The rules to apply.
+ * @param now - Current time, in milliseconds of the steady clock.
+ * @returns The server to ask, or why there is none.
  * @internal
  */
 export function planAttempt(call: CallState, history: AttemptHistory, ranked: readonly Candidate[], rules: PlanRules, now: number): AttemptPlan {
@@ -152,21 +151,21 @@
 	}
 
 	const waits = eligible.map(target => ({target, waitMs: estimateSlotWaitMs(target.view, target.slots, now), mayWaitMs: rules.computeWait(call, target)}));
-	// The one whose answer is expected first, of those that may let it wait for as long as it takes there.
+	// The server with the shortest wait among those where the wait is acceptable.
 	const byWait = waits.toSorted((left, right) => left.waitMs - right.waitMs);
 	const best = byWait.find(({waitMs, mayWaitMs}) => waitMs <= mayWaitMs * waitToleranceFactor) ?? byWait[0];
 	if (best === undefined) {
 		return {type: 'no-server'};
 	}
 
-	// Nothing tells how many are before a call that servers wait for: it is always sent.
+	// Reports do not tell how many waiting requests are ahead of a nested call, so it is always sent.
 	const isWaitTooLong = best.waitMs > best.mayWaitMs * waitToleranceFactor;
 	return isWaitTooLong && !call.isNestedCall ? {type: 'refuse', waitMs: best.waitMs} : {type: 'send', target: best.target, mayWaitMs: best.mayWaitMs};
 }
 
 /**
  * @param call - The call.
- * @param refusals - How often gates have refused it.
+ * @param refusals - Number of refusals by gates so far.
  * @returns Whether another gate may be asked.
  * @internal
  */
--- a/src/lib/decisions/rank-servers.test.ts
+++ b/src/lib/decisions/rank-servers.test.ts
@@ -34,29 +34,29 @@
 	domain: here, fastEnoughMs: 0, otherNodePenaltyMs: 35, crossDomainPenaltyMs, random: () => 0.5,
 }).map(({id}) => id);
 
-test('the own VM goes first, then the own failure domain, as long as they are about as fast', () => {
+test('equally fast servers are ordered by distance: the own VM, then the own failure domain', () => {
 	const servers = [createCandidate('far', {domain: there}), createCandidate('near'), createCandidate('own', {isLocal: true})];
 	assert.deepEqual(rank(servers), ['own', 'near', 'far']);
 });
 
-test('a much faster or much less busy server goes first wherever it is, but not for an upload', () => {
+test('a much faster or much less busy server goes first in any failure domain, except with the larger penalty of uploads', () => {
 	const servers = [createCandidate('near', {}, {serviceMs: 300}), createCandidate('far', {domain: there})];
 	assert.deepEqual(rank(servers), ['far', 'near']);
 	assert.deepEqual(rank(servers, 400), ['near', 'far']);
 	assert.deepEqual(rank([createCandidate('near', {}, {running: 12, waiting: 6}), createCandidate('far', {domain: there})]), ['far', 'near']);
 });
 
-test('cold, failing and slow to reach servers go last', () => {
+test('cold servers, failing servers and servers with a long round-trip time go last', () => {
 	assert.deepEqual(rank([createCandidate('cold', {isCold: true}), createCandidate('warm')]), ['warm', 'cold']);
 	assert.deepEqual(rank([createCandidate('grey', {}, {failureShare: 0.4}), createCandidate('sound')]), ['sound', 'grey']);
 	assert.deepEqual(rank([createCandidate('slow-node', {}, {roundTripMs: 300}), createCandidate('sound')]), ['sound', 'slow-node']);
 });
 
-test('of many servers the one that looks best does not get everything, and the slow ones get little', () => {
+test('of many servers the apparently best one does not get all requests, and slow ones get few', () => {
 	const servers = Array.from({length: 40}, (_, index) => createCandidate(`i-${index}`, {domain: index < 14 ? here : there}, {serviceMs: index === 0 ? 70 : 100 + (index % 5)}));
 	const slow = Array.from({length: 5}, (_, index) => createCandidate(`slow-${index}`, {}, {serviceMs: 400}));
 	const first = new Map<string, number>();
-	// A fixed sequence instead of chance: the same verdict each run.
+	// A fixed pseudo-random sequence, so that each run has the same result.
 	let seed = 1;
 	const random = (): number => {
 		seed = (seed * 48_271) % 2_147_483_647;
@@ -75,7 +75,7 @@
 	assert.ok(slow.every(({id}) => (first.get(id) ?? 0) < draws * 0.01));
 });
 
-test('what this node has sent since the gate spoke counts, and so does what has ended meanwhile', () => {
+test('the estimate includes requests sent and excludes requests ended since the last report of the gate', () => {
 	const loads = createLoadView();
 	const id = toKey('i-1');
 	loads.recordStart(id);
@@ -87,7 +87,7 @@
 	assert.equal(Math.round(estimateSlotWaitMs(loads.get(id), 12, 1050)), 30);
 });
 
-test('a server whose slots were all taken is not taken for free because time has passed', () => {
+test('a server whose slots were all in use is not assumed to have a free one because time has passed', () => {
 	const loads = createLoadView();
 	const id = toKey('i-1');
 	loads.recordReport(id, {running: 12, waiting: 0, serviceMs: 120}, 1000);
@@ -96,7 +96,7 @@
 	assert.equal(estimateSlotWaitMs(loads.get(id), 12, 1300), 0);
 });
 
-test('servers that are gone are forgotten once nothing is under way there', () => {
+test('removed servers are dropped once no request to them is in flight', () => {
 	const loads = createLoadView();
 	const id = toKey('i-1');
 	loads.recordReport(id, {serviceMs: 120}, 0);
@@ -108,7 +108,7 @@
 	assert.equal(loads.get(id).serviceMs, 0);
 });
 
-test('property: every server is in the order once, and the estimate never loses what this node has sent', () => {
+test('property: every server is in the order once, and the estimate is never below the requests in flight of this node', () => {
 	const view = fc.record({
 		running: fc.nat(20), waiting: fc.nat(20), ownInFlight: fc.nat(20), ownInFlightAtReport: fc.nat(20), serviceMs: fc.nat(500), roundTripMs: fc.nat(500),
 	});
@@ -122,18 +122,18 @@
 	}));
 });
 
-test('a fast server is left to calls that a slot is held for: to others an answer that is soon enough is as good', () => {
+test('a fast server is left to nested calls, since for others a response that is fast enough is as good', () => {
 	const servers = [createCandidate('fast', {domain: there}, {serviceMs: 50}), createCandidate('slow', {}, {serviceMs: 120})];
 	const rankFor = (fastEnoughMs: number): string => rankServers(servers, {
 		domain: here, otherNodePenaltyMs: 5, crossDomainPenaltyMs: 10, fastEnoughMs, random: () => 0,
 	})[0]!.id;
 	assert.equal(rankFor(0), 'fast');
 	assert.equal(rankFor(175), 'slow');
-	// It is not soon enough any more once the slow one is busy.
+	// With a lower threshold, the slow server is not fast enough.
 	assert.equal(rankFor(100), 'fast');
 });
 
-test('nothing that is known of one lifetime of a server holds for the next one', () => {
+test('the known load of one lifetime of a server is not used for the next one', () => {
 	const loads = createLoadView();
 	const id = toBackendServerId('i-1');
 	const [before, after] = [toLifetimeKey({id, startedAt: 1}), toLifetimeKey({id, startedAt: 2})];
--- a/src/lib/decisions/rank-servers.ts
+++ b/src/lib/decisions/rank-servers.ts
@@ -1,6 +1,5 @@
 /**
- * Orders the backend servers of a service by when an answer from each is to be
- * expected: the decision part of choosing one.
+ * Orders the backend servers of a service by the expected response time.
  *
  * @module
  */
@@ -11,15 +10,15 @@
 import {shuffleList} from '../common/shuffle-list.js';
 import {estimateOutstanding, type ServerView} from './load-view.js';
 
-/** A backend server that may be chosen. @internal */
+/** A backend server that may receive a request. @internal */
 export type Candidate = {
 	readonly id: BackendServerId;
-	/** The lifetime of it that what is known here is known of. */
+	/** The lifetime of the server to which `view` belongs. */
 	readonly lifetime: LifetimeKey;
 	readonly node: NodeId;
 	readonly gate: Address;
 	readonly domain: FailureDomain;
-	/** It stands beside this node. */
+	/** Whether the server runs beside this node. */
 	readonly isLocal: boolean;
 	readonly slots: number;
 	readonly isCold: boolean;
@@ -29,46 +28,46 @@
 /** @internal */
 export type RankingContext = {
 	readonly domain: FailureDomain;
-	/** What a server beside another node of the own failure domain has to be faster by, in milliseconds. */
+	/** How much faster a server behind another node in the same failure domain has to be, in milliseconds. */
 	readonly otherNodePenaltyMs: number;
-	/** What a server of another failure domain has to be faster by, in milliseconds. */
+	/** How much faster a server in another failure domain has to be, in milliseconds. */
 	readonly crossDomainPenaltyMs: number;
-	/** An answer within this time is as good as a sooner one, in milliseconds; 0 if every millisecond counts. */
+	/** Faster responses than this are not preferred, in milliseconds; 0 if the fastest one is always preferred. */
 	readonly fastEnoughMs: number;
 	readonly random: () => number;
 };
 
-/** Taken for a server that nothing is known of, so that it is tried. Milliseconds. */
+/** Service time assumed for a server without a report, so that it gets requests. */
 const assumedServiceMs = 60;
 
-/** A cold server is taken for so many times slower; the users' servers are about twice as slow at first. */
+/** Factor for the service time of a cold server. The users' servers are about half as fast after a start. */
 const coldStartFactor = 2;
 
-/** Failures count as if each took so many times as long, since a failed request has to be sent again. */
+/** A failure counts as this many service times, since the request has to be retried. */
 const failureFactor = 4;
 
-/** Estimates are spread by this share, so that nodes that see the same do not all choose the same. */
+/** Random share added to estimates, so that nodes with the same view do not all choose the same server. */
 const jitterShare = 0.15;
 
-/** The time on the way counts so many times: a node that is slow to answer delays what follows as well. */
+/** Factor for the round-trip time: a slow node also delays what follows. */
 const roundTripFactor = 2;
 
-/** Share of its slots in use above which a server is expected to be slower. */
+/** A server is expected to be slower if more than this share of its slots is in use. */
 const busyThresholdShare = 0.7;
 
-/** How much slower a server is with all slots in use than with few, as a share. */
+/** Share by which the service time grows when all slots are in use. */
 const busySlowdownShare = 0.5;
 
 /**
- * Servers of each kind that are compared. What is known of their load is up to a heartbeat old: if every node took the best
- * of forty, all would take the same one until the next heartbeat. The best of a few drawn at random is nearly as good, and
- * another one for each node. Services of the size of the users' first sites are still compared whole.
+ * Number of servers of each kind that are compared, drawn at random. The known load is up to one heartbeat old: if every node
+ * chose the best of forty servers, all would choose the same one until the next heartbeat. The best of a few random servers is
+ * nearly as good and differs between nodes. In services as small as those at the users' first sites, all servers are compared.
  */
 const shortlistSizes = {ownDomain: 3, otherDomains: 4} as const;
 
 /**
  * @param candidate - A server.
- * @returns How much longer work takes there now than what is known of it says.
+ * @returns Factor by which its current service time exceeds the known one.
  * @internal
  */
 export function getColdStartFactor({isCold}: Pick<Candidate, 'isCold'>): number {
@@ -76,11 +75,11 @@
 }
 
 /**
- * Estimates when an answer is to be expected.
+ * Estimates the response time of a server.
  *
  * @param candidate - The server.
- * @param context - Where this node stands.
- * @returns Milliseconds, with a random spread; only their order means anything.
+ * @param context - Failure domain of this node, and the thresholds.
+ * @returns Milliseconds with random jitter and penalties; use them only to compare servers.
  * @internal
  */
 export function estimateResponseMs(candidate: Candidate, context: RankingContext): number {
@@ -108,10 +107,10 @@
 }
 
 /**
- * Orders servers: the best of a random few first, then the others.
+ * Orders servers by estimated response time: first a random shortlist, then the others.
  *
- * @param candidates - Servers that may be chosen.
- * @param context - Where this node stands.
+ * @param candidates - Servers that may receive the request.
+ * @param context - Failure domain of this node, and the thresholds.
  * @returns The same servers, the one to try first at the front.
  * @internal
  */
--- a/src/lib/decisions/ranking-thresholds.ts
+++ b/src/lib/decisions/ranking-thresholds.ts
@@ -1,35 +1,36 @@
 /**
- * Weighs how far away a backend server is against how soon it answers.
+ * Computes how much faster a distant backend server has to be to be preferred, and
+ * which response times are fast enough.
  *
  * @module
  */
 import {isBulk, type RouteRule} from '../route-config/route-config.js';
 import {type RankingContext} from './rank-servers.js';
 
-/** What counts in the choice of a server beside its load. @internal */
+/** Thresholds for the choice of a server besides its load. @internal */
 export type RankingThresholds = Pick<RankingContext, 'otherNodePenaltyMs' | 'crossDomainPenaltyMs' | 'fastEnoughMs'>;
 
-/** What a server elsewhere has to be faster by, as a share of the latency objective. */
+/** How much faster a server elsewhere has to be, as a share of the latency objective. */
 const penaltyShares = {
-	/** A second node costs processor time on both VMs. */
+	/** A server behind another node: forwarding costs CPU time on both VMs. */
 	otherNode: 0.1,
-	/** Bytes between failure domains are paid for. */
+	/** A server in another failure domain: traffic between failure domains is billed. */
 	crossDomain: 0.15,
-	/** Large bodies are most of these bytes. More than this, and a failure domain whose only link is full keeps what others have room for. */
+	/** The same for large bodies, which make most of that traffic. With a larger share, a failure domain whose only link is full would keep requests for which others have capacity. */
 	crossDomainBulk: 0.4,
 } as const;
 
 /**
- * An answer within this share of the objective is as good as a sooner one: the fast servers are left to the calls that
- * other servers wait for with a slot.
+ * A response within this share of the objective is fast enough, and a faster one is not preferred. This leaves the fast servers
+ * to nested calls, for which another server holds a slot.
  */
 const fastEnoughShare = 0.4;
 
 /**
  * @param route - Route of a request.
- * @param isNestedCall - Whether a server holds a slot until it is answered: every millisecond counts then.
- * @param ageMs - Milliseconds since its caller first asked.
- * @returns What counts in the choice of its server.
+ * @param isNestedCall - Whether a backend server holds a slot until the request is answered. If so, no response is fast enough and the fastest server is preferred.
+ * @param ageMs - Milliseconds since its caller sent it for the first time.
+ * @returns The thresholds for the choice of its server.
  * @internal
  */
 export function computeRankingThresholds({type, targetLatencyMs}: Pick<RouteRule, 'type' | 'targetLatencyMs'>, isNestedCall: boolean, ageMs: number): RankingThresholds {
--- a/src/lib/decisions/retry-after.ts
+++ b/src/lib/decisions/retry-after.ts
@@ -1,41 +1,41 @@
 /**
- * Decides when a caller that is refused should come back.
+ * Computes the retry delay for callers that are refused.
  *
  * @module
  */
 
-/** What is known when a caller is refused. @internal */
+/** A call that is refused. @internal */
 export type RefusedCall = {
-	/** Until a slot may be free for it, as gates said or as this node expects; 0 if nothing is known. Milliseconds. */
+	/** Time until a slot may be free, reported by gates or estimated by this node, in milliseconds; 0 if unknown. */
 	readonly waitMs: number;
 	/** Latency objective of its route, in milliseconds. */
 	readonly targetLatencyMs: number;
-	/** It was refused for want of a slot, and not because a server or node turned it away or could not be reached. */
+	/** Whether no slot was free. Otherwise a server or node refused the call or was unreachable. */
 	readonly isOverloaded: boolean;
 };
 
 /**
- * Who was refused for want of a slot does not come back sooner than this share of the latency objective:
- * what comes back soon finds the slots taken, and costs nodes a try.
+ * Shortest retry delay if no slot was free, as a share of the latency objective. An earlier retry finds the slots still
+ * in use and costs the nodes another attempt.
  */
 const overloadDelayShare = 1;
 
 /**
- * Who was refused for another reason comes back sooner, while an answer can still be in time: whether a server turns the next
- * request away has nothing to do with this one.
+ * Shortest retry delay after other refusals, as a share of the latency objective. It is short enough that a response can still
+ * be in time, since one refusal of a server does not make the next one more likely.
  */
 const otherDelayShare = 0.15;
 
-/** A time to come back is spread by this share, so that those who were refused together do not come back together. */
+/** Jitter as a share of the delay, so that callers that were refused together do not retry together. */
 const jitterShare = 0.5;
 
 /**
- * Computes when to come back: when a slot may be free, and not before the rush
- * that filled them has had the time that its answers take.
+ * Computes the retry delay: until a slot may be free, and not before the burst
+ * that filled the slots has had time to be answered.
  *
- * @param refusal - What is known.
- * @param random - Yields numbers from 0 up to 1.
- * @returns Milliseconds.
+ * @param refusal - The refused call.
+ * @param random - Returns numbers from 0 up to 1.
+ * @returns The delay in milliseconds.
  * @internal
  */
 export function computeRetryAfterMs({waitMs, targetLatencyMs, isOverloaded}: RefusedCall, random: () => number): number {
--- a/src/lib/decisions/slot-queue.test.ts
+++ b/src/lib/decisions/slot-queue.test.ts
@@ -18,14 +18,14 @@
 	return current;
 }
 
-test('requests run while there are slots, then wait, first those of the lower rank', () => {
+test('requests run while there are free slots, then wait ordered by rank', () => {
 	const queue = admitAll(createSlotQueue(1), [createRequest(1, 5), createRequest(2, 5), createRequest(3, 0), createRequest(4, 5)]);
 	assert.equal(queue.running, 1);
 	assert.deepEqual(queue.waiting.map(({id}) => id), [3, 2, 4]);
 	assert.deepEqual(finishRequest(queue, 60, 10).started.map(({id}) => id), [3]);
 });
 
-test('a request that could not start in time is refused at once, with a time to come back', () => {
+test('a request that could not start in time is refused at once with a retry delay', () => {
 	const queue = admitAll(createSlotQueue(1), [createRequest(1), createRequest(2)]);
 	const {decision, queue: after} = admitToQueue(queue, createRequest(3, 0, 100), 0);
 	assert.deepEqual(decision, {type: 'full', retryAfterMs: 120});
@@ -33,12 +33,12 @@
 	assert.equal(admitToQueue(queue, createRequest(3, 0, 0), 0).decision.type, 'full');
 });
 
-test('a request whose time to wait is over does not take the slot', () => {
+test('a request that has stopped waiting does not get the slot', () => {
 	const queue = admitAll(createSlotQueue(1), [createRequest(1), createRequest(2, 0, 500), createRequest(3, 0, 900)]);
 	assert.deepEqual(finishRequest(queue, 60, 600).started.map(({id}) => id), [3]);
 });
 
-test('a full queue makes room for a lower rank by refusing the last of the highest', () => {
+test('a full queue evicts the last request of the highest rank for a request of a lower rank', () => {
 	const low = Array.from({length: 4}, (_, index) => createRequest(index, 9));
 	const queue = admitAll(createSlotQueue(1), low);
 	const step = admitToQueue(queue, createRequest(9, 0), 0);
@@ -46,13 +46,13 @@
 	assert.equal(admitToQueue(queue, createRequest(9, 9), 0).decision.type, 'full');
 });
 
-test('what ends without an answer tells nothing of the speed', () => {
+test('a request without a service time does not change the average', () => {
 	const queue = admitAll(createSlotQueue(2), [createRequest(1)]);
 	assert.equal(finishRequest(queue, undefined, 0).queue.serviceMs, queue.serviceMs);
 	assert.ok(finishRequest(queue, 1000, 0).queue.serviceMs > queue.serviceMs);
 });
 
-test('the first answers after a start weigh more than later ones', () => {
+test('the first samples after a start weigh more than later ones', () => {
 	let queue = createSlotQueue(1);
 	for (let count = 0; count < 6; count++) {
 		queue = finishRequest(queue, 180, 0).queue;
@@ -66,7 +66,7 @@
 	assert.ok(finishRequest(queue, 1180, 0).queue.serviceMs < 240);
 });
 
-test('more slots start who waits; who gave up is gone', () => {
+test('additional slots start waiting requests, and removed requests do not start', () => {
 	const queue = removeFromQueue(admitAll(createSlotQueue(1), [createRequest(1), createRequest(2), createRequest(3)]), 2);
 	assert.deepEqual(resizeSlots(queue, 2, 0).started.map(({id}) => id), [3]);
 	assert.equal(estimateWaitMs(createSlotQueue(1), 0), 0);
@@ -74,7 +74,7 @@
 
 const listInTime = (queue: SlotQueue, now: number): readonly QueuedRequest[] => queue.waiting.filter(({waitUntil}) => waitUntil > now);
 
-test('property: never more in work than slots, nobody lost, and no slot idle while somebody in time waits', () => {
+test('property: no more requests run than there are slots, none is lost, and no slot is idle while a request that is in time waits', () => {
 	const step = fc.oneof(
 		fc.record({type: fc.constant('arrive' as const), rank: fc.integer({min: 0, max: 3}), patience: fc.integer({min: 0, max: 500})}),
 		fc.record({type: fc.constant('end' as const)}),
--- a/src/lib/decisions/slot-queue.ts
+++ b/src/lib/decisions/slot-queue.ts
@@ -1,6 +1,7 @@
 /**
- * Decides which requests a backend server works on and which wait, by rank and
- * then by arrival: the decision part of a sidecar's gate.
+ * Priority queue in front of a backend server with a concurrency limit: decides which
+ * requests run and which wait, by rank and then by arrival. The functions are
+ * pure; the gate of a node calls them.
  *
  * @module
  */
@@ -8,11 +9,11 @@
 /** A request that waits for a slot. @internal */
 export type QueuedRequest = {
 	readonly id: number;
-	/** 0 goes first. */
+	/** Lower ranks go first. */
 	readonly rank: number;
-	/** It is taken only if it is likely to start by then, in steady milliseconds. */
+	/** The request is queued only if it is expected to start by then, in milliseconds of the steady clock. */
 	readonly startBy: number;
-	/** When its wait is over, in steady milliseconds: later, since estimates are. */
+	/** When the request stops waiting, in milliseconds of the steady clock. It is later than `startBy`, since the estimated wait is inexact. */
 	readonly waitUntil: number;
 };
 
@@ -22,36 +23,36 @@
 	readonly running: number;
 	/** Ordered by rank, then by arrival. */
 	readonly waiting: readonly QueuedRequest[];
-	/** Average milliseconds that a request keeps its slot. */
+	/** Moving average of the time that a request holds its slot, in milliseconds. */
 	readonly serviceMs: number;
-	/** Requests that the average is made of. */
+	/** Number of requests in the average. */
 	readonly sampleCount: number;
 };
 
-/** What becomes of a request that arrives. @internal */
+/** Decision about a request that arrives. @internal */
 export type SlotDecision =
 	| {readonly type: 'run'}
-	/** `displaced` waited behind it and has no place any more. */
+	/** `evicted` is the request that was last in the full queue and had to leave it. */
 	| {readonly type: 'wait'; readonly evicted: QueuedRequest | undefined}
 	| {readonly type: 'full'; readonly retryAfterMs: number};
 
-/** Weight of the newest observation in the average of service times: some twenty requests make it. The first ones weigh more: after a restart of the node the estimate decides how many may wait, while everybody comes back at once. */
+/** Weight of the newest sample in the moving average of service times, which covers about twenty requests. The first samples weigh more: after a restart of the node the estimate decides how many may wait while all callers retry at once. */
 const smoothingFactor = 0.05;
 
-/** Assumed until the first request has ended; of the order of what the users' sheets give. Milliseconds. */
+/** Service time assumed until the first request has ended; of the same order as the service times that the users state. */
 const initialServiceMs = 60;
 
-/** The time assumed at first counts as so many requests: the first to end are the shortest ones. */
+/** The assumed service time counts as this many samples, since the first requests to end are the shortest ones. */
 const initialSampleCount = 3;
 
-/** The longest queue for each slot: beyond it every wait is longer than any latency objective. */
+/** Longest queue per slot. In a longer queue every wait exceeds any latency objective. */
 const maxQueuedPerSlot = 3;
 
-/** A caller that is told to come back sooner would only be refused again. Milliseconds. */
+/** A caller that retries sooner would be refused again. */
 const minRetryAfterMs = 40;
 
 /**
- * @param slots - Requests that the server works on at once.
+ * @param slots - Concurrency limit of the server.
  * @returns The queue of an idle server.
  * @internal
  */
@@ -64,7 +65,7 @@
 /**
  * @param queue - The queue.
  * @param rank - Rank of a request.
- * @returns Milliseconds until a request that arrives now would start.
+ * @returns Estimated milliseconds until a request that arrives now would start.
  * @internal
  */
 export function estimateWaitMs(queue: SlotQueue, rank: number): number {
@@ -79,12 +80,12 @@
 }
 
 /**
- * Admits, queues or refuses a request that arrives.
+ * Starts, queues or refuses a request that arrives.
  *
  * @param queue - The queue.
  * @param request - The request.
- * @param now - Steady milliseconds.
- * @returns The next state and what becomes of the request.
+ * @param now - Current time, in milliseconds of the steady clock.
+ * @returns The next state and the decision.
  * @internal
  */
 export function admitToQueue(queue: SlotQueue, request: QueuedRequest, now: number): {readonly queue: SlotQueue; readonly decision: SlotDecision} {
@@ -115,7 +116,7 @@
 	const inTime = queue.waiting.filter(waiting => waiting.waitUntil > now);
 	const free = Math.max(0, queue.slots - queue.running);
 	const started = inTime.slice(0, free);
-	// Who is out of time is answered by its own timer, which may be late: it must not take the slot.
+	// The timer of an expired request answers it, but may fire late. Until then the request stays queued and must not get a slot.
 	const isStarted = new Set(started.map(({id}) => id));
 	return {
 		queue: {...queue, running: queue.running + started.length, waiting: queue.waiting.filter(({id}) => !isStarted.has(id))},
@@ -130,11 +131,11 @@
 }
 
 /**
- * Takes back the slot of a request that has ended.
+ * Releases the slot of a request that has ended and starts requests that wait.
  *
  * @param queue - The queue.
- * @param tookMs - How long it kept the slot; `undefined` if that tells nothing of the server's speed.
- * @param now - Steady milliseconds.
+ * @param tookMs - Milliseconds for which it held the slot; `undefined` if they are no sample of the service time.
+ * @param now - Current time, in milliseconds of the steady clock.
  * @returns The next state and the requests that start.
  * @internal
  */
@@ -144,10 +145,10 @@
 }
 
 /**
- * Takes a request that gave up out of the queue.
+ * Removes a request that no longer waits from the queue.
  *
  * @param queue - The queue.
- * @param id - The request.
+ * @param id - Id of the request.
  * @returns The next state.
  * @internal
  */
@@ -156,11 +157,11 @@
 }
 
 /**
- * Changes the number of slots.
+ * Changes the number of slots and starts requests that wait if there are more of them.
  *
  * @param queue - The queue.
- * @param slots - The new number.
- * @param now - Steady milliseconds.
+ * @param slots - The new number of slots.
+ * @param now - Current time, in milliseconds of the steady clock.
  * @returns The next state and the requests that start.
  * @internal
  */
--- a/src/lib/quarantine/crash-detector.test.ts
+++ b/src/lib/quarantine/crash-detector.test.ts
@@ -4,11 +4,11 @@
 
 type Fixture = {
 	readonly detector: CrashDetector<string>;
-	/** What was in work at each crash. */
+	/** The requests that were in flight at each crash. */
 	readonly crashes: ReadonlyArray<readonly string[]>;
 	readonly countProbes: () => number;
 	readonly setEnded: (isOver: boolean) => void;
-	/** Lets time pass, and what waits for it run. */
+	/** Advances the clock and runs what waits for it. */
 	readonly advance: (milliseconds: number) => Promise<void>;
 };
 
@@ -45,7 +45,7 @@
 	};
 }
 
-test('all that is lost within a moment was in work at the same crash, which is asked for once', async context => {
+test('requests lost within the gather window belong to the same crash, and the server is probed once', async context => {
 	const {detector, crashes, countProbes, advance} = createFixture(context);
 	const results = [detector.recordLost('a'), detector.recordLost('b')];
 	await advance(1);
@@ -56,7 +56,7 @@
 	assert.equal(countProbes(), 1);
 });
 
-test('what is read later than that was in work at the crash as well', async context => {
+test('requests lost after the gather window were in flight at the crash as well', async context => {
 	const {detector, crashes, advance} = createFixture(context);
 	const first = detector.recordLost('a');
 	await advance(3);
@@ -66,7 +66,7 @@
 	assert.deepEqual(crashes, [['a'], ['b']]);
 });
 
-test('a server that goes on listening has not crashed, and is not asked again for each connection that it resets', async context => {
+test('a server that keeps listening has not crashed, and is not probed for each connection that it resets', async context => {
 	const {detector, crashes, countProbes, setEnded, advance} = createFixture(context);
 	setEnded(false);
 	const first = detector.recordLost('a');
@@ -79,16 +79,15 @@
 	const third = detector.recordLost('c');
 	await advance(3);
 	assert.equal(await third, true);
-	assert.deepEqual(crashes, [['c']], 'what was lost while the server listened is no suspect');
+	assert.deepEqual(crashes, [['c']], 'a request lost while the server listened became a suspect');
 });
 
 /**
- * What was seen, by reading: a node that stands still for longer than its server needs to come back reads the ends of its connections
- * when the next start listens already. Each took the end for a reset, passed the request on, and a request that crashes servers ended the next one uncounted.
- *
- * Cause: that somebody listens was taken for a sign that it is the same start.
+ * Guards against crashes that are not counted. A node that is paused for longer than its server needs to restart reads the ends of its
+ * connections when the next lifetime already listens. If a listening address is taken for the same lifetime, the crash looks like a
+ * reset, the request is passed on, and it crashes the next server without being recorded.
  */
-test('what was lost while the next start listened already was in work at a crash, once that start is heard of', async context => {
+test('requests lost while the next lifetime already listened count as in flight at a crash once that lifetime announces itself', async context => {
 	const {detector, crashes, setEnded, advance} = createFixture(context);
 	setEnded(false);
 	const first = detector.recordLost('a');
@@ -102,7 +101,7 @@
 	assert.equal(crashes.length, 1);
 });
 
-test('what a full server reset long before it was replaced, or before a crash that was seen, is no suspect', async context => {
+test('requests that an overloaded server reset long before it was replaced, or before a detected crash, are not suspected', async context => {
 	const {detector, crashes, setEnded, advance} = createFixture(context);
 	setEnded(false);
 	const early = detector.recordLost('early');
--- a/src/lib/quarantine/crash-detector.ts
+++ b/src/lib/quarantine/crash-detector.ts
@@ -1,7 +1,7 @@
 /**
- * Tells the end of a backend server from a connection that was lost for another
- * reason: a server that is full resets single connections and goes on listening,
- * one that has ended refuses the next connection.
+ * Distinguishes a crash of a backend server from a connection that was lost for another
+ * reason: an overloaded server resets single connections and keeps listening, a crashed
+ * one refuses the next connection.
  *
  * @module
  */
@@ -9,42 +9,42 @@
 
 /** @internal */
 export type CrashDetectorContext<Item> = {
-	/** Whether the server has ended: nobody listens at its address, or another start is there. */
+	/** Probes whether the server has ended: nothing listens at its address, or a new lifetime does. */
 	readonly hasEnded: () => Promise<boolean>;
-	/** Told of all that was in work when the server ended. */
+	/** Called with all requests that were in flight when the server ended. */
 	readonly handleCrash: (inFlight: readonly Item[]) => void;
 };
 
 /** @internal */
 export type CrashDetector<Item> = {
-	/** Notes what was in work on a connection that was lost; yields whether the server has ended. */
+	/** Records a request that was in flight on a lost connection; resolves with whether the server has ended. */
 	readonly recordLost: (item: Item) => Promise<boolean>;
-	/** Another start has taken the server's place without a word: what listened when it was asked was that one, and what was lost shortly before was in work at a crash. */
+	/** Records that a new lifetime has replaced the server without a leave message. Earlier probes may have found the new lifetime listening, so requests lost shortly before were in flight at a crash. */
 	readonly recordReplaced: () => void;
 };
 
-/** Connections of a process that ends are cut together; those that this process has not read yet are read within this time. Milliseconds. */
+/** The connections of a process close together when it ends. Within this time this process reads the end of those that it has not read yet. */
 const gatherWindowMs = 3;
 
-/** A server that was found listening is not asked again for so many milliseconds: one that is full may reset many connections, and each question is a connection more. */
+/** Shortest time between probes of a server that was found listening. An overloaded server may reset many connections, and each probe is another connection. */
 const minProbeIntervalMs = 50;
 
-/** Another start announces itself within this time after the end of the one before, as far as a node that stood still meanwhile can tell. Milliseconds. */
+/** A new lifetime announces itself within this time after the end of the previous one, as observed by a node that may have been paused in between. */
 const restartWindowMs = 5000;
 
-/** Lost requests whose server was found listening that are remembered at the most: several times what is in work at the largest servers of the users. */
+/** Largest number of unexplained requests that are kept: several times the requests in flight at the largest servers of the users. */
 const maxUnexplained = 64;
 
 /**
- * @param context - How the server is asked, and who is told.
- * @returns A watch over one lifetime of a server.
+ * @param context - The probe, and the handler of crashes.
+ * @returns A detector for one lifetime of a server.
  * @internal
  */
 export function createCrashDetector<Item>({hasEnded, handleCrash}: CrashDetectorContext<Item>): CrashDetector<Item> {
 	let lost: Item[] = [];
 	let pendingProbe: Promise<boolean> | undefined;
 	let foundListeningAt = Number.NEGATIVE_INFINITY;
-	/** Lost while the server, or its next start, was found listening. */
+	/** Requests that were lost while the server, or its next lifetime, was found listening. */
 	let unexplained: ReadonlyArray<{readonly item: Item; readonly at: number}> = [];
 
 	const keepUnexplained = (items: readonly Item[]): void => {
--- a/src/lib/quarantine/crash-report.ts
+++ b/src/lib/quarantine/crash-report.ts
@@ -1,5 +1,5 @@
 /**
- * One crash of a backend server and what it accuses, as the store keeps it.
+ * One crash of a backend server and the requests suspected of it, in the format of the store.
  *
  * @module
  */
@@ -11,24 +11,24 @@
 /** @internal */
 export type CrashReport = {
 	readonly crash: CrashKey;
-	/** Requests that were in work, and that nothing speaks for. */
+	/** Requests that were in flight at the crash, without those that were answered shortly before. */
 	readonly fingerprints: readonly Fingerprint[];
 };
 
-/** Requests that a report names at the most: several times what is in work at the largest servers of the users. */
+/** Largest number of requests in a report: several times the requests in flight at the largest servers of the users. */
 const maxReportedRequests = 64;
 
 /**
- * @param report - A crash.
- * @returns The value of its entry; its key names the crash.
+ * @param report - A crash report.
+ * @returns The value of its store entry. The crash itself is in the key.
  * @internal
  */
 export const encodeCrashReport = ({fingerprints}: CrashReport): string => JSON.stringify(fingerprints.slice(0, maxReportedRequests));
 
 /**
- * @param crash - The name of the crash.
- * @param value - The value of its entry.
- * @param place - Where it stood, for errors.
+ * @param crash - Key of the crash.
+ * @param value - The value of its store entry.
+ * @param place - Location of the value, for error messages.
  * @returns The report.
  * @throws FieldError, or a SyntaxError, when it cannot be read.
  * @internal
@@ -42,7 +42,7 @@
 	const fingerprints = names.map((name, index) => {
 		const fingerprint = parseFingerprint(name);
 		if (fingerprint === undefined) {
-			throw new FieldError(`${place}.${index}`, name, 'two digests with a dot between them');
+			throw new FieldError(`${place}.${index}`, name, 'a fingerprint of two digests joined by a dot');
 		}
 
 		return fingerprint;
@@ -51,8 +51,8 @@
 }
 
 /**
- * @param report - A crash.
- * @returns What it says of each request, as if it had happened now: nobody knows how long ago it was written, and what is older ends by itself.
+ * @param report - A crash report.
+ * @returns A record for each request, with the crash dated to now: the age of a report is unknown, and its store entry expires by itself.
  * @internal
  */
 export const toSuspectRecords = ({crash, fingerprints}: CrashReport): readonly SuspectRecord[] =>
--- a/src/lib/quarantine/fingerprint.ts
+++ b/src/lib/quarantine/fingerprint.ts
@@ -1,35 +1,35 @@
 /**
- * What makes two requests the same one to a backend server: method, host, target
- * and body. Ids, deadlines and attempts do not count, nor does the service that
- * asks: the same request comes at nodes beside servers of any service, and was
- * three requests then, each of which ended three servers.
+ * Fingerprint by which two requests are the same for a backend server: method, host,
+ * target and body. Ids, deadlines and attempts are not part of it, nor is the calling
+ * service: the same request arrives at nodes beside servers of any service, and with
+ * one fingerprint per calling service each of them could crash three servers.
  *
  * @module
  */
 import {createHash} from 'node:crypto';
 import {cutPort} from '../route-config/route-index.js';
 
-/** What a backend server is asked. @internal */
+/** The parts of a request that a fingerprint covers. @internal */
 export type RequestIdentity = {
 	readonly method: string;
-	/** As the caller named it; its port does not count. */
+	/** Host as sent by the caller; its port is ignored. */
 	readonly host: string;
 	/** Path and query. */
 	readonly target: string;
-	/** `undefined` if there is none. */
+	/** Body of the request; `undefined` if there is none. */
 	readonly body: Uint8Array | undefined;
 };
 
-/** Stands for all requests of one identity: two digests, of the head and of the body. @internal */
+/** Identifies all requests with the same parts: digests of the head and of the body, joined by a dot. @internal */
 export type Fingerprint = string & {readonly __kind: 'Fingerprint'};
 
-/** The part of a fingerprint that is known before the body is. @internal */
+/** Digest of the head, the part of a fingerprint that is known before the body is. @internal */
 export type HeadFingerprint = string & {readonly __kind: 'HeadFingerprint'};
 
-/** Characters of each digest, six bits each: among the requests of a day two with the same 48 bits are not to be expected (a million of them: one in 500 days). */
+/** Characters of each digest, six bits each. With 48 bits and a million different requests a day, a collision is expected once in 500 days. */
 const digestLength = 8;
 
-/** Stands for no body. */
+/** Digest of a request without a body. */
 const noBodyDigest = '-'.repeat(digestLength);
 
 const fingerprintPattern = new RegExp(`^[\\w-]{${digestLength}}\\.[\\w-]{${digestLength}}$`);
@@ -39,10 +39,10 @@
 }
 
 /**
- * Writes the head of a request as one text. No part of it holds a line break, so two heads with the same text are the same.
+ * Formats the head of a request as one text. No part of it contains a line break, so heads are equal if their texts are.
  *
  * @param identity - The request.
- * @returns A text for keys of maps.
+ * @returns The text, to use as a key of maps.
  * @internal
  */
 export function formatHead({method, host, target}: Omit<RequestIdentity, 'body'>): string {
@@ -50,7 +50,7 @@
 }
 
 /**
- * @param head - The head of a request, by `formatHead`.
+ * @param head - Head of a request, as returned by `formatHead`.
  * @returns Its digest.
  * @internal
  */
@@ -71,7 +71,7 @@
 /**
  * @param head - Digest of the head.
  * @param bodyDigest - Digest of the body; `undefined` if there is none.
- * @returns The whole fingerprint. One that is no digest stands for a body that nothing is known of: it matches no other.
+ * @returns The whole fingerprint. A `bodyDigest` that is not a digest stands for an unknown body: such a fingerprint matches no other.
  * @internal
  */
 export const joinBodyDigest = (head: HeadFingerprint, bodyDigest: string | undefined): Fingerprint => `${head}.${bodyDigest ?? noBodyDigest}` as Fingerprint;
@@ -87,7 +87,7 @@
 
 /**
  * @param fingerprint - A fingerprint.
- * @returns The part of it that the head makes.
+ * @returns The digest of the head.
  * @internal
  */
 export function getHeadPart(fingerprint: Fingerprint): HeadFingerprint {
@@ -96,14 +96,14 @@
 
 /**
  * @param fingerprint - A fingerprint.
- * @returns The part of it that the body makes.
+ * @returns The digest of the body.
  * @internal
  */
 export const getBodyPart = (fingerprint: Fingerprint): string => fingerprint.slice(digestLength + 1);
 
 /**
- * @param value - What came over the network.
- * @returns The fingerprint, or `undefined` if it is none.
+ * @param value - A value from the network.
+ * @returns The fingerprint, or `undefined` if the value is none.
  * @internal
  */
 export function parseFingerprint(value: unknown): Fingerprint | undefined {
--- a/src/lib/quarantine/lazy-fingerprint.ts
+++ b/src/lib/quarantine/lazy-fingerprint.ts
@@ -1,6 +1,6 @@
 /**
- * A request as the quarantine looks at it. Nothing is computed before it is
- * asked for: nobody is suspected on most days.
+ * Fingerprint of a request that is computed when it is first needed: most of the
+ * time no request is suspected, and no digest is computed.
  *
  * @module
  */
@@ -11,9 +11,9 @@
 /** @internal */
 export type LazyFingerprint = {
 	readonly hasBody: boolean;
-	/** The host that counts. */
+	/** Host of the request, as in its identity. */
 	readonly host: string;
-	/** The head as text, for keys of maps. */
+	/** Returns the head as text, to use as a key of maps. */
 	readonly getHead: () => string;
 	readonly getHeadFingerprint: () => HeadFingerprint;
 	readonly getFingerprint: () => Fingerprint;
@@ -21,7 +21,7 @@
 
 /**
  * @param identity - The request.
- * @returns Its mark.
+ * @returns Its lazy fingerprint.
  * @internal
  */
 export function createLazyFingerprint(identity: RequestIdentity): LazyFingerprint {
@@ -30,9 +30,9 @@
 }
 
 /**
- * @param identity - A request whose body another node holds.
- * @param bodyDigest - The digest of the body, by `getBodyDigest`; `undefined` if there is none.
- * @returns Its mark.
+ * @param identity - A request whose body is at another node.
+ * @param bodyDigest - Digest of the body, as returned by `getBodyDigest`; `undefined` if there is none.
+ * @returns Its lazy fingerprint.
  * @internal
  */
 export function createLazyFingerprintOfDigest(identity: Omit<RequestIdentity, 'body'>, bodyDigest: string | undefined): LazyFingerprint {
@@ -40,11 +40,11 @@
 }
 
 /**
- * @param mark - A request.
+ * @param request - Fingerprint of a request.
  * @returns The digest of its body.
  * @internal
  */
-export const getBodyDigest = (mark: LazyFingerprint): string => getBodyPart(mark.getFingerprint());
+export const getBodyDigest = (request: LazyFingerprint): string => getBodyPart(request.getFingerprint());
 
 function buildLazyFingerprint(identity: Omit<RequestIdentity, 'body'>, hasBody: boolean, join: (head: HeadFingerprint) => Fingerprint): LazyFingerprint {
 	let head: string | undefined;
--- a/src/lib/quarantine/quarantine.test.ts
+++ b/src/lib/quarantine/quarantine.test.ts
@@ -12,9 +12,9 @@
 type Fixture = {
 	readonly quarantine: Quarantine;
 	readonly countUrgentChanges: () => number;
-	/** What was to be kept in the store. */
+	/** Records passed on to be stored. */
 	readonly stored: readonly SuspectRecord[];
-	/** Crashes that were to be reported through the store. */
+	/** Crashes passed on to be reported through the store. */
 	readonly reported: readonly CrashReport[];
 	readonly setNow: (now: number) => void;
 };
@@ -52,7 +52,7 @@
 const fatal = createSampleFingerprint('/fatal');
 const popular = createSampleFingerprint('/popular');
 
-test('the third crash quarantines a request, here and at the nodes that are reported, and has it stored', context => {
+test('the third crash quarantines a request at this node and at the nodes that receive its record, and stores it', context => {
 	const {quarantine, countUrgentChanges, stored, reported} = createFixture(context);
 	const other = createFixture(context).quarantine;
 	for (const startedAt of [1, 2, 3]) {
@@ -69,12 +69,12 @@
 	assert.equal(other.check(popular).type, 'free');
 });
 
-test('a page that was answered a moment ago is not accused, by the node that saw the answer or by one that did not', context => {
+test('a recently answered page is not suspected, neither at the node that saw the response nor at another one', context => {
 	const {quarantine, reported} = createFixture(context);
 	const other = createFixture(context).quarantine;
 	quarantine.recordResponse(popular);
 	quarantine.recordCrash(getServer(1), [popular]);
-	assert.deepEqual(reported, [], 'a crash that accuses nobody is not reported through the store');
+	assert.deepEqual(reported, [], 'a crash without suspects was reported through the store');
 	quarantine.recordCrash(getServer(1), [popular, fatal]);
 	assert.equal(quarantine.check(popular).type, 'free');
 	assert.equal(quarantine.check(fatal).type, 'trial');
@@ -82,10 +82,10 @@
 	quarantine.merge(other.listBatch(), 'n2');
 	assert.equal(quarantine.check(popular).type, 'free');
 	other.merge(quarantine.listBatch(), 'n1');
-	assert.equal(other.check(popular).type, 'free', 'the word of the node that saw the answer did not reach the other one');
+	assert.equal(other.check(popular).type, 'free', 'the record of the node that saw the response did not clear the page at the other one');
 });
 
-test('an answer speaks for a page for some seconds only', context => {
+test('a response protects a page for some seconds only', context => {
 	const {quarantine, setNow} = createFixture(context);
 	quarantine.recordResponse(popular);
 	setNow(15_000);
@@ -93,7 +93,7 @@
 	assert.equal(quarantine.check(popular).type, 'trial');
 });
 
-test('of a request on trial one is in work at a time, and its answer ends the suspicion', context => {
+test('only one request per fingerprint runs on trial at a time, and its response clears the suspect', context => {
 	const {quarantine} = createFixture(context);
 	quarantine.recordCrash(getServer(1), [fatal]);
 	const first = quarantine.admitRun(fatal);
@@ -106,7 +106,7 @@
 	assert.equal(quarantine.check(fatal).type, 'free');
 });
 
-test('requests with the same head and another body are reported apart', context => {
+test('requests with the same head and different bodies have different fingerprints', context => {
 	const {quarantine} = createFixture(context);
 	const createPublication = (text: string): LazyFingerprint => createSampleFingerprint('/publish', new TextEncoder().encode(text));
 	quarantine.recordResponse(createPublication('good'));
--- a/src/lib/quarantine/quarantine.ts
+++ b/src/lib/quarantine/quarantine.ts
@@ -1,9 +1,10 @@
 /**
- * Keeps requests that crash backend servers away from them. A node accuses what
- * was in work when the server beside it crashed, clears what the server answers,
- * and joins both with what the other nodes know.
+ * Keeps requests that crash backend servers away from them. A node suspects the requests
+ * that were in flight when the server beside it crashed, clears those that the server answers,
+ * and merges both with the records of the other nodes.
  *
- * What it buys: a page that crashes whatever runs it, and comes again and again at any node, ends three servers and not all of them for as long as it comes.
+ * A page that crashes every server and is requested repeatedly at any node crashes three servers. Without a quarantine it would crash all
+ * of them, for as long as it is requested.
  *
  * @module
  */
@@ -21,15 +22,15 @@
 /** @internal */
 export type QuarantineContext = {
 	readonly log: MeshLog;
-	/** Told when the other nodes should hear of it at once. */
+	/** Called when the other nodes should receive a change at once. */
 	readonly handleUrgentChange: () => void;
-	/** Told of each crash of the server beside this node that accuses a request. */
+	/** Called for each crash of the server beside this node that makes a request a suspect. */
 	readonly handleCrash: (report: CrashReport) => void;
-	/** Told of requests that are quarantined because of what this node saw. */
+	/** Called with requests that are quarantined after a crash at this node. */
 	readonly handleQuarantined: (records: readonly SuspectRecord[]) => void;
 };
 
-/** Whether a request may be sent to the server beside this node now. @internal */
+/** Whether a request may now be sent to the server beside this node. @internal */
 export type RunAdmission =
 	| {readonly type: 'admitted'; readonly end: () => void}
 	| {readonly type: 'refused'; readonly detail: string; readonly retryAfterMs: number};
@@ -37,41 +38,41 @@
 /** @internal */
 export type Quarantine = {
 	readonly check: (request: LazyFingerprint) => QuarantineDecision;
-	/** Waits until a request that is on trial may be judged at the gate; yields nothing to wait for if it may be now, as nearly all may. */
+	/** Waits until a request on trial may be checked at the gate; returns `undefined` if it may be checked at once, as nearly all requests may. */
 	readonly waitForTrial: (request: LazyFingerprint) => Promise<void> | undefined;
-	/** Judges a request that is about to be sent to the server, and lets one of each on trial through at a time. */
+	/** Checks a request before it is sent to the server, and admits only one trial per fingerprint at a time. */
 	readonly admitRun: (request: LazyFingerprint) => RunAdmission;
-	/** The server beside this node crashed with these in work. */
+	/** Records that the server beside this node crashed while these requests were in flight. */
 	readonly recordCrash: (server: ServerLifetime, inFlight: readonly LazyFingerprint[]) => void;
-	/** The server beside this node answered it, whatever the answer was. */
+	/** Records that the server beside this node answered a request. Do not call it for a status of 500 or above: the server may have failed before it came to what crashes it. */
 	readonly recordResponse: (request: LazyFingerprint) => void;
-	/** Takes in what another node, or the store, knows. */
+	/** Merges records of another node or of the store; `from` names the source. */
 	readonly merge: (records: readonly SuspectRecord[], from: string) => void;
-	/** What this node tells the others, a bounded part. */
+	/** Returns the records for the next message to other nodes, a bounded batch. */
 	readonly listBatch: () => readonly SuspectRecord[];
 	readonly listQuarantined: () => readonly SuspectRecord[];
 	readonly countSuspects: () => number;
-	/** Requests refused since the start. */
+	/** Returns the number of requests refused since the start. */
 	readonly countRefused: () => number;
 };
 
-/** When a request of which another one is on trial may be asked for again. Milliseconds: most requests are answered in less. */
+/** Retry delay for a request while the same one runs on trial. Most requests are answered in less time. */
 const trialRetryAfterMs = 500;
 
 const admitted: RunAdmission = {type: 'admitted', end: () => undefined};
 
 /**
- * @param decision - A decision that refuses.
- * @returns The reason, for people.
+ * @param decision - A decision that refuses a request.
+ * @returns A human-readable reason.
  * @internal
  */
 export function describeRefusal({fingerprint, crashes}: Extract<QuarantineDecision, {readonly type: 'refused'}>): string {
-	return `${crashes} backend servers crashed while ${fingerprint} was in work, and none has answered it since`;
+	return `${crashes} backend servers crashed while request ${fingerprint} was in flight, and none has answered it since`;
 }
 
 /**
- * @param context - Where events and news go.
- * @returns A quarantine in which nothing is suspected.
+ * @param context - The log, and the handlers of events.
+ * @returns A quarantine without suspects.
  * @internal
  */
 export function createQuarantine({log, handleUrgentChange, handleCrash, handleQuarantined}: QuarantineContext): Quarantine {
@@ -90,7 +91,7 @@
 		},
 	});
 
-	/** Requests that nobody suspects cost no more than this look. */
+	/** Returns whether a request may be a suspect, by its head. Requests that are not suspected cost only this check. */
 	const mayBeSuspect = (request: LazyFingerprint): boolean => suspects.countRecords() > 0 && suspects.hasHead(request.getHeadFingerprint());
 
 	const check = (request: LazyFingerprint): QuarantineDecision => {
@@ -108,7 +109,7 @@
 	const logSuspects = (fingerprints: readonly Fingerprint[], from: string, now: number): void => {
 		for (const fingerprint of fingerprints) {
 			const crashes = suspects.get(fingerprint, now)?.crashes.length ?? 0;
-			// What was in work at one crash is told by the line of the crash.
+			// The log line of a crash already names the requests that were in flight there.
 			if (crashes > 1) {
 				log.record('warn', {
 					kind: 'request-suspected', fingerprint, crashes, from,
@@ -129,7 +130,7 @@
 		}
 	};
 
-	/** Speaks for requests that this node saw answered a moment ago: the node that accuses them may not have. */
+	/** Clears suspects that were recently answered at this node: the node that suspects them may not have seen a response. */
 	const clearAnswered = (fingerprints: readonly Fingerprint[], now: number): void => {
 		const suspected = new Set(fingerprints);
 		for (const head of responses.list(now)) {
@@ -157,7 +158,7 @@
 				case 'trial': {
 					const {fingerprint} = decision;
 					if (runningTrials.has(fingerprint)) {
-						return {type: 'refused', detail: `${fingerprint}, which was in work when a server crashed, is in work here`, retryAfterMs: trialRetryAfterMs};
+						return {type: 'refused', detail: `request ${fingerprint}, which was in flight when a backend server crashed, is already running here`, retryAfterMs: trialRetryAfterMs};
 					}
 
 					runningTrials.add(fingerprint);
--- a/src/lib/quarantine/recent-responses.ts
+++ b/src/lib/quarantine/recent-responses.ts
@@ -1,7 +1,7 @@
 /**
- * Requests without a body that were answered a moment ago. A page that is asked
- * for all the time is in work at every crash, whatever caused it; that a server
- * has just answered it shows that it is not what crashes them.
+ * Set of requests without a body that were answered recently. A page that is requested
+ * all the time is in flight at every crash, whatever the cause. A recent response
+ * shows that it does not crash servers.
  *
  * @module
  */
@@ -13,14 +13,14 @@
 	readonly list: (now: number) => Iterable<string>;
 };
 
-/** How long an answer speaks for a request. Milliseconds: a page that many ask for is answered several times in it; one that begins to crash servers is protected for no longer. */
+/** A response protects its request for one to two of these periods. A popular page is answered several times in a period; a page that starts to crash servers is not protected for longer. */
 const periodMs = 2000;
 
-/** Requests of one period that are remembered at the most: as many as a node answers in it under the users' highest load. */
+/** Largest number of requests that are kept per period: as many as a node answers in it under the highest load of the users. */
 const maxPerPeriod = 2000;
 
 /**
- * @returns A memory of no answer.
+ * @returns An empty set.
  * @internal
  */
 export function createRecentResponses(): RecentResponses {
--- a/src/lib/quarantine/sample-quarantine.ts
+++ b/src/lib/quarantine/sample-quarantine.ts
@@ -1,5 +1,5 @@
 /**
- * A quarantine and requests for tests.
+ * Quarantine and request fingerprints for tests.
  *
  * @module
  */
@@ -8,7 +8,7 @@
 import {createLazyFingerprint, type LazyFingerprint} from './lazy-fingerprint.js';
 
 /**
- * @returns A quarantine that tells nobody.
+ * @returns A quarantine that logs nothing and ignores all events.
  * @internal
  */
 export const createSilentQuarantine = (): Quarantine => createQuarantine({
@@ -16,9 +16,9 @@
 });
 
 /**
- * @param target - What it asks for.
+ * @param target - Path and query of the request.
  * @param body - Its body.
- * @returns The mark of a request.
+ * @returns The fingerprint of a request.
  * @internal
  */
 export const createSampleFingerprint = (target = '/logs/1', body?: Uint8Array): LazyFingerprint => createLazyFingerprint({
--- a/src/lib/quarantine/suspect-record.ts
+++ b/src/lib/quarantine/suspect-record.ts
@@ -1,6 +1,6 @@
 /**
- * What is known of one request that was in work when servers crashed, as nodes
- * tell it to one another and as the store keeps it.
+ * Record of one request that was in flight when servers crashed, in the format of
+ * heartbeats and of the store.
  *
  * @module
  */
@@ -10,38 +10,39 @@
 import {toLifetimeKey, type ServerLifetime} from '../common/server-lifetime.js';
 import {parseFingerprint, type Fingerprint} from './fingerprint.js';
 
-/** Names one crash, by the lifetime of the server that ended: whoever tells of it, and however often, it counts once. @internal */
+/** Identifies one crash by the lifetime of the server, so that the crash counts once, however many nodes report it and however often. @internal */
 export type CrashKey = string & {readonly __kind: 'CrashKey'};
 
 /** @internal */
 export type SuspectRecord = {
 	readonly fingerprint: Fingerprint;
-	/** Milliseconds since it last crashed a server or was refused. */
+	/** Milliseconds since the request was last in flight at a crash or refused. */
 	readonly quietMs: number;
-	/** Crashes at which it was in work, and after which no server has answered it. */
+	/** Crashes at which the request was in flight and after which no server has answered it. */
 	readonly crashes: readonly CrashKey[];
-	/** Crashes of which it was cleared, since a server answered it. */
+	/** Crashes of which the request was cleared, since a server has answered it. */
 	readonly cleared: readonly CrashKey[];
-	/** Crashes right after which several callers asked for it, without an answer from any server. */
+	/** Crashes shortly after which several callers sent the request, without a response from any server. */
 	readonly repeated: readonly CrashKey[];
 };
 
-/** Characters of a crash's name, six bits each: a record holds a few of them. */
+/** Characters of a crash key, six bits each. Keys are short since a record contains several. */
 const crashKeyLength = 6;
 
 const crashKeyPattern = new RegExp(`^[\\w-]{${crashKeyLength}}$`);
 
-/** Crashes of each kind that a record holds at the most: more change nothing. @internal */
+/** Largest number of crashes of each kind in a record. More would not change any decision. @internal */
 export const maxCrashes = 8;
 
-/** The longest time that a record may name; whoever reads it bounds what follows from it. Milliseconds. */
+/** Longest `quietMs` of a record. Readers limit its effect themselves. */
 const maxQuietMs = Number.MAX_SAFE_INTEGER;
 
+/** Unit of `quietMs` in an encoded record. */
 const quietUnitMs = 100;
 
 /**
  * @param lifetime - The server that crashed.
- * @returns The name of its crash.
+ * @returns The key of its crash.
  * @internal
  */
 export function computeCrashKey(lifetime: ServerLifetime): CrashKey {
@@ -50,7 +51,7 @@
 
 /**
  * @param record - A record.
- * @returns It as a list, times in tenths of a second.
+ * @returns The record as a list, with `quietMs` in units of 100 ms.
  * @internal
  */
 export function encodeSuspect({fingerprint, quietMs, crashes, cleared, repeated}: SuspectRecord): readonly unknown[] {
@@ -58,8 +59,8 @@
 }
 
 /**
- * @param value - What came from the store.
- * @returns The name of a crash, or `undefined` if it is none.
+ * @param value - A value from the store.
+ * @returns The crash key, or `undefined` if the value is none.
  * @internal
  */
 export function parseCrashKey(value: unknown): CrashKey | undefined {
@@ -69,15 +70,15 @@
 function readCrashes(value: unknown, place: string): readonly CrashKey[] {
 	const keys = readList(value, place);
 	if (keys.length > maxCrashes || !keys.every(key => parseCrashKey(key) !== undefined)) {
-		throw new FieldError(place, value, `at most ${maxCrashes} names of crashes, each of ${crashKeyLength} characters`);
+		throw new FieldError(place, value, `at most ${maxCrashes} crash keys, each of ${crashKeyLength} characters`);
 	}
 
 	return keys as readonly CrashKey[];
 }
 
 /**
- * @param value - What came over the network.
- * @param place - Where it stood, for errors.
+ * @param value - A value from the network.
+ * @param place - Location of the value, for error messages.
  * @returns The record.
  * @throws FieldError when it cannot be read.
  * @internal
@@ -86,7 +87,7 @@
 	const [name, quiet, crashes, cleared, repeated = []] = readList(value, place);
 	const fingerprint = parseFingerprint(name);
 	if (fingerprint === undefined) {
-		throw new FieldError(`${place}.fingerprint`, name, 'two digests with a dot between them');
+		throw new FieldError(`${place}.fingerprint`, name, 'a fingerprint of two digests joined by a dot');
 	}
 
 	return {
--- a/src/lib/quarantine/suspect-table.test.ts
+++ b/src/lib/quarantine/suspect-table.test.ts
@@ -14,7 +14,7 @@
 const innocent = toFingerprint('/innocent');
 const minuteMs = 60_000;
 
-/** A table in which a request was in work at so many crashes, a second apart. */
+/** Creates a table in which `fatal` was in flight at a number of crashes, one second apart. */
 function createTableOfCrashes(crashes: number): SuspectTable {
 	const table = createSuspectTable();
 	for (let number = 1; number <= crashes; number++) {
@@ -24,7 +24,7 @@
 	return table;
 }
 
-test('nobody is suspected before a crash, and what was in work at one runs on trial', () => {
+test('no request is suspected before a crash, and those in flight at a crash run on trial', () => {
 	const table = createSuspectTable();
 	assert.equal(table.check(fatal, 0).type, 'free');
 	assert.deepEqual(table.recordCrash([fatal, innocent, fatal], getCrash(1), 0), [fatal, innocent]);
@@ -32,13 +32,13 @@
 	assert.equal(table.check(toFingerprint('/other'), 1).type, 'free');
 });
 
-test('the same crash counts once, whoever tells of it', () => {
+test('the same crash counts once, however often it is reported', () => {
 	const table = createTableOfCrashes(1);
 	assert.deepEqual(table.recordCrash([fatal], getCrash(1), 2000), []);
 	assert.equal(table.check(fatal, 2000).type, 'trial');
 });
 
-test('after a second crash it waits, then one more server may run it', () => {
+test('after a second crash a request is held back, then it runs on trial', () => {
 	const table = createTableOfCrashes(2);
 	const decision = table.check(fatal, 3000);
 	assert.deepEqual(decision, {
@@ -47,7 +47,7 @@
 	assert.equal(table.check(fatal, 12_001).type, 'trial');
 });
 
-test('a trial waits a moment after the first crash, and not after a later one, whose hold is over by then', () => {
+test('a trial is delayed after the first crash, and not after a later one, since the hold is longer', () => {
 	const table = createTableOfCrashes(1);
 	assert.equal(table.getTrialDelayMs(fatal, 1050), 350);
 	assert.equal(table.getTrialDelayMs(fatal, 1400), 0);
@@ -55,7 +55,7 @@
 	assert.equal(createTableOfCrashes(2).getTrialDelayMs(fatal, 2050), 0);
 });
 
-test('what several ask for right after the first crash waits as after a second one, everywhere, until a server answers it', () => {
+test('a request that several callers send shortly after its first crash is held back at all nodes until a server answers it', () => {
 	const table = createTableOfCrashes(1);
 	const other = createSuspectTable();
 	assert.equal(table.recordRepeat(fatal, 1100), true);
@@ -73,7 +73,7 @@
 	assert.equal(table.check(fatal, 3000).type, 'free');
 });
 
-test('after the third it is refused for as long as it is asked for, and ten minutes beyond', () => {
+test('after the third crash a request is refused until it has not been sent for ten minutes', () => {
 	const table = createTableOfCrashes(3);
 	let now = 3000;
 	for (let turn = 0; turn < 30; turn++) {
@@ -84,28 +84,28 @@
 	assert.equal(table.check(fatal, now + (10 * minuteMs)).type, 'trial');
 });
 
-test('three trials later it is refused for good, while it is remembered', () => {
+test('after six crashes a request is refused as long as its record is kept', () => {
 	const table = createTableOfCrashes(6);
 	assert.equal(table.check(fatal, 59 * minuteMs).type, 'refused');
 });
 
-test('what a server answers is cleared of the crashes that are known, and of no later one', () => {
+test('a response clears a request of the known crashes, and of no later one', () => {
 	const table = createTableOfCrashes(3);
 	assert.equal(table.clear(fatal, 4000), 3);
 	assert.equal(table.check(fatal, 4000).type, 'free');
-	assert.deepEqual(table.recordCrash([fatal], getCrash(3), 4500), [], 'a crash of which it was cleared accused it again');
+	assert.deepEqual(table.recordCrash([fatal], getCrash(3), 4500), [], 'a crash of which the request was cleared was recorded again');
 	table.recordCrash([fatal], getCrash(4), 5000);
 	assert.equal(table.check(fatal, 5000).type, 'trial');
 });
 
-test('a request that was in work at one crash is forgotten after a minute, a quarantined one is not', () => {
+test('the record of a request in flight at one crash expires after a minute, that of a quarantined one does not', () => {
 	const table = createTableOfCrashes(3);
 	table.recordCrash([innocent], getCrash(1), 1000);
 	assert.deepEqual(table.listBatch(2 * minuteMs).map(({fingerprint}) => fingerprint), [fatal]);
 	assert.equal(table.hasHead(innocent.slice(0, 8) as never), false);
 });
 
-test('a hundred thousand requests at crashes fill no more than the table holds, and quarantined ones stay', () => {
+test('a hundred thousand requests at crashes do not exceed the size of the table, and quarantined ones stay in it', () => {
 	const table = createTableOfCrashes(3);
 	for (let number = 0; number < 100_000; number++) {
 		table.recordCrash([toFingerprint(`/page-${number}`)], getCrash(number + 10), 4000);
@@ -115,18 +115,18 @@
 	assert.equal(table.check(fatal, 4000).type, 'refused');
 });
 
-test('what crashed two servers or more is in every other part, whatever was in work at crashes since', () => {
+test('requests with two or more crashes are in every other batch, however many were in flight at crashes since', () => {
 	const table = createTableOfCrashes(2);
 	for (let number = 0; number < 200; number++) {
 		table.recordCrash([toFingerprint(`/page-${number}`)], getCrash(number + 10), 4000 + number);
 	}
 
-	const parts = Array.from({length: 8}, () => table.listBatch(5000).map(({fingerprint}) => fingerprint));
-	const told = parts.filter(part => part.includes(fatal) && part.includes(toFingerprint('/page-199')));
-	assert.equal(told.length, 4, 'the worst and the newest are told together by turns');
+	const batches = Array.from({length: 8}, () => table.listBatch(5000).map(({fingerprint}) => fingerprint));
+	const listed = batches.filter(batch => batch.includes(fatal) && batch.includes(toFingerprint('/page-199')));
+	assert.equal(listed.length, 4, 'every other batch contains both the worst and the newest request');
 });
 
-test('a request that crashed two servers is remembered for longer than the time between two of its repeats may be', () => {
+test('the record of a request with two crashes outlives a pause of five minutes between its attempts', () => {
 	const table = createTableOfCrashes(2);
 	table.listBatch(5 * minuteMs);
 	table.recordCrash([fatal], getCrash(3), 5 * minuteMs);
@@ -134,25 +134,25 @@
 	assert.equal(table.get(fatal, 5 * minuteMs)?.crashes.length, 3);
 });
 
-test('every record is told within a bounded number of parts, each of a bounded size', () => {
+test('every record is listed within a bounded number of batches, each of a bounded size', () => {
 	const table = createTableOfCrashes(3);
 	for (let number = 0; number < 100; number++) {
 		table.recordCrash([toFingerprint(`/page-${number}`)], getCrash(number + 10), 4000);
 	}
 
-	const told = new Set<Fingerprint>();
-	for (let part = 0; part < 14; part++) {
+	const listed = new Set<Fingerprint>();
+	for (let batch = 0; batch < 14; batch++) {
 		const records = table.listBatch(4000);
 		assert.ok(records.length <= 16);
 		for (const {fingerprint} of records) {
-			told.add(fingerprint);
+			listed.add(fingerprint);
 		}
 	}
 
-	assert.equal(told.size, 101);
+	assert.equal(listed.size, 101);
 });
 
-/** One thing that a node sees. */
+/** One event that a node observes. */
 type Observation =
 	| {readonly type: 'crash'; readonly number: number; readonly targets: readonly string[]}
 	| {readonly type: 'answer'; readonly target: string}
@@ -174,16 +174,16 @@
 	}
 }
 
-function list(table: SuspectTable): readonly SuspectRecord[] {
+function listRecords(table: SuspectTable): readonly SuspectRecord[] {
 	return table.listBatch(0).map(record => ({
 		...record, crashes: record.crashes.toSorted(), cleared: record.cleared.toSorted(), repeated: record.repeated.toSorted(),
 	}))
 		.toSorted((left, right) => left.fingerprint < right.fingerprint ? -1 : 1);
 }
 
-test('nodes that saw different things and tell one another end alike, in whatever order and however often', () => {
-	fc.assert(fc.property(fc.array(observations, {minLength: 2, maxLength: 4}), fc.array(fc.tuple(fc.nat(3), fc.nat(3)), {maxLength: 30}), (seen, messages) => {
-		const nodes = seen.map(own => {
+test('property: nodes that observe different events and exchange records converge, in any order and number of messages', () => {
+	fc.assert(fc.property(fc.array(observations, {minLength: 2, maxLength: 4}), fc.array(fc.tuple(fc.nat(3), fc.nat(3)), {maxLength: 30}), (observed, messages) => {
+		const nodes = observed.map(own => {
 			const table = createSuspectTable();
 			for (const observation of own) {
 				applyObservation(table, observation);
@@ -191,24 +191,24 @@
 
 			return table;
 		});
-		const tell = (from: number, to: number): void => {
+		const send = (from: number, to: number): void => {
 			nodes[to % nodes.length]!.merge(nodes[from % nodes.length]!.listBatch(0), 0);
 		};
 
 		for (const [from, to] of messages) {
-			tell(from, to);
+			send(from, to);
 		}
 
 		for (let round = 0; round < 2; round++) {
 			for (const [from] of nodes.entries()) {
 				for (const [to] of nodes.entries()) {
-					tell(from, to);
+					send(from, to);
 				}
 			}
 		}
 
 		for (const node of nodes) {
-			assert.deepEqual(list(node), list(nodes[0]!));
+			assert.deepEqual(listRecords(node), listRecords(nodes[0]!));
 		}
 	}));
 });
--- a/src/lib/quarantine/suspect-table.ts
+++ b/src/lib/quarantine/suspect-table.ts
@@ -1,88 +1,88 @@
 /**
- * Which requests are suspected of crashing the backend servers that run them:
- * the decision part. Time is handed in.
+ * Table of requests that are suspected of crashing backend servers. It decides which
+ * of them may run; the current time is passed in.
  *
- * One crash accuses everything that was in work at the server. What a server
- * answers afterwards is cleared, so that after two or three crashes what is left
- * is the request that no server survives. Records of different nodes are joined
- * crash by crash: in any order, and however often, the same comes out.
+ * After a crash, every request that was in flight at the server is a suspect. A request
+ * that a server answers afterwards is cleared, so that after two or three crashes only
+ * the request that crashes servers is left. Records of different nodes are merged per
+ * crash; the merge is commutative and idempotent.
  *
  * @module
  */
 import {getHeadPart, type Fingerprint, type HeadFingerprint} from './fingerprint.js';
 import {maxCrashes, type CrashKey, type SuspectRecord} from './suspect-record.js';
 
-/** What may be done with a request. @internal */
+/** Decision whether a request may run. @internal */
 export type QuarantineDecision =
 	| {readonly type: 'free'}
-	/** One of it may run in the whole mesh, at a server that all nodes agree on. */
+	/** The request may run once at a time in the whole mesh, at a server that all nodes choose alike. */
 	| {readonly type: 'trial'; readonly fingerprint: Fingerprint}
 	| {readonly type: 'refused'; readonly fingerprint: Fingerprint; readonly crashes: number; readonly retryAfterMs: number};
 
 /** @internal */
 export type SuspectTable = {
 	readonly countRecords: () => number;
-	/** Whether the body of a request with this head has to be looked at. */
+	/** Returns whether a suspected request has this head, so that the body has to be compared too. */
 	readonly hasHead: (head: HeadFingerprint) => boolean;
 	readonly check: (fingerprint: Fingerprint, now: number) => QuarantineDecision;
-	/** Takes in that requests were in work when a server crashed; yields those that are new in this. */
+	/** Records that requests were in flight when a server crashed; returns those for which this crash is new. */
 	readonly recordCrash: (fingerprints: readonly Fingerprint[], crash: CrashKey, now: number) => readonly Fingerprint[];
-	/** Takes in that a server answered a request; yields how many crashes it was cleared of. */
+	/** Records that a server answered a request; returns of how many crashes it was cleared. */
 	readonly clear: (fingerprint: Fingerprint, now: number) => number;
-	/** Milliseconds for which a trial waits after the first crash: what was under way then may end another server. */
+	/** Returns for how many milliseconds a trial still waits after the first crash: requests that were under way at the crash may crash another server. */
 	readonly getTrialDelayMs: (fingerprint: Fingerprint, now: number) => number;
-	/** Takes in that several callers asked for a request right after a crash; yields whether that is new. */
+	/** Records that several callers sent a request shortly after a crash; returns whether that is new. */
 	readonly recordRepeat: (fingerprint: Fingerprint, now: number) => boolean;
-	/** Takes in what another node knows; yields those of which more is known now. */
+	/** Merges records of another node; returns the requests whose records have changed. */
 	readonly merge: (records: readonly SuspectRecord[], now: number) => readonly Fingerprint[];
 	readonly get: (fingerprint: Fingerprint, now: number) => SuspectRecord | undefined;
-	/** Requests that reached the last step and are refused or on trial after a long time. */
+	/** Returns the quarantined requests, including those that may run on trial again after a long time. */
 	readonly listQuarantined: (now: number) => readonly SuspectRecord[];
-	/** A bounded part of what is known: by turns what is worst and what has changed last, and the rest in order. */
+	/** Returns a batch of records for one message: alternately the worst with the latest changes, and the next ones of all records in order. */
 	readonly listBatch: (now: number) => readonly SuspectRecord[];
 };
 
 /**
- * From this many crashes on a request waits for a while before the next server may run it. A crash costs a server for some
- * seconds and all that is in work there, up to 13 requests; a request held back costs itself.
+ * From this many crashes on, a request is held back for a while before the next server may run it. A crash costs a server for some
+ * seconds and all requests in flight there, up to 13; holding back a request costs only that request.
  */
 const holdCrashCount = 2;
 
-/** From this many crashes on it is refused until it has not been asked for in a long time. */
+/** From this many crashes on, a request is quarantined: refused until it has not been sent for a long time. */
 const quarantineCrashCount = 3;
 
-/** From this many crashes on it is refused for as long as it is known: three more servers have ended on trial. */
+/** From this many crashes on, a request is refused as long as its record is kept: three more servers have crashed on trial. */
 const permanentCrashCount = 6;
 
 /**
- * How long a trial waits after the first crash. Milliseconds: what was under way when the first server ended has ended the next one by then, and a page
- * that many ask for comes again. One that many ask for and nobody has answered is held back at once: its trial would most likely take
- * a second server while the first is away, and what servers are left then is what most others lose by.
+ * Delay of a trial after the first crash. By its end, requests that were already under way at the crash have reached and possibly crashed
+ * another server, and a popular page has been requested again. A popular request without a response is held back at once: its trial would most likely crash
+ * a second server while the first one restarts, and most other requests would suffer from the lack of servers.
  */
 const trialDelayMs = 400;
 
-/** How long a request is held back after its second crash. Milliseconds: several times what a server needs to come back, so that the next crash does not meet a service that lacks two servers already. */
+/** Time for which a request is held back after its second crash: several times the restart time of a server, so that the next crash does not hit a service that already lacks two servers. */
 const holdMs = 10_000;
 
-/** A quarantined request that nobody has asked for in this time may be tried again. Milliseconds: whoever sent it may have been mended, and a trial costs one crash. */
+/** A quarantined request that was not sent for this time may run on trial again: its sender may have been fixed, and a trial costs one crash at most. */
 const quarantineQuietMs = 600_000;
 
-/** What was in work at one crash only is forgotten after this. Milliseconds: most of it was in work beside the guilty one, and is asked for again within seconds if at all. */
+/** Time to live of a record with one crash. Most such requests were in flight beside the one that caused the crash, and are sent again within seconds, if at all. */
 const suspectTtlMs = 60_000;
 
-/** What was held back once is kept for this long, also when it was cleared: it may come back after minutes, and the store may name it for ten more. Milliseconds. */
+/** Time to live of the record of a request that was held back, even if it was cleared since: it may be sent again after minutes, and the store may contain it for ten more. */
 const heldTtlMs = 3_600_000;
 
-/** Records that are held at the most, some 60 kilobytes. A crash makes one for each request in work; those with the fewest crashes go first. */
+/** Largest number of records, about 60 KB. A crash adds one for each request in flight; those with the fewest crashes are evicted first. */
 const maxRecords = 256;
 
-/** Records that one message carries at the most: some 900 bytes, so that it fits into one datagram with all else. */
+/** Largest number of records in one message, about 900 bytes, so that the message fits into one datagram. */
 const batchRecordCount = 16;
 
-/** When a request that is held back is worth asking for again, at the least. Milliseconds. */
+/** Shortest retry delay for a request that is held back. */
 const minRetryAfterMs = 1000;
 
-/** When a quarantined one is: not soon. Milliseconds. */
+/** Retry delay for a quarantined request, which is unlikely to run soon. */
 const quarantineRetryAfterMs = 60_000;
 
 type Entry = {
@@ -90,11 +90,11 @@
 	readonly crashes: Set<CrashKey>;
 	readonly cleared: Set<CrashKey>;
 	readonly repeated: Set<CrashKey>;
-	/** When the newest of the crashes was heard of. */
+	/** When this node learned of the newest crash. */
 	crashedAt: number;
-	/** When it was last in a crash or refused. */
+	/** When the request was last in flight at a crash or refused. */
 	activeAt: number;
-	/** When anything of it changed here. */
+	/** When this node last changed the record. */
 	changedAt: number;
 };
 
@@ -109,23 +109,23 @@
 	return true;
 }
 
-/** What speaks against it: to be asked for by many without an answer is worth a crash. */
+/** Counts the evidence against a request: repeated requests without a response count as much as a crash. */
 const countEvidence = ({crashes, repeated}: Pick<Entry, 'crashes' | 'repeated'>): number => crashes.size + repeated.size;
 
-/** Whether there is, or was, enough against it to have been held back. */
+/** Returns whether there is, or was, enough evidence to hold back the request. */
 const hasBeenHeld = (entry: Pick<Entry, 'crashes' | 'cleared' | 'repeated'>): boolean => countEvidence(entry) + entry.cleared.size >= holdCrashCount;
 
 const getTtlMs = (entry: Entry): number => hasBeenHeld(entry) ? heldTtlMs : suspectTtlMs;
 
 /**
- * @returns A ledger in which nothing is suspected.
+ * @returns An empty table.
  * @internal
  */
 export function createSuspectTable(): SuspectTable {
 	const entries = new Map<Fingerprint, Entry>();
-	/** How many records share a head. */
+	/** Number of records per head. */
 	const heads = new Map<HeadFingerprint, number>();
-	/** Where the next part of all begins. */
+	/** Index at which the next batch of all records starts. */
 	let nextIndex = 0;
 	let isWorstNext = false;
 
@@ -212,7 +212,7 @@
 		return true;
 	};
 
-	/** What another node has nearly forgotten must not begin anew here. */
+	/** Returns whether a record of another node is worth adding. One that the other node is about to remove must not get a new time to live here. */
 	const isUnexpired = ({quietMs, crashes, cleared, repeated}: SuspectRecord): boolean =>
 		quietMs < (crashes.length + cleared.length + repeated.length >= holdCrashCount ? heldTtlMs : suspectTtlMs);
 
@@ -241,7 +241,7 @@
 		return isChanged;
 	};
 
-	/** Half of a part is for what crashed the most servers, so that a node that was away learns of it with the first heartbeats, the rest for what is new. */
+	/** Lists a batch of which half is for the requests with the most crashes, so that a node that was disconnected learns of them with the first heartbeats, and the rest for the newest records. */
 	const listWorstAndNewest = (all: readonly Entry[]): readonly Entry[] => {
 		const held = all.filter(entry => hasBeenHeld(entry)).toSorted((left, right) => right.crashes.size - left.crashes.size || right.changedAt - left.changedAt).slice(0, batchRecordCount / 2);
 		const newest = all.toSorted((left, right) => right.changedAt - left.changedAt).filter(entry => !held.includes(entry));
--- a/src/lib/quarantine/trial-delay.test.ts
+++ b/src/lib/quarantine/trial-delay.test.ts
@@ -28,7 +28,7 @@
 	};
 }
 
-test('one request waits until the time is over, and nobody is told', async context => {
+test('a single request waits for the whole delay and is not reported as repeated', async context => {
 	const {trialDelay, repeated, tick} = createFixture(context, 200);
 	let isOver = false;
 	const wait = (async () => {
@@ -40,10 +40,10 @@
 	await tick(1);
 	await wait;
 	assert.deepEqual(repeated, []);
-	assert.notEqual(trialDelay.wait(page), undefined, 'the next one does not wait');
+	assert.notEqual(trialDelay.wait(page), undefined, 'the next request does not wait');
 });
 
-test('a second request for the same ends the wait of the first and is told; one for another does not', async context => {
+test('a second identical request ends the wait of the first and is reported as repeated; another request does not', async context => {
 	const {trialDelay, repeated} = createFixture(context, 200);
 	const first = trialDelay.wait(page);
 	assert.notEqual(trialDelay.wait(other), undefined);
@@ -53,6 +53,6 @@
 	await first;
 });
 
-test('nothing waits once the time after the crash is over', context => {
+test('no request waits once the delay after the crash is over', context => {
 	assert.equal(createFixture(context, 0).trialDelay.wait(page), undefined);
 });
--- a/src/lib/quarantine/trial-delay.ts
+++ b/src/lib/quarantine/trial-delay.ts
@@ -1,10 +1,10 @@
 /**
- * Has requests on trial wait for a moment after the first crash that accuses
- * them, and finds those that several callers ask for meanwhile.
+ * Delays a request on trial for a short time after its first crash, and detects
+ * whether several callers send it in that time.
  *
- * A page that many ask for is answered all the time, and what was answered a
- * moment ago is not accused. One that many ask for, that was in work at a crash
- * and that nobody has answered is most likely what caused it.
+ * A popular page is answered all the time, and a request that was answered recently
+ * is not suspected. A popular request that was in flight at a crash and that no
+ * server has answered is most likely the cause of the crash.
  *
  * @module
  */
@@ -13,31 +13,31 @@
 
 /** @internal */
 export type TrialDelayContext = {
-	/** Milliseconds that a trial of a request has to wait; 0 if it may begin. */
+	/** Returns for how many milliseconds the trial of a request has to wait; 0 if it may start. */
 	readonly getDelayMs: (fingerprint: Fingerprint) => number;
-	/** Told when a request is asked for while another of it waits. */
+	/** Called when a request arrives while the same request from another caller waits. */
 	readonly handleRepeat: (fingerprint: Fingerprint) => void;
 };
 
 /** @internal */
 export type TrialDelay = {
-	/** Waits until a trial may be judged again; yields nothing to wait for if it may be now. */
+	/** Waits until the request may be checked again; returns `undefined` if it may be checked at once. */
 	readonly wait: (fingerprint: Fingerprint) => Promise<void> | undefined;
 };
 
 /**
- * @param context - How long trials wait, and who is told.
- * @returns Waits, none begun.
+ * @param context - The delay, and the handler of repeated requests.
+ * @returns A delay at which no request waits.
  * @internal
  */
 export function createTrialDelay({getDelayMs, handleRepeat}: TrialDelayContext): TrialDelay {
-	/** The request that waits, by what it asks for; at most one of each. */
+	/** Waiting requests, at most one per fingerprint; aborting the controller ends the wait. */
 	const waiting = new Map<Fingerprint, AbortController>();
 
 	const delayTrial = async (fingerprint: Fingerprint, delayMs: number): Promise<void> => {
-		const abort = new AbortController();
-		waiting.set(fingerprint, abort);
-		await waitFor(delayMs, abort.signal);
+		const controller = new AbortController();
+		waiting.set(fingerprint, controller);
+		await waitFor(delayMs, controller.signal);
 		waiting.delete(fingerprint);
 	};
 
--- a/src/lib/quarantine/trial-server.ts
+++ b/src/lib/quarantine/trial-server.ts
@@ -1,5 +1,5 @@
 /**
- * Chooses the one server at which a request that may crash servers runs.
+ * Chooses the only server to which a request on trial may be sent.
  *
  * @module
  */
@@ -12,12 +12,12 @@
 }
 
 /**
- * Chooses by the greatest digest of request and server (rendezvous hashing), so that nodes that know the same servers choose the same one
- * without a word. Where they differ, the request may be in work at two.
+ * Chooses the server with the highest digest of request and server (rendezvous hashing), so that nodes that know the same servers choose the
+ * same one without coordination. If they know different servers, the request may run at two of them.
  *
- * @param fingerprint - The request.
- * @param servers - Servers that could take it.
- * @returns The one that is to; none if there are none.
+ * @param fingerprint - Fingerprint of the request.
+ * @param servers - Servers that could receive it.
+ * @returns A list of the chosen server; empty if there are no servers.
  * @internal
  */
 export function chooseTrialServer<Server extends {readonly lifetime: LifetimeKey}>(fingerprint: Fingerprint, servers: readonly Server[]): readonly Server[] {
