--- a/src/lib/decisions/load-view.ts
+++ b/src/lib/decisions/load-view.ts
@@ -1,85 +1,85 @@
 /**
- * What a node knows of the load of backend servers: what their gates last
- * said, and what this node itself has sent since. It is known of one lifetime of
- * a server, and nothing of it holds for the next one.
+ * The view that a node has of the load of backend servers: the last report of
+ * each gate, and the requests that this node has sent since. It is kept per lifetime of
+ * a server and is not used for the next lifetime.
  *
  * @module
  */
 import {type LifetimeKey} from '../common/server-lifetime.js';
 
-/** What is known of one server. @internal */
+/** Known load of one server. @internal */
 export type ServerView = {
 	readonly running: number;
 	readonly waiting: number;
-	/** Average milliseconds that a request takes; 0 if nothing is known. */
+	/** Average service time of a request in milliseconds; 0 if unknown. */
 	readonly serviceMs: number;
 	readonly failureShare: number;
-	/** Requests of this node that are under way there. */
-	readonly own: number;
-	/** Of these, the ones that were under way when the gate last spoke. */
-	readonly ownThen: number;
-	/** Average milliseconds that requests of this node spend on the way there and back: a VM that is slow or far shows here, and for large bodies a link that is full. */
-	readonly wayMs: number;
-	/** When the gate last spoke, in steady milliseconds. */
-	readonly heardAt: number;
+	/** Requests of this node that are in flight to the server. */
+	readonly ownInFlight: number;
+	/** Requests of this node that were in flight at the last report of the gate. */
+	readonly ownInFlightAtReport: number;
+	/** Average round-trip time of requests of this node in milliseconds, without the time at the gate and the server. It is high for a slow or distant VM, and for large bodies on a full link. */
+	readonly roundTripMs: number;
+	/** When the gate last reported, in milliseconds of the steady clock. */
+	readonly reportedAt: number;
 };
 
 /** @internal */
 export type LoadView = {
-	/** What is known of a server, for a request of a route. */
+	/** Returns the known load of a server, with the round-trip time of a route if it is given. */
 	readonly get: (server: LifetimeKey, route?: string) => ServerView;
-	readonly hear: (server: LifetimeKey, report: Partial<Pick<ServerView, 'running' | 'waiting' | 'serviceMs' | 'failureShare'>>, now: number) => void;
-	/** Notes how long a request of a route spent on the way there and back. */
-	readonly noteWay: (server: LifetimeKey, route: string, wayMs: number) => void;
-	readonly begin: (server: LifetimeKey) => void;
-	readonly end: (server: LifetimeKey) => void;
+	readonly recordReport: (server: LifetimeKey, report: Partial<Pick<ServerView, 'running' | 'waiting' | 'serviceMs' | 'failureShare'>>, now: number) => void;
+	/** Records the round-trip time of a request of a route. */
+	readonly recordRoundTrip: (server: LifetimeKey, route: string, roundTripMs: number) => void;
+	readonly recordStart: (server: LifetimeKey) => void;
+	readonly recordEnd: (server: LifetimeKey) => void;
 	readonly retain: (isKnown: (server: LifetimeKey) => boolean) => void;
 };
 
-/** Weight of the newest request in the average time on the way: some five requests make it. */
-const wayWeight = 0.2;
+/** Weight of the newest request in the moving average of round-trip times, which covers about five requests. */
+const smoothingFactor = 0.2;
 
-const unknownServer: ServerView = {
-	running: 0, waiting: 0, serviceMs: 0, failureShare: 0, own: 0, ownThen: 0, wayMs: 0, heardAt: 0,
+const unknownLoad: ServerView = {
+	running: 0, waiting: 0, serviceMs: 0, failureShare: 0, ownInFlight: 0, ownInFlightAtReport: 0, roundTripMs: 0, reportedAt: 0,
 };
 
 /**
- * @param view - What is known of a server.
- * @returns Requests in work and waiting there, as far as this node can tell.
+ * @param view - The known load of a server.
+ * @returns Requests that run or wait there, as far as this node can tell.
  * @internal
  */
-export function estimateRequests(view: ServerView): number {
-	return Math.max(view.own, view.running + view.waiting + view.own - view.ownThen);
+export function estimateOutstanding(view: ServerView): number {
+	return Math.max(view.ownInFlight, view.running + view.waiting + view.ownInFlight - view.ownInFlightAtReport);
 }
 
 /**
- * Estimates how long a request would wait for a slot. Those that waited when
- * the gate last spoke have been worked on since. Slots that were all taken then
- * are still taken for taken: under load others fill them, and a request that is
- * sent for a slot at once would only be refused.
+ * Estimates how long a request would wait for a slot. The queue of the last
+ * report is assumed to shrink at the average rate since. If all slots were in use
+ * then, they are assumed to be still in use: under load other requests fill them, and a
+ * request that needs a slot at once would be refused.
  *
- * @param view - What is known of a server.
- * @param slots - Requests that it works on at once.
- * @param now - Steady milliseconds.
+ * @param view - The known load of a server.
+ * @param slots - Concurrency limit of the server.
+ * @param now - Current time, in milliseconds of the steady clock.
  * @returns Milliseconds; 0 if a slot is likely to be free.
  * @internal
  */
-export function estimateSlotWait(view: ServerView, slots: number, now: number): number {
-	const requests = estimateRequests(view);
+export function estimateSlotWaitMs(view: ServerView, slots: number, now: number): number {
+	const requests = estimateOutstanding(view);
 	if (requests < slots) {
 		return 0;
 	}
 
 	const slotMs = view.serviceMs / Math.max(1, slots);
-	const endedSince = slotMs === 0 ? 0 : Math.max(0, now - view.heardAt) / slotMs;
-	const waiting = Math.max(0, requests - slots - endedSince);
+	const endedCount = slotMs === 0 ? 0 : Math.max(0, now - view.reportedAt) / slotMs;
+	const waiting = Math.max(0, requests - slots - endedCount);
 	return (waiting + 1) * slotMs;
 }
 
-/** Averages of the requests of one route at one server. */
+/** Moving averages by server and route. */
 type RouteAverages = {
 	readonly get: (server: LifetimeKey, route: string) => number | undefined;
-	readonly note: (server: LifetimeKey, route: string, value: number) => void;
+	readonly record: (server: LifetimeKey, route: string, value: number) => void;
 	readonly delete: (server: LifetimeKey) => void;
 };
 
@@ -87,7 +87,7 @@
 	const servers = new Map<LifetimeKey, Map<string, number>>();
 	return {
 		get: (server, route) => servers.get(server)?.get(route),
-		note(server, route, value) {
+		record(server, route, value) {
 			const averages = servers.get(server) ?? new Map<string, number>();
 			const known = averages.get(route);
 			averages.set(route, known === undefined ? value : (known * (1 - weight)) + (value * weight));
@@ -100,42 +100,42 @@
 }
 
 /**
- * @returns A view of nothing.
+ * @returns A view without any report.
  * @internal
  */
 export function createLoadView(): LoadView {
 	const views = new Map<LifetimeKey, ServerView>();
-	const ways = createRouteAverages(wayWeight);
-	const get = (server: LifetimeKey): ServerView => views.get(server) ?? unknownServer;
+	const roundTrips = createRouteAverages(smoothingFactor);
+	const get = (server: LifetimeKey): ServerView => views.get(server) ?? unknownLoad;
 	return {
 		get(server, route = '') {
 			const view = get(server);
-			return {...view, wayMs: ways.get(server, route) ?? view.wayMs};
+			return {...view, roundTripMs: roundTrips.get(server, route) ?? view.roundTripMs};
 		},
-		hear(server, report, now) {
+		recordReport(server, report, now) {
 			const view = get(server);
 			views.set(server, {
-				...view, ...report, ownThen: view.own, heardAt: now,
+				...view, ...report, ownInFlightAtReport: view.ownInFlight, reportedAt: now,
 			});
 		},
-		noteWay(server, route, wayMs) {
+		recordRoundTrip(server, route, roundTripMs) {
 			const view = get(server);
-			ways.note(server, route, Math.max(0, wayMs));
-			views.set(server, {...view, wayMs: (view.wayMs * (1 - wayWeight)) + (Math.max(0, wayMs) * wayWeight)});
+			roundTrips.record(server, route, Math.max(0, roundTripMs));
+			views.set(server, {...view, roundTripMs: (view.roundTripMs * (1 - smoothingFactor)) + (Math.max(0, roundTripMs) * smoothingFactor)});
 		},
-		begin(server) {
+		recordStart(server) {
 			const view = get(server);
-			views.set(server, {...view, own: view.own + 1});
+			views.set(server, {...view, ownInFlight: view.ownInFlight + 1});
 		},
-		end(server) {
+		recordEnd(server) {
 			const view = get(server);
-			views.set(server, {...view, own: Math.max(0, view.own - 1)});
+			views.set(server, {...view, ownInFlight: Math.max(0, view.ownInFlight - 1)});
 		},
 		retain(isKnown) {
 			for (const [server, view] of views) {
-				if (view.own === 0 && !isKnown(server)) {
+				if (view.ownInFlight === 0 && !isKnown(server)) {
 					views.delete(server);
-					ways.delete(server);
+					roundTrips.delete(server);
 				}
 			}
 		},
--- a/src/lib/quarantine/sample-quarantine.ts
+++ b/src/lib/quarantine/sample-quarantine.ts
@@ -1,26 +1,26 @@
 /**
- * A quarantine and requests for tests.
+ * Quarantine and request fingerprints for tests.
  *
  * @module
  */
 import {silentLog} from '../timeline/mesh-log.js';
 import {createQuarantine, type Quarantine} from './quarantine.js';
-import {createRequestMark, type RequestMark} from './request-mark.js';
+import {createLazyFingerprint, type LazyFingerprint} from './lazy-fingerprint.js';
 
 /**
- * @returns A quarantine that tells nobody.
+ * @returns A quarantine that logs nothing and ignores all events.
  * @internal
  */
-export const createQuietQuarantine = (): Quarantine => createQuarantine({
-	log: silentLog, handleNews: () => undefined, handleCrash: () => undefined, handleQuarantined: () => undefined,
+export const createSilentQuarantine = (): Quarantine => createQuarantine({
+	log: silentLog, handleUrgentChange: () => undefined, handleCrash: () => undefined, handleQuarantined: () => undefined,
 });
 
 /**
- * @param target - What it asks for.
+ * @param target - Path and query of the request.
  * @param body - Its body.
- * @returns The mark of a request.
+ * @returns The fingerprint of a request.
  * @internal
  */
-export const createSampleMark = (target = '/logs/1', body?: Uint8Array): RequestMark => createRequestMark({
+export const createSampleFingerprint = (target = '/logs/1', body?: Uint8Array): LazyFingerprint => createLazyFingerprint({
 	method: 'GET', host: 'mesh.example', target, body,
 });
