--- a/src/lib/forwarding/byte-budget.ts
+++ b/src/lib/forwarding/byte-budget.ts
@@ -7,12 +7,12 @@
 /** @internal */
 export type ByteBudget = {
 	/** Takes bytes if they are left. */
-	readonly take: (bytes: number) => boolean;
+	readonly tryAcquire: (bytes: number) => boolean;
 	readonly release: (bytes: number) => void;
 };
 
 /** A budget that never runs out, for bodies whose sender is bounded already. @internal */
-export const boundlessBudget: ByteBudget = {take: () => true, release: () => undefined};
+export const unlimitedBudget: ByteBudget = {tryAcquire: () => true, release: () => undefined};
 
 /**
  * @param limit - Bytes that may be held at once.
@@ -22,7 +22,7 @@
 export function createByteBudget(limit: number): ByteBudget {
 	let held = 0;
 	return {
-		take(bytes) {
+		tryAcquire(bytes) {
 			if (held + bytes > limit) {
 				return false;
 			}
--- a/src/lib/forwarding/connection-scopes.ts
+++ b/src/lib/forwarding/connection-scopes.ts
@@ -42,7 +42,7 @@
 	server.on('connection', (socket: Socket) => {
 		const calls = new Set<CallScope>();
 		scopes.set(socket, calls);
-		const endAll = (): void => {
+		const cancelCalls = (): void => {
 			for (const scope of calls) {
 				scope.end('cancelled');
 			}
@@ -51,10 +51,10 @@
 		};
 
 		// A caller that has closed its half does not wait for an answer any more, although bytes could still be sent.
-		socket.once('end', endAll);
+		socket.once('end', cancelCalls);
 		socket.once('close', () => {
 			scopes.delete(socket);
-			endAll();
+			cancelCalls();
 		});
 	});
 
--- a/src/lib/forwarding/entry-server.ts
+++ b/src/lib/forwarding/entry-server.ts
@@ -28,7 +28,7 @@
 	filterCallHeaders, getAmount, getText, type WireHeaders,
 } from './call-headers.js';
 import {watchConnections} from './connection-scopes.js';
-import {type ForwardAnswer, type ForwardFailure} from './forward-result.js';
+import {type ForwardResponse, type ForwardFailure} from './forward-result.js';
 import {
 	BodyTooLargeError, BodyTooLateError, hasBody, NoRoomForBodyError, readBody,
 } from './read-body.js';
@@ -156,7 +156,7 @@
 		response.end(body);
 	};
 
-	const sendAnswer = (call: EntryCall, answer: ForwardAnswer): void => {
+	const sendAnswer = (call: EntryCall, answer: ForwardResponse): void => {
 		const {request, response} = call;
 		if (response.destroyed) {
 			return;
--- a/src/lib/forwarding/exchange.ts
+++ b/src/lib/forwarding/exchange.ts
@@ -4,13 +4,13 @@
  * @module
  */
 import {type IncomingHttpHeaders, type OutgoingHttpHeaders} from 'node:http';
-import {createAnswerReader, type WholeAnswer} from './answer-reader.js';
+import {createResponseParser, type CompleteResponse} from './response-parser.js';
 import {type CallScope, type ScopeEnd} from './call-scope.js';
-import {type CarriedCall, type ServerConnection, type ServerConnections} from './server-connections.js';
+import {type AssignedCall, type ServerConnection, type ServerConnectionPool} from './server-connection-pool.js';
 
 /** What is sent. @internal */
 export type ExchangeRequest = {
-	readonly connections: ServerConnections;
+	readonly pool: ServerConnectionPool;
 	readonly id: string;
 	readonly method: string;
 	/** Path and query. */
@@ -19,13 +19,13 @@
 	readonly body: Uint8Array | undefined;
 	readonly scope: CallScope;
 	/** Checks whether an answer is to this request; any other one is dropped with its connection, unless it is a second one to the request before. */
-	readonly isOwnAnswer: (headers: IncomingHttpHeaders, status: number) => boolean;
+	readonly isOwnResponse: (headers: IncomingHttpHeaders, status: number) => boolean;
 	/** Which request an answer names. */
 	readonly readCallId: (headers: IncomingHttpHeaders) => string | undefined;
 };
 
 /** The whole answer. @internal */
-export type ExchangeAnswer = {
+export type ExchangeResponse = {
 	readonly type: 'answered';
 	readonly status: number;
 	readonly headers: IncomingHttpHeaders;
@@ -42,28 +42,28 @@
 };
 
 /** @internal */
-export type ExchangeResult = ExchangeAnswer | ExchangeFailure;
+export type ExchangeResult = ExchangeResponse | ExchangeFailure;
 
 /** Share of the idle time that the server allows after which a connection is not used again: a request must not cross its close. */
-const idleShare = 0.6;
+const idleTimeoutShare = 0.6;
 
 /** Methods whose requests usually have no body, so that none need be announced as empty. */
 const bodilessMethods: ReadonlySet<string> = new Set(['GET', 'HEAD', 'DELETE', 'OPTIONS', 'TRACE']);
 
 /** What would end a line of the head, or the head itself. */
-const lineBreaks = /[\r\n\0]/;
+const lineBreakPattern = /[\r\n\0]/;
 
 /** What may stand in the first line: anything else would end it, or split it. */
-const targetText = /^[\u0021-\u00FF]+$/;
+const targetPattern = /^[\u0021-\u00FF]+$/;
 
-const methodText = /^[\w!#$%&'*+.^`|~-]+$/;
+const methodPattern = /^[\w!#$%&'*+.^`|~-]+$/;
 
 function encodeField(name: string, value: number | string | readonly string[]): string {
 	if (typeof value === 'object') {
-		return value.map(one => encodeField(name, one)).join('');
+		return value.map(item => encodeField(name, item)).join('');
 	}
 
-	if (lineBreaks.test(name) || lineBreaks.test(String(value))) {
+	if (lineBreakPattern.test(name) || lineBreakPattern.test(String(value))) {
 		throw new Error(`the field ${JSON.stringify(name)} cannot be written as one line`);
 	}
 
@@ -88,7 +88,7 @@
 
 	const isEmpty = body === undefined && !bodilessMethods.has(method) && headers['content-length'] === undefined;
 	const own = `${isEmpty ? 'content-length: 0\r\n' : ''}connection: keep-alive\r\n`;
-	if (!methodText.test(method) || !targetText.test(target)) {
+	if (!methodPattern.test(method) || !targetPattern.test(target)) {
 		throw new Error('the method or the path cannot be written as a part of one line');
 	}
 
@@ -96,10 +96,10 @@
 }
 
 /** How long the server says that it keeps a connection, in milliseconds. */
-function readIdleHint(headers: IncomingHttpHeaders): number {
+function readKeepAliveMs(headers: IncomingHttpHeaders): number {
 	const value = headers['keep-alive'];
 	const seconds = /timeout=(\d+)/.exec(typeof value === 'string' ? value : '')?.[1];
-	return seconds === undefined ? Number.POSITIVE_INFINITY : Number(seconds) * 1000 * idleShare;
+	return seconds === undefined ? Number.POSITIVE_INFINITY : Number(seconds) * 1000 * idleTimeoutShare;
 }
 
 /**
@@ -111,13 +111,13 @@
  */
 export async function runExchange(exchange: ExchangeRequest): Promise<ExchangeResult> {
 	return new Promise(resolve => {
-		let reader = createAnswerReader(exchange.method);
+		let parser = createResponseParser(exchange.method);
 		let connection: ServerConnection | undefined;
-		let callBefore: CarriedCall | undefined;
+		let previousCall: AssignedCall | undefined;
 		let isSettled = false;
-		let isChecked = false;
+		let isHeadChecked = false;
 		/** What is read is a second answer to the request before on the connection. */
-		let isPassedOver = false;
+		let isDuplicate = false;
 		// A scope that has ended already calls back before it can be unsubscribed from.
 		let stopListening = (): void => undefined;
 
@@ -139,36 +139,36 @@
 		};
 
 		/** The connection goes on to the next request only if nothing of this one is left on it. */
-		const finish = ({isKept, ...answer}: WholeAnswer): void => {
+		const finish = ({isReusable, ...response}: CompleteResponse): void => {
 			if (isSettled) {
 				return;
 			}
 
-			settle({type: 'answered', ...answer});
-			if (isKept && !reader.hasExtra()) {
-				connection?.release(readIdleHint(answer.headers));
+			settle({type: 'answered', ...response});
+			if (isReusable && !parser.hasExcessBytes()) {
+				connection?.release(readKeepAliveMs(response.headers));
 			} else {
 				connection?.destroy();
 			}
 		};
 
 		/** A server may answer the request before once more, where the answer to this one is due: its end is known, and that to this one still comes. */
-		const isSecondAnswer = (headers: IncomingHttpHeaders): boolean =>
-			callBefore?.method === exchange.method && exchange.readCallId(headers) === callBefore.id && !reader.isUnframed();
+		const isDuplicateResponse = (headers: IncomingHttpHeaders): boolean =>
+			previousCall?.method === exchange.method && exchange.readCallId(headers) === previousCall.id && !parser.isCloseDelimited();
 
-		const checkOwner = (): boolean => {
-			const head = reader.getHead();
-			if (head === undefined || isChecked) {
+		const checkHead = (): boolean => {
+			const head = parser.getHead();
+			if (head === undefined || isHeadChecked) {
 				return true;
 			}
 
-			isChecked = true;
-			if (exchange.isOwnAnswer(head.headers, head.status)) {
+			isHeadChecked = true;
+			if (exchange.isOwnResponse(head.headers, head.status)) {
 				return true;
 			}
 
-			isPassedOver = isSecondAnswer(head.headers);
-			if (isPassedOver) {
+			isDuplicate = isDuplicateResponse(head.headers);
+			if (isDuplicate) {
 				return true;
 			}
 
@@ -177,31 +177,31 @@
 		};
 
 		/** Reads on behind an answer that is passed over; yields the bytes that came behind it. */
-		const dropSecondAnswer = ({isKept}: WholeAnswer): Uint8Array | undefined => {
-			if (!isKept) {
+		const dropDuplicateResponse = ({isReusable}: CompleteResponse): Uint8Array | undefined => {
+			if (!isReusable) {
 				fail('connection-lost', 'the connection closes behind a second answer to the request before');
 				return undefined;
 			}
 
-			const extra = reader.takeExtra();
-			reader = createAnswerReader(exchange.method);
-			isChecked = false;
-			isPassedOver = false;
-			return extra.length > 0 ? extra : undefined;
+			const excess = parser.takeExcessBytes();
+			parser = createResponseParser(exchange.method);
+			isHeadChecked = false;
+			isDuplicate = false;
+			return excess.length > 0 ? excess : undefined;
 		};
 
 		/** Reads bytes; yields those that are left when an answer was passed over. */
-		const readPart = (bytes: Uint8Array): Uint8Array | undefined => {
-			const answer = reader.read(bytes);
-			if (!checkOwner() || answer === undefined) {
+		const readNextResponse = (bytes: Uint8Array): Uint8Array | undefined => {
+			const response = parser.read(bytes);
+			if (!checkHead() || response === undefined) {
 				return undefined;
 			}
 
-			if (isPassedOver) {
-				return dropSecondAnswer(answer);
+			if (isDuplicate) {
+				return dropDuplicateResponse(response);
 			}
 
-			finish(answer);
+			finish(response);
 			return undefined;
 		};
 
@@ -209,7 +209,7 @@
 			try {
 				let left: Uint8Array | undefined = bytes;
 				while (left !== undefined && !isSettled) {
-					left = readPart(left);
+					left = readNextResponse(left);
 				}
 			} catch (error) {
 				fail('connection-lost', (error as Error).message);
@@ -226,17 +226,17 @@
 				return;
 			}
 
-			if (!reader.isUnframed()) {
-				fail('connection-lost', reader.getHead() === undefined ? 'the connection closed without an answer' : 'the connection closed within the answer');
+			if (!parser.isCloseDelimited()) {
+				fail('connection-lost', parser.getHead() === undefined ? 'the connection closed without an answer' : 'the connection closed within the answer');
 				return;
 			}
 
-			connection?.probeEnd(isOrderly => {
-				const answer = isOrderly ? reader.end() : undefined;
-				if (answer === undefined) {
+			connection?.checkOrderlyEnd(isOrderly => {
+				const response = isOrderly ? parser.end() : undefined;
+				if (response === undefined) {
 					fail('connection-lost', 'the connection was reset within an answer without a length');
 				} else {
-					finish(answer);
+					finish(response);
 				}
 			});
 		};
@@ -244,7 +244,7 @@
 		const start = async (): Promise<void> => {
 			try {
 				const head = encodeRequestHead(exchange);
-				connection = await exchange.connections.take({
+				connection = await exchange.pool.acquire({
 					handleBytes,
 					handleEnd,
 					handleClosed(reason) {
@@ -256,7 +256,7 @@
 					return;
 				}
 
-				callBefore = connection.begin({id: exchange.id, method: exchange.method});
+				previousCall = connection.startCall({id: exchange.id, method: exchange.method});
 				connection.write(head, exchange.body);
 			} catch (error) {
 				fail('cancelled', (error as Error).message);
--- a/src/lib/forwarding/forward-result.ts
+++ b/src/lib/forwarding/forward-result.ts
@@ -37,7 +37,7 @@
 ];
 
 /** @internal */
-export type ForwardAnswer = {
+export type ForwardResponse = {
 	readonly type: 'answered';
 	readonly status: number;
 	readonly headers: HeaderMap;
@@ -57,7 +57,7 @@
 };
 
 /** @internal */
-export type ForwardResult = ForwardAnswer | ForwardFailure;
+export type ForwardResult = ForwardResponse | ForwardFailure;
 
 /** How busy the backend server behind a gate is. @internal */
 export type GateLoad = {
--- a/src/lib/forwarding/full-link.test.ts
+++ b/src/lib/forwarding/full-link.test.ts
@@ -35,10 +35,10 @@
 const slowMbps = 10;
 
 /** Bytes that the link carries in so many milliseconds. */
-const countCarried = (ms: number): number => slowMbps * 1000 / 8 * ms;
+const countCarriedBytes = (ms: number): number => slowMbps * 1000 / 8 * ms;
 
 /** How long what is sent next may wait on the link behind large answers. Milliseconds: a new connection, a question and its answer are three such waits, and a call may wait 300 ms for the connection. */
-const mostQueueMs = 100;
+const maxQueueMs = 100;
 
 // Guards against nodes that serve by an older configuration since everything that they send waits behind their own large answers.
 test('the link of a VM is not handed more large answers than it carries, so that whatever else its node sends leaves soon', async context => {
@@ -62,13 +62,13 @@
 		answers.write(sockets[id % sockets.length]!, {type: 'answer', id, body: Buffer.alloc(90_000)});
 	}
 
-	for (let look = 0; look < 5; look++) {
+	for (let check = 0; check < 5; check++) {
 		await sleep(100);
 		const elapsedMs = readSteadyMs() - startedAt;
-		assert.ok(received <= countCarried(elapsedMs + mostQueueMs), `${received} bytes after ${Math.round(elapsedMs)} ms, of which the link carries ${Math.round(countCarried(elapsedMs))}`);
+		assert.ok(received <= countCarriedBytes(elapsedMs + maxQueueMs), `${received} bytes after ${Math.round(elapsedMs)} ms, of which the link carries ${Math.round(countCarriedBytes(elapsedMs))}`);
 	}
 
-	assert.ok(received >= countCarried(400) / 2, `${received} bytes left in half a second: the link is not used`);
+	assert.ok(received >= countCarriedBytes(400) / 2, `${received} bytes left in half a second: the link is not used`);
 });
 
 /** Opens connections that are up after so many milliseconds, as over a link that is full. */
@@ -91,7 +91,7 @@
 } as const;
 
 /** A gate that hands a configuration over. */
-async function startConfigGate(context: TestContext): Promise<Address> {
+async function startConfigurationGate(context: TestContext): Promise<Address> {
 	const localGate: Partial<LocalGate> = {};
 	const gate = createGateServer({
 		gate: localGate as LocalGate,
@@ -107,7 +107,7 @@
 
 // Guards against a node that never gets a newer configuration since it gives each connection up before the link has let it through, and begins anew.
 test('a node that connections take longer to reach than a call waits for one is handed the configuration all the same', async context => {
-	const address = await startConfigGate(context);
+	const address = await startConfigurationGate(context);
 	const client = createGateClient({openSocket: createSlowOpening(500)});
 	context.after(client.dispose);
 	const startedAt = readSteadyMs();
@@ -125,12 +125,12 @@
 
 // Guards against a refusal that says "not run" for a request that leaves after all once the link lets its connection through.
 test('a call that has gone elsewhere before its connection was up never leaves, and the next one finds the connection open', async context => {
-	const heard: string[] = [];
+	const received: string[] = [];
 	const address = toAddress(`127.0.0.1:${await listen(context, createServer(socket => {
 		const reader = createFrameReader();
 		socket.on('data', bytes => {
 			for (const {type, id} of reader.read(bytes)) {
-				heard.push(type);
+				received.push(type);
 				writeFrame(socket, {type: 'answer', id, ...encodePeerAnswer({result: createNotRun('full', 'all slots are taken'), load: undefined})});
 			}
 		});
@@ -158,9 +158,9 @@
 	// As a node does with the connections of one that could not be reached.
 	client.renew(address, 'unreachable');
 	await sleep(300);
-	assert.deepEqual(heard, []);
+	assert.deepEqual(received, []);
 	assert.equal(await send(), 'not-run full');
-	assert.deepEqual(heard, ['request']);
+	assert.deepEqual(received, ['request']);
 	assert.equal(opened, 1);
 });
 
@@ -172,7 +172,7 @@
 			return createSlowOpening(opened === 1 ? 60_000 : 0)(options);
 		},
 	});
-	const address = await startConfigGate(context);
+	const address = await startConfigurationGate(context);
 	context.after(client.dispose);
 	const scopes = [createCallScope(readSteadyMs() + 1000), createCallScope(readSteadyMs() + 1000)];
 	const first = client.fetchConfig(address, 7, scopes[0]!);
@@ -186,7 +186,7 @@
 // Guards against the same at a node whose callers upload: its own large bodies before whatever else it sends.
 test('the link of a VM is not handed more large bodies than it carries, and one that nobody waits for stays', async context => {
 	let received = 0;
-	let cut = 0;
+	let partialBytes = 0;
 	const bodies: number[] = [];
 	const port = await listen(context, createServer(socket => {
 		const reader = createFrameReader();
@@ -200,7 +200,7 @@
 				}
 			}
 
-			cut = reader.countHeldBytes();
+			partialBytes = reader.countHeldBytes();
 		});
 		socket.on('error', () => undefined);
 	}));
@@ -215,19 +215,19 @@
 		});
 	}
 
-	for (let look = 0; look < 4; look++) {
+	for (let check = 0; check < 4; check++) {
 		await sleep(100);
 		const elapsedMs = readSteadyMs() - startedAt;
-		assert.ok(received <= countCarried(elapsedMs + mostQueueMs), `${received} bytes after ${Math.round(elapsedMs)} ms, of which the link carries ${Math.round(countCarried(elapsedMs))}`);
+		assert.ok(received <= countCarriedBytes(elapsedMs + maxQueueMs), `${received} bytes after ${Math.round(elapsedMs)} ms, of which the link carries ${Math.round(countCarriedBytes(elapsedMs))}`);
 	}
 
-	assert.ok(received >= countCarried(300) / 2, `${received} bytes left: the link is not used`);
+	assert.ok(received >= countCarriedBytes(300) / 2, `${received} bytes left: the link is not used`);
 	for (const scope of scopes) {
 		scope.end('cancelled');
 	}
 
-	assert.ok(link.countWaiting() <= 1, 'what nobody waits for any more stays, but for the one that may have begun to leave');
-	await expectSoon('what has begun to leave has arrived whole', () => link.countWaiting() === 0 && cut === 0);
+	assert.ok(link.countQueued() <= 1, 'what nobody waits for any more stays, but for the one that may have begun to leave');
+	await expectSoon('what has begun to leave has arrived whole', () => link.countQueued() === 0 && partialBytes === 0);
 	assert.ok(bodies.length < scopes.length / 2, `${bodies.length} bodies left`);
 	assert.ok(bodies.every(length => length === 90_000));
 });
--- a/src/lib/forwarding/gate-server.ts
+++ b/src/lib/forwarding/gate-server.ts
@@ -44,41 +44,41 @@
 };
 
 /** One request under way on a connection. */
-type Incoming = {
+type IncomingRequest = {
 	readonly scope: CallScope;
 	/** Takes the body of an offer; `undefined` if none is waited for. */
-	takeBody: ((body: Uint8Array) => void) | undefined;
+	handleBody: ((body: Uint8Array) => void) | undefined;
 };
 
 type Connection = {
 	readonly socket: Socket;
 	/** Where it comes from, for people: a socket that has closed does not tell any more. */
-	readonly place: string;
-	readonly incoming: Map<number, Incoming>;
+	readonly peerAddress: string;
+	readonly requests: Map<number, IncomingRequest>;
 	/** Bytes of a frame that is not whole yet. */
-	heldBytes: number;
+	bufferedBytes: number;
 };
 
 /** More than any node sends, of something that this one holds for it. */
 class FloodError extends Error {}
 
 /** Requests under way on one connection at the most: many times what nodes of the users have. */
-const mostIncoming = 4096;
+const maxIncomingRequestCount = 4096;
 
 /** What connections may hold of frames that are not whole yet. Bytes: a third of what the smallest VMs of the users give a process, as much as the entry holds of bodies. */
-const mostHeldBytes = 83_886_080;
+const maxBufferedBytes = 83_886_080;
 
 /** Answers that a node may leave unread. Bytes: several times the largest configuration, and more than all the answers that are read in a second over the fastest links of the users. */
-const mostUnreadBytes = 33_554_432;
+const maxUnreadBytes = 33_554_432;
 
 /**
  * What other nodes may take to read the last answers once a node has nothing else to do. Milliseconds: they read at once unless they stand still, and a
  * megabyte in the system's buffers takes 0.8 s over the slowest links of the users, most of which has passed by then.
  */
-const lastBytesMs = 300;
+const closeTimeoutMs = 300;
 
-function endAll({incoming}: Connection): void {
-	for (const {scope} of incoming.values()) {
+function cancelRequests({requests}: Connection): void {
+	for (const {scope} of requests.values()) {
 		scope.end('cancelled');
 	}
 }
@@ -91,25 +91,25 @@
 export function createGateServer(context: GateServerContext): GateServer {
 	const {gate, getConfig, catchUp, log, refusals, link} = context;
 	const connections = new Set<Connection>();
-	let heldBytes = 0;
+	let bufferedBytes = 0;
 
 	/** Asks for the body of an offer once a slot is held. */
-	const fetchBody = async (connection: Connection, id: number, one: Incoming): Promise<Uint8Array> => new Promise((resolve, reject) => {
-		one.takeBody = resolve;
-		one.scope.subscribe(() => {
+	const fetchBody = async (connection: Connection, id: number, incoming: IncomingRequest): Promise<Uint8Array> => new Promise((resolve, reject) => {
+		incoming.handleBody = resolve;
+		incoming.scope.subscribe(() => {
 			reject(new Error('the caller has gone'));
 		});
 		link.write(connection.socket, {type: 'continue', id});
 	});
 
-	const runGate = async (connection: Connection, frame: Frame, request: PeerRequest, one: Incoming): Promise<GateResult> => {
+	const runAtGate = async (connection: Connection, frame: Frame, request: PeerRequest, incoming: IncomingRequest): Promise<GateResult> => {
 		try {
 			await catchUp();
 			return await gate.run({
 				...request,
-				scope: one.scope,
-				isTransfer: frame.type === 'offer',
-				readBody: async () => frame.type === 'offer' ? fetchBody(connection, frame.id, one) : (request.hasBody ? frame.body : undefined),
+				scope: incoming.scope,
+				isLargeUpload: frame.type === 'offer',
+				readBody: async () => frame.type === 'offer' ? fetchBody(connection, frame.id, incoming) : (request.hasBody ? frame.body : undefined),
 			});
 		} catch (error) {
 			log.record('error', {kind: 'node-failed', reason: (error as Error).stack ?? String(error)});
@@ -118,28 +118,28 @@
 	};
 
 	/** An id that is under way already would have its answers taken for those of another request. */
-	const checkRequest = ({incoming}: Connection, {id}: Frame): void => {
-		if (incoming.has(id)) {
+	const checkRequest = ({requests}: Connection, {id}: Frame): void => {
+		if (requests.has(id)) {
 			throw new FieldError('frame.id', id, 'one that is not under way on this connection');
 		}
 
-		if (incoming.size >= mostIncoming) {
-			throw new FloodError(`more than ${mostIncoming} requests under way on one connection`);
+		if (requests.size >= maxIncomingRequestCount) {
+			throw new FloodError(`more than ${maxIncomingRequestCount} requests under way on one connection`);
 		}
 	};
 
-	const checkUnread = ({socket}: Connection, mostBytes = mostUnreadBytes): void => {
-		if (socket.writableLength + link.countHeldBytes(socket) > mostBytes) {
-			throw new FloodError(`more than ${mostBytes} bytes of answers that are not read`);
+	const checkUnread = ({socket}: Connection, maxBytes = maxUnreadBytes): void => {
+		if (socket.writableLength + link.countQueuedBytes(socket) > maxBytes) {
+			throw new FloodError(`more than ${maxBytes} bytes of answers that are not read`);
 		}
 	};
 
-	const answer = async (connection: Connection, frame: Frame, request: PeerRequest): Promise<void> => {
+	const handleRequest = async (connection: Connection, frame: Frame, request: PeerRequest): Promise<void> => {
 		const scope = createCallScope(readSteadyMs() + request.leftMs);
-		const one: Incoming = {scope, takeBody: undefined};
-		connection.incoming.set(frame.id, one);
-		const result = await runGate(connection, frame, request, one);
-		connection.incoming.delete(frame.id);
+		const incoming: IncomingRequest = {scope, handleBody: undefined};
+		connection.requests.set(frame.id, incoming);
+		const result = await runAtGate(connection, frame, request, incoming);
+		connection.requests.delete(frame.id);
 		scope.dispose();
 		try {
 			link.write(connection.socket, {type: 'answer', id: frame.id, ...encodePeerAnswer(result)});
@@ -156,18 +156,18 @@
 				const request = decodePeerRequest(frame.head);
 				checkRequest(connection, frame);
 				// Large answers of servers wait for a slow link by right.
-				checkUnread(connection, mostHeldBytes);
-				void answer(connection, frame, request);
+				checkUnread(connection, maxBufferedBytes);
+				void handleRequest(connection, frame, request);
 				break;
 			}
 
 			case 'body': {
-				connection.incoming.get(frame.id)?.takeBody?.(frame.body);
+				connection.requests.get(frame.id)?.handleBody?.(frame.body);
 				break;
 			}
 
 			case 'cancel': {
-				connection.incoming.get(frame.id)?.scope.end('cancelled');
+				connection.requests.get(frame.id)?.scope.end('cancelled');
 				link.cancel(connection.socket, frame.id);
 				break;
 			}
@@ -175,13 +175,13 @@
 			case 'config': {
 				checkUnread(connection);
 				// Whoever asks serves by an older version meanwhile.
-				link.writeFirst(connection.socket, {type: 'answer', id: frame.id, ...getConfig(decodeConfigRequest(frame.head))});
+				link.writeUrgent(connection.socket, {type: 'answer', id: frame.id, ...getConfig(decodeConfigRequest(frame.head))});
 				break;
 			}
 
 			case 'ping': {
 				// Whoever asks whether the connection works may be waiting for large answers on it.
-				checkUnread(connection, mostHeldBytes);
+				checkUnread(connection, maxBufferedBytes);
 				link.write(connection.socket, {type: 'pong', id: frame.id});
 				break;
 			}
@@ -194,18 +194,18 @@
 		}
 	};
 
-	const noteHeld = (connection: Connection, bytes: number): void => {
-		heldBytes += bytes - connection.heldBytes;
-		connection.heldBytes = bytes;
+	const updateBufferedBytes = (connection: Connection, bytes: number): void => {
+		bufferedBytes += bytes - connection.bufferedBytes;
+		connection.bufferedBytes = bytes;
 	};
 
 	const refuse = (connection: Connection, cause: RefusalCause, reason: string): void => {
 		refusals.note({
-			kind: 'peer-refused', cause, place: connection.place, reason,
+			kind: 'peer-refused', cause, place: connection.peerAddress, reason,
 		});
 		connection.socket.destroy();
 		// At once, so that the next connection is not refused for what this one held.
-		noteHeld(connection, 0);
+		updateBufferedBytes(connection, 0);
 	};
 
 	/** Reads what has arrived; counts what is held of frames that are not whole. */
@@ -214,15 +214,15 @@
 			handleFrame(connection, frame);
 		}
 
-		noteHeld(connection, reader.countHeldBytes());
-		if (heldBytes > mostHeldBytes) {
-			throw new FloodError(`more than ${mostHeldBytes} bytes of frames that are not whole`);
+		updateBufferedBytes(connection, reader.countHeldBytes());
+		if (bufferedBytes > maxBufferedBytes) {
+			throw new FloodError(`more than ${maxBufferedBytes} bytes of frames that are not whole`);
 		}
 	};
 
 	const server = createServer({noDelay: true}, socket => {
 		const connection: Connection = {
-			socket, place: `${socket.remoteAddress ?? ''}:${socket.remotePort ?? 0}`, incoming: new Map(), heldBytes: 0,
+			socket, peerAddress: `${socket.remoteAddress ?? ''}:${socket.remotePort ?? 0}`, requests: new Map(), bufferedBytes: 0,
 		};
 		const reader = createFrameReader();
 		connections.add(connection);
@@ -241,24 +241,24 @@
 			// What it means for the requests is told by the close that follows.
 		});
 		socket.once('close', () => {
-			noteHeld(connection, 0);
+			updateBufferedBytes(connection, 0);
 			connections.delete(connection);
-			endAll(connection);
+			cancelRequests(connection);
 		});
 	});
 
 	return {
 		server,
-		countUnsent: () => link.countWaiting() + countUnsent(Array.from(connections, ({socket}) => socket)),
+		countUnsent: () => link.countQueued() + countUnsent(Array.from(connections, ({socket}) => socket)),
 		async dispose() {
 			// A connection that is destroyed while something unread arrives on it is reset, and the system drops what had not been read there.
 			const closed = Promise.all(Array.from(connections, async ({socket}) => new Promise(resolve => {
 				socket.once('close', resolve);
 				socket.end();
 			})));
-			const timeOver = new AbortController();
-			await Promise.race([closed, waitFor(lastBytesMs, timeOver.signal)]);
-			timeOver.abort();
+			const timeout = new AbortController();
+			await Promise.race([closed, waitFor(closeTimeoutMs, timeout.signal)]);
+			timeout.abort();
 			for (const {socket} of connections) {
 				socket.destroy();
 			}
--- a/src/lib/forwarding/leaving-gate.test.ts
+++ b/src/lib/forwarding/leaving-gate.test.ts
@@ -62,7 +62,7 @@
 	};
 }
 
-const ask = (socket: Socket, id: number): void => {
+const sendRequest = (socket: Socket, id: number): void => {
 	writeFrame(socket, {
 		type: 'request', id, head: encodePeerRequest({
 			id: `c${id}`, server: toBackendServerId('i-1'), method: 'GET', target: '/', headers: {}, callerService: 'hall', rank: 1, mayWaitMs: 0, hasBody: false, leftMs: 20_000,
@@ -73,8 +73,8 @@
 test('answers that wait for a slow link are not cut because it is asked whether the connection works', async context => {
 	const {socket, refused, countAnswers} = await startGate(context, 20_000_000);
 	socket.pause();
-	ask(socket, 1);
-	ask(socket, 2);
+	sendRequest(socket, 1);
+	sendRequest(socket, 2);
 	await sleep(200);
 	writeFrame(socket, {type: 'ping', id: 0});
 	await sleep(100);
@@ -88,7 +88,7 @@
 	test(`an answer that counts as sent arrives although the gate goes, when ${what}`, async context => {
 		const {gate, socket, countAnswers, countBytes} = await startGate(context, 1_500_000);
 		socket.pause();
-		ask(socket, 1);
+		sendRequest(socket, 1);
 		await sleep(300);
 		context.diagnostic(`unsent ${gate.countUnsent()} when it goes`);
 		const wasLeft = gate.countUnsent() === 0;
--- a/src/lib/forwarding/link-pacer.test.ts
+++ b/src/lib/forwarding/link-pacer.test.ts
@@ -10,8 +10,8 @@
 		let sent = 0;
 		for (const bytes of smallBytes) {
 			now += pacer.computeWaitMs(now);
-			pacer.note(pacer.pieceBytes, now);
-			pacer.note(bytes, now);
+			pacer.record(pacer.pieceBytes, now);
+			pacer.record(bytes, now);
 			sent += pacer.pieceBytes + bytes;
 		}
 
@@ -24,10 +24,10 @@
 
 test('what was not handed over while the link was idle is not made up for later', () => {
 	const pacer = createLinkPacer(10);
-	pacer.note(pacer.pieceBytes, 0);
+	pacer.record(pacer.pieceBytes, 0);
 	assert.equal(pacer.computeWaitMs(60_000), 0);
 	for (let piece = 0; piece < 3; piece++) {
-		pacer.note(pacer.pieceBytes, 60_000);
+		pacer.record(pacer.pieceBytes, 60_000);
 	}
 
 	assert.ok(pacer.computeWaitMs(60_000) >= 35);
--- a/src/lib/forwarding/link-pacer.ts
+++ b/src/lib/forwarding/link-pacer.ts
@@ -12,13 +12,13 @@
 	/** Bytes that are handed over in one piece at the most. */
 	readonly pieceBytes: number;
 	/** Notes bytes that were handed over. Small ones are noted as well, and never wait. */
-	readonly note: (bytes: number, now: number) => void;
+	readonly record: (bytes: number, now: number) => void;
 	/** Milliseconds until the next piece may be handed over. */
 	readonly computeWaitMs: (now: number) => number;
 };
 
 /** What the link is handed ahead of time, in milliseconds of it: enough that it does not run dry between two turns of a busy process. */
-const aheadMs = 20;
+const burstMs = 20;
 
 /**
  * @param linkMbps - Megabits a second of the link; 0 if they are not known, so that nothing waits.
@@ -28,12 +28,12 @@
 export function createLinkPacer(linkMbps: number): LinkPacer {
 	const bytesPerMs = computeLinkPace(linkMbps);
 	/** When the link has carried all that was handed over, in steady milliseconds. */
-	let carriedAt = 0;
+	let drainedAt = 0;
 	return {
-		pieceBytes: Math.ceil(bytesPerMs * aheadMs),
-		note(bytes, now) {
-			carriedAt = Math.max(carriedAt, now) + (bytes / bytesPerMs);
+		pieceBytes: Math.ceil(bytesPerMs * burstMs),
+		record(bytes, now) {
+			drainedAt = Math.max(drainedAt, now) + (bytes / bytesPerMs);
 		},
-		computeWaitMs: now => Math.max(0, carriedAt - now - aheadMs),
+		computeWaitMs: now => Math.max(0, drainedAt - now - burstMs),
 	};
 }
--- a/src/lib/forwarding/link-writer.ts
+++ b/src/lib/forwarding/link-writer.ts
@@ -19,41 +19,41 @@
 	/** Writes a frame; one with a large body when the link has room. Frames of one connection never mix. Calls back once the connection has taken it. */
 	readonly write: (socket: Socket, frame: LinkFrame, handleWritten?: () => void) => void;
 	/** Writes a frame before all that wait for the link, whatever its size. */
-	readonly writeFirst: (socket: Socket, frame: LinkFrame) => void;
+	readonly writeUrgent: (socket: Socket, frame: LinkFrame) => void;
 	/** Nobody waits for a frame any more: one that has not begun to leave stays here. */
 	readonly cancel: (socket: Socket, id: number) => void;
 	/** Large frames that have not been handed to the system as a whole. */
-	readonly countWaiting: () => number;
+	readonly countQueued: () => number;
 	/** Bytes that wait here, for one connection or for all. */
-	readonly countHeldBytes: (socket?: Socket) => number;
+	readonly countQueuedBytes: (socket?: Socket) => number;
 	readonly dispose: () => void;
 };
 
 /** Bodies above this size take part. Bytes: on the slowest links of the users it takes twelve milliseconds, as long as a few small answers. */
-const largeBytes = 16_384;
+const largeBodyBytes = 16_384;
 
 /** How long the system may take for a piece before another frame goes on. Milliseconds. */
-const leastWaitMs = 5;
+const minWaitMs = 5;
 
 /** A large frame that waits, or is on its way. */
-type Sending = {
+type LargeFrame = {
 	readonly socket: Socket;
 	readonly frame: LinkFrame;
 	readonly handleWritten: (() => void) | undefined;
 	readonly body: Uint8Array;
 	/** Bytes of the body that were handed over. */
 	sentBytes: number;
-	hasBegun: boolean;
+	isStarted: boolean;
 	/** The system has not taken the last piece yet: whoever should read it does not. */
 	isBlocked: boolean;
 };
 
 /** A frame with whoever is told that it was taken. */
-type Written = readonly [frame: LinkFrame, handleWritten: (() => void) | undefined];
+type QueuedFrame = readonly [frame: LinkFrame, handleWritten: (() => void) | undefined];
 
 /** Frames that came while another one was leaving on the same connection. */
-type Line = {
-	readonly behind: Written[];
+type FrameQueue = {
+	readonly frames: QueuedFrame[];
 	bytes: number;
 };
 
@@ -65,42 +65,42 @@
 export function createLinkWriter(linkMbps: number): LinkWriter {
 	const pacer = createLinkPacer(linkMbps);
 	/** In the order in which they came. The first that is not blocked goes on, so that few are on their way at once. */
-	let sendings: Sending[] = [];
+	let largeFrames: LargeFrame[] = [];
 	/** Connections on which a large frame is on its way. */
-	const lines = new Map<Socket, Line>();
+	const queues = new Map<Socket, FrameQueue>();
 	let timer: NodeJS.Timeout | undefined;
 
 	const writeNow = (socket: Socket, frame: LinkFrame, handleWritten?: () => void): void => {
-		pacer.note(frame.body?.length ?? 0, readSteadyMs());
+		pacer.record(frame.body?.length ?? 0, readSteadyMs());
 		writeFrame(socket, frame, handleWritten);
 	};
 
-	const drop = (sending: Sending): void => {
-		sendings = sendings.filter(one => one !== sending);
+	const remove = (large: LargeFrame): void => {
+		largeFrames = largeFrames.filter(other => other !== large);
 	};
 
 	/** The connection is free again: what came meanwhile follows. */
-	const endLine = (socket: Socket): void => {
-		const line = lines.get(socket);
-		lines.delete(socket);
-		for (const [frame, handleWritten] of line?.behind ?? []) {
+	const flushQueue = (socket: Socket): void => {
+		const queue = queues.get(socket);
+		queues.delete(socket);
+		for (const [frame, handleWritten] of queue?.frames ?? []) {
 			writeNow(socket, frame, handleWritten);
 		}
 	};
 
-	const finish = (sending: Sending): void => {
-		drop(sending);
-		if (sending.hasBegun) {
-			endLine(sending.socket);
+	const finish = (large: LargeFrame): void => {
+		remove(large);
+		if (large.isStarted) {
+			flushQueue(large.socket);
 		}
 
-		sending.handleWritten?.();
+		large.handleWritten?.();
 	};
 
-	const startSending = (sending: Sending): void => {
-		const {socket, frame} = sending;
-		sending.hasBegun = true;
-		lines.set(socket, {behind: [], bytes: 0});
+	const startFrame = (large: LargeFrame): void => {
+		const {socket, frame} = large;
+		large.isStarted = true;
+		queues.set(socket, {frames: [], bytes: 0});
 		socket.cork();
 		socket.write(encodeFrameHead(frame));
 		process.nextTick(() => {
@@ -108,42 +108,42 @@
 		});
 	};
 
-	const writePiece = (sending: Sending): void => {
-		const {socket, body} = sending;
-		if (!sending.hasBegun) {
-			startSending(sending);
+	const writePiece = (large: LargeFrame): void => {
+		const {socket, body} = large;
+		if (!large.isStarted) {
+			startFrame(large);
 		}
 
-		const piece = body.subarray(sending.sentBytes, sending.sentBytes + pacer.pieceBytes);
-		sending.sentBytes += piece.length;
-		sending.isBlocked = true;
-		pacer.note(piece.length, readSteadyMs());
+		const piece = body.subarray(large.sentBytes, large.sentBytes + pacer.pieceBytes);
+		large.sentBytes += piece.length;
+		large.isBlocked = true;
+		pacer.record(piece.length, readSteadyMs());
 		socket.write(piece, () => {
-			sending.isBlocked = false;
-			if (sending.sentBytes >= body.length) {
-				finish(sending);
+			large.isBlocked = false;
+			if (large.sentBytes >= body.length) {
+				finish(large);
 			}
 
-			sendMore();
+			sendNext();
 		});
 	};
 
 	/** One large frame at a time on a connection; one whose connection has closed takes no room. */
-	const mayContinue = ({socket, hasBegun, isBlocked, sentBytes, body}: Sending): boolean =>
-		!isBlocked && sentBytes < body.length && (hasBegun || !lines.has(socket));
+	const mayContinue = ({socket, isStarted, isBlocked, sentBytes, body}: LargeFrame): boolean =>
+		!isBlocked && sentBytes < body.length && (isStarted || !queues.has(socket));
 
-	const dropClosed = (): void => {
-		for (const sending of sendings.filter(({socket}) => socket.destroyed)) {
-			drop(sending);
-			lines.delete(sending.socket);
+	const removeClosed = (): void => {
+		for (const large of largeFrames.filter(({socket}) => socket.destroyed)) {
+			remove(large);
+			queues.delete(large.socket);
 		}
 	};
 
-	const sendMore = (): void => {
+	const sendNext = (): void => {
 		clearTimeout(timer);
 		timer = undefined;
-		dropClosed();
-		const next = sendings.find(sending => mayContinue(sending));
+		removeClosed();
+		const next = largeFrames.find(large => mayContinue(large));
 		if (next === undefined) {
 			return;
 		}
@@ -154,50 +154,50 @@
 		}
 
 		// The system mostly takes a piece at once, and the same frame goes on; if it does not by then, another one does.
-		timer = setTimeout(sendMore, Math.max(waitMs, leastWaitMs));
+		timer = setTimeout(sendNext, Math.max(waitMs, minWaitMs));
 	};
 
-	const writeFirst = (socket: Socket, frame: LinkFrame, handleWritten?: () => void): void => {
-		const line = lines.get(socket);
-		if (line === undefined) {
+	const writeUrgent = (socket: Socket, frame: LinkFrame, handleWritten?: () => void): void => {
+		const queue = queues.get(socket);
+		if (queue === undefined) {
 			writeNow(socket, frame, handleWritten);
 			return;
 		}
 
-		line.behind.push([frame, handleWritten]);
-		line.bytes += frame.body?.length ?? 0;
+		queue.frames.push([frame, handleWritten]);
+		queue.bytes += frame.body?.length ?? 0;
 	};
 
 	return {
 		write(socket, frame, handleWritten) {
 			const {body} = frame;
-			if (body === undefined || body.length <= largeBytes) {
-				writeFirst(socket, frame, handleWritten);
+			if (body === undefined || body.length <= largeBodyBytes) {
+				writeUrgent(socket, frame, handleWritten);
 				return;
 			}
 
-			sendings.push({
-				socket, frame, handleWritten, body, sentBytes: 0, hasBegun: false, isBlocked: false,
+			largeFrames.push({
+				socket, frame, handleWritten, body, sentBytes: 0, isStarted: false, isBlocked: false,
 			});
 			if (timer === undefined) {
-				sendMore();
+				sendNext();
 			}
 		},
-		writeFirst,
+		writeUrgent,
 		cancel(socket, id) {
-			const waiting = sendings.find(sending => sending.socket === socket && sending.frame.id === id && !sending.hasBegun);
-			if (waiting !== undefined) {
-				drop(waiting);
+			const queued = largeFrames.find(large => large.socket === socket && large.frame.id === id && !large.isStarted);
+			if (queued !== undefined) {
+				remove(queued);
 			}
 		},
-		countWaiting: () => sendings.length,
-		countHeldBytes(socket) {
+		countQueued: () => largeFrames.length,
+		countQueuedBytes(socket) {
 			let sum = 0;
-			for (const sending of sendings) {
-				sum += socket === undefined || sending.socket === socket ? sending.body.length - sending.sentBytes : 0;
+			for (const large of largeFrames) {
+				sum += socket === undefined || large.socket === socket ? large.body.length - large.sentBytes : 0;
 			}
 
-			return sum + (socket === undefined ? 0 : lines.get(socket)?.bytes ?? 0);
+			return sum + (socket === undefined ? 0 : queues.get(socket)?.bytes ?? 0);
 		},
 		dispose() {
 			clearTimeout(timer);
--- a/src/lib/forwarding/local-gate.test.ts
+++ b/src/lib/forwarding/local-gate.test.ts
@@ -32,7 +32,7 @@
 	readonly announce: (changes?: Partial<ServerAnnouncement>) => void;
 	readonly createCall: (call: string) => GateCall;
 	/** Bytes of answers that wait for the link. */
-	heldBytes: number;
+	queuedBytes: number;
 };
 
 /** A gate before a server with one slot that answers when it is told to. */
@@ -51,14 +51,14 @@
 	const address = toAddress(`127.0.0.1:${(server.address() as AddressInfo).port}`);
 	const quarantine = createQuietQuarantine();
 	const gate = createLocalGate({
-		wire, log: silentLog, handleChange: () => undefined, getMaxConnections: () => 10, quarantine, isLeaving, linkMbps: 7, countHeldBytes: () => fixture.heldBytes,
+		wire, log: silentLog, handleChange: () => undefined, getMaxConnections: () => 10, quarantine, isLeaving, linkMbps: 7, countQueuedBytes: () => fixture.queuedBytes,
 	});
 	let sequence = 0;
 	const fixture: Fixture = {
 		gate,
 		quarantine,
 		arrived,
-		heldBytes: 0,
+		queuedBytes: 0,
 		cutAll() {
 			server.closeAllConnections();
 		},
@@ -76,7 +76,7 @@
 			context.after(scope.dispose);
 			return {
 				id: call, server: id, method: 'GET', target: '/logs/1', headers: {host: 'mesh.example'}, readBody: async () => undefined,
-				callerService: 'hall', rank: 1, mayWaitMs: 20_000, hasBody: false, isTransfer: false, scope,
+				callerService: 'hall', rank: 1, mayWaitMs: 20_000, hasBody: false, isLargeUpload: false, scope,
 			};
 		},
 	};
@@ -130,17 +130,17 @@
 
 test('a request whose large answer would wait longer for the link than it may is turned away at once, any other one runs', async context => {
 	const fixture = await createFixture(context);
-	fixture.heldBytes = 1_000_000;
+	fixture.queuedBytes = 1_000_000;
 	const {result} = await fixture.gate.run({...fixture.createCall('late'), answerMayWaitMs: 700});
 	assert.ok(result.type === 'failed');
 	assert.deepEqual([result.reason, result.verdict, result.hasArrived], ['full', 'not-run', false]);
-	assert.ok(result.retryAfterMs > 700 && result.retryAfterMs <= fixture.heldBytes / computeLinkPace(7), `${result.retryAfterMs} ms`);
+	assert.ok(result.retryAfterMs > 700 && result.retryAfterMs <= fixture.queuedBytes / computeLinkPace(7), `${result.retryAfterMs} ms`);
 	assert.deepEqual(fixture.arrived, []);
 	const small = fixture.gate.run(fixture.createCall('small'));
 	await waitForArrival(fixture);
 	fixture.answerNext();
 	await small;
-	fixture.heldBytes = 300_000;
+	fixture.queuedBytes = 300_000;
 	const patient = fixture.gate.run({...fixture.createCall('patient'), answerMayWaitMs: 700});
 	await expectSoon('it arrives', () => fixture.arrived.includes('patient'));
 	fixture.answerNext();
@@ -169,16 +169,16 @@
 });
 
 /** The mark of each call of a fixture: all ask for the same. */
-const mark = createSampleMark('/logs/1');
+const fingerprint = createSampleMark('/logs/1');
 
 test('a server that has started again before its end was read has crashed: what was in work there is suspected', async context => {
 	const fixture = await createFixture(context);
 	const sent = fixture.gate.run(fixture.createCall('first'));
 	await waitForArrival(fixture);
-	assert.equal(fixture.quarantine.judge(mark).type, 'free');
+	assert.equal(fixture.quarantine.judge(fingerprint).type, 'free');
 	fixture.announce({lifetime: later});
 	await sent;
-	assert.equal(fixture.quarantine.judge(mark).type, 'trial');
+	assert.equal(fixture.quarantine.judge(fingerprint).type, 'trial');
 });
 
 test('one of another id at the same address is there after a crash, one at another address is not', async context => {
@@ -189,14 +189,14 @@
 	sameAddress.announce({lifetime: other});
 	sameAddress.cutAll();
 	await sent;
-	assert.equal(sameAddress.quarantine.judge(mark).type, 'trial');
+	assert.equal(sameAddress.quarantine.judge(fingerprint).type, 'trial');
 	const moved = await createFixture(context);
 	const sentThere = moved.gate.run(moved.createCall('first'));
 	await waitForArrival(moved);
 	moved.announce({lifetime: other, address: toAddress('127.0.0.1:9')});
 	moved.cutAll();
 	await sentThere;
-	assert.equal(moved.quarantine.judge(mark).type, 'free');
+	assert.equal(moved.quarantine.judge(fingerprint).type, 'free');
 });
 
 /**
@@ -212,7 +212,7 @@
 		await waitForArrival(fixture);
 		left.scope.end('cancelled');
 		await sent;
-		assert.equal(fixture.quarantine.judge(mark).type, 'free');
+		assert.equal(fixture.quarantine.judge(fingerprint).type, 'free');
 		const other = fixture.gate.run({...fixture.createCall('other'), target: '/logs/other'});
 		if (isAlone) {
 			await expectSoon('the other one arrives', () => fixture.arrived.includes('other'));
@@ -225,7 +225,7 @@
 
 		fixture.announce({lifetime: later});
 		await other;
-		await expectSoon('it is suspected', () => fixture.quarantine.judge(mark).type === 'trial');
+		await expectSoon('it is suspected', () => fixture.quarantine.judge(fingerprint).type === 'trial');
 	}
 });
 
@@ -236,7 +236,7 @@
 	fixture.announce({isDraining: true});
 	fixture.announce({lifetime: later});
 	await sent;
-	assert.equal(fixture.quarantine.judge(mark).type, 'free');
+	assert.equal(fixture.quarantine.judge(fingerprint).type, 'free');
 });
 
 test('when a server starts again, who waits for a slot of the earlier start is told at once that it has not run', async context => {
@@ -302,7 +302,7 @@
 	announce({slots: 8});
 	const bodies: Array<(body: Uint8Array) => void> = [];
 	const createUpload = (name: string, mayWaitMs: number): GateCall => ({
-		...createCall(name), method: 'POST', hasBody: true, isTransfer: true, mayWaitMs, readBody: async () => new Promise(resolve => {
+		...createCall(name), method: 'POST', hasBody: true, isLargeUpload: true, mayWaitMs, readBody: async () => new Promise(resolve => {
 			bodies.push(resolve);
 		}),
 	});
@@ -330,13 +330,13 @@
 	const {gate, announce, createCall, arrived, answerNext} = await createFixture(context);
 	announce({slots: 8});
 	const fail = (name: string): GateCall => ({
-		...createCall(name), hasBody: true, isTransfer: true, async readBody() {
+		...createCall(name), hasBody: true, isLargeUpload: true, async readBody() {
 			throw new Error('cut');
 		},
 	});
 	await Promise.all(['f1', 'f2', 'f3', 'f4'].map(async name => gate.run(fail(name))));
 	const whole = gate.run({
-		...createCall('u1'), hasBody: true, isTransfer: true, mayWaitMs: 0,
+		...createCall('u1'), hasBody: true, isLargeUpload: true, mayWaitMs: 0,
 	});
 	await expectSoon('the upload arrives', () => arrived.length === 1);
 	answerNext();
@@ -360,7 +360,7 @@
 		server.listen(0, '127.0.0.1', resolve);
 	});
 	const gate = createLocalGate({
-		wire, log: silentLog, handleChange: () => undefined, getMaxConnections: () => 10, quarantine: createQuietQuarantine(), isLeaving: () => false, linkMbps: 7, countHeldBytes: () => 0,
+		wire, log: silentLog, handleChange: () => undefined, getMaxConnections: () => 10, quarantine: createQuietQuarantine(), isLeaving: () => false, linkMbps: 7, countQueuedBytes: () => 0,
 	});
 	context.after(() => {
 		gate.dispose();
@@ -376,7 +376,7 @@
 		context.after(scope.dispose);
 		const {result} = await gate.run({
 			id: call, server: id, method: 'GET', target: '/', headers: {host: 'mesh.example'}, readBody: async () => undefined,
-			callerService: 'hall', rank: 1, mayWaitMs: 1000, hasBody: false, isTransfer: false, scope,
+			callerService: 'hall', rank: 1, mayWaitMs: 1000, hasBody: false, isLargeUpload: false, scope,
 		});
 		return result.type;
 	};
@@ -434,7 +434,7 @@
 		server.listen(0, '127.0.0.1', resolve);
 	});
 	const gate = createLocalGate({
-		wire, log: silentLog, handleChange: () => undefined, getMaxConnections: () => 10, quarantine: createQuietQuarantine(), isLeaving: () => false, linkMbps: 7, countHeldBytes: () => 0,
+		wire, log: silentLog, handleChange: () => undefined, getMaxConnections: () => 10, quarantine: createQuietQuarantine(), isLeaving: () => false, linkMbps: 7, countQueuedBytes: () => 0,
 	});
 	context.after(() => {
 		gate.dispose();
@@ -450,7 +450,7 @@
 		const scope = createCallScope(performance.now() + 3000);
 		context.after(scope.dispose);
 		return {
-			id: call, server: id, method: 'GET', target: '/', headers: {}, readBody: async () => undefined, callerService: 'hall', rank: 1, mayWaitMs: 1000, hasBody: false, isTransfer: false, scope,
+			id: call, server: id, method: 'GET', target: '/', headers: {}, readBody: async () => undefined, callerService: 'hall', rank: 1, mayWaitMs: 1000, hasBody: false, isLargeUpload: false, scope,
 		};
 	};
 
--- a/src/lib/forwarding/local-gate.ts
+++ b/src/lib/forwarding/local-gate.ts
@@ -26,9 +26,9 @@
 	createNotRun, type ForwardFailure, type ForwardResult, type GateLoad, type GateResult,
 } from './forward-result.js';
 import {
-	countPlaces, createCallMark, doubtMs, openServerSession, type ServerSession, type ServerSessionContext, type SessionCall,
+	computeConcurrencyLimit, createCallFingerprint, unreachableBackoffMs, openServerSession, type ServerSession, type ServerSessionContext, type SessionCall,
 } from './server-session.js';
-import {createTransferLimit} from './transfer-limit.js';
+import {createUploadLimit} from './upload-limit.js';
 
 /** A request at the gate. @internal */
 export type GateCall = SessionCall & {
@@ -41,7 +41,7 @@
 	/** Whether it has a body, which is there once a slot is held. */
 	readonly hasBody: boolean;
 	/** Its body is large and comes from another VM. */
-	readonly isTransfer: boolean;
+	readonly isLargeUpload: boolean;
 	/** Milliseconds that its answer may be expected to wait for the link, if it is large and goes to another VM. */
 	readonly answerMayWaitMs?: number | undefined;
 };
@@ -59,7 +59,7 @@
 	/** Megabits a second of this VM's link. */
 	readonly linkMbps: number;
 	/** Bytes of answers that wait for the link. */
-	readonly countHeldBytes: () => number;
+	readonly countQueuedBytes: () => number;
 };
 
 /** @internal */
@@ -74,10 +74,10 @@
 };
 
 /** A server that has been silent for this many milliseconds is named in the log; it goes on being used while it answers. */
-const silentMs = 8000;
+const silenceWarningMs = 8000;
 
 /** A refusal leaves this long before the time is over, in milliseconds, so that it arrives as one. */
-const lastRefusalMs = 40;
+const refusalMarginMs = 40;
 
 /**
  * Creates the gate; it turns everything away until a server announces itself.
@@ -91,11 +91,11 @@
 	let state: LocalServerState = noLocalServer;
 	let session: ServerSession | undefined;
 	/** Whose session it is, also once the server was forgotten. */
-	let lastServer: LocalServer | undefined;
+	let sessionServer: LocalServer | undefined;
 	/** Sessions of servers of other ids that are at work still. */
-	let retired: readonly ServerSession[] = [];
-	const transfers = createTransferLimit(context.linkMbps);
-	const demand = createLinkDemand(context.linkMbps);
+	let retiredSessions: readonly ServerSession[] = [];
+	const uploadLimit = createUploadLimit(context.linkMbps);
+	const linkDemand = createLinkDemand(context.linkMbps);
 	let requests = 0;
 	let isSilent = false;
 
@@ -114,7 +114,7 @@
 	const closeSession = (closed: ServerSession, before: LocalServer, next: LocalServer): void => {
 		const hasSameId = before.announcement.lifetime.id === next.announcement.lifetime.id;
 		if (!before.isLeaving && (hasSameId || before.announcement.address === next.announcement.address)) {
-			closed.noteCrashed();
+			closed.recordCrash();
 		}
 
 		if (hasSameId) {
@@ -123,7 +123,7 @@
 		}
 
 		closed.retire();
-		retired = [...retired.filter(one => one.describe().running > 0), closed];
+		retiredSessions = [...retiredSessions.filter(retired => retired.describe().running > 0), closed];
 	};
 
 	const openSession = ({announcement}: LocalServer): ServerSession => {
@@ -137,19 +137,19 @@
 			maxConnections: context.getMaxConnections(service),
 			quarantine,
 			isLeaving: () => context.isLeaving() || (state.current?.isLeaving ?? false),
-			handleUnreachable(asked, reason) {
-				state = doubtServer(state, asked, readSteadyMs() + doubtMs);
-				log.record('warn', {kind: 'server-doubted', server: asked.id, reason});
+			handleUnreachable(contacted, reason) {
+				state = doubtServer(state, contacted, readSteadyMs() + unreachableBackoffMs);
+				log.record('warn', {kind: 'server-doubted', server: contacted.id, reason});
 				handleChange();
 			},
-			handleStranger(asked) {
-				state = forgetServer(state, asked, readSteadyMs());
+			handleMisdirected(contacted) {
+				state = forgetServer(state, contacted, readSteadyMs());
 				handleChange();
 			},
 		});
 	};
 
-	const apply = (step: ServerStep, how: string): void => {
+	const applyStep = (step: ServerStep, how: string): void => {
 		const before = state.current;
 		state = step.state;
 		const {current} = state;
@@ -159,14 +159,14 @@
 
 		isSilent = false;
 		if (before === undefined || !isSameLifetime(before.announcement.lifetime, current.announcement.lifetime)) {
-			if (session !== undefined && lastServer !== undefined) {
-				closeSession(session, lastServer, current);
+			if (session !== undefined && sessionServer !== undefined) {
+				closeSession(session, sessionServer, current);
 			}
 
 			session = openSession(current);
 		}
 
-		lastServer = current;
+		sessionServer = current;
 
 		if (step.news === 'draining') {
 			log.record('info', {kind: 'server-draining', server: current.announcement.lifetime.id, how});
@@ -193,7 +193,7 @@
 		}
 
 		if (current.doubtedUntil > readSteadyMs()) {
-			return createNotRun('server-unreachable', `${call.server} could not be reached a moment ago`, doubtMs);
+			return createNotRun('server-unreachable', `${call.server} could not be reached a moment ago`, unreachableBackoffMs);
 		}
 
 		return session;
@@ -208,11 +208,11 @@
 		return failure;
 	};
 
-	const describeWait = ({rank, mayWaitMs, scope}: GateCall): SlotRequest => ({
-		rank, mayWaitMs, lastAt: scope.endsAt - lastRefusalMs, listenForEnd: scope.subscribe,
+	const createSlotRequest = ({rank, mayWaitMs, scope}: GateCall): SlotRequest => ({
+		rank, mayWaitMs, lastAt: scope.endsAt - refusalMarginMs, listenForEnd: scope.subscribe,
 	});
 
-	const refuseWait = (call: GateCall, outcome: Exclude<SlotOutcome, {readonly type: 'run'}>, reason: string): ForwardFailure => {
+	const handleSlotRefusal = (call: GateCall, outcome: Exclude<SlotOutcome, {readonly type: 'run'}>, reason: string): ForwardFailure => {
 		switch (outcome.type) {
 			case 'full': {
 				return refuse(call, createNotRun('full', reason, outcome.retryAfterMs));
@@ -229,52 +229,52 @@
 	};
 
 	/** What may crash the server takes no slot, and no place among those that wait for one, before it may run. With a body that is known only once it is here. */
-	const admitTrial = async (call: GateCall): Promise<ForwardFailure | undefined> => {
+	const checkQuarantine = async (call: GateCall): Promise<ForwardFailure | undefined> => {
 		if (call.hasBody) {
 			return undefined;
 		}
 
-		const mark = createCallMark(call, undefined);
-		await quarantine.settle(mark);
-		const judgement = quarantine.judge(mark);
+		const fingerprint = createCallFingerprint(call, undefined);
+		await quarantine.settle(fingerprint);
+		const judgement = quarantine.judge(fingerprint);
 		return judgement.type === 'refused' ? refuse(call, createNotRun('quarantined', describeQuarantine(judgement), judgement.retryAfterMs)) : undefined;
 	};
 
 	/** Has a call wait for the link first if its body is large, so that no slot is held for bodies that wait. */
-	const admitTransfer = async (call: GateCall): Promise<ForwardResult> => {
+	const runLargeUpload = async (call: GateCall): Promise<ForwardResult> => {
 		const found = findSession(call);
 		if ('type' in found) {
 			return refuse(call, found);
 		}
 
-		const transfer = await transfers.acquire(describeWait(call));
-		if ('type' in transfer) {
-			return refuseWait(call, transfer, 'the link carries as many large bodies as it can');
+		const upload = await uploadLimit.acquire(createSlotRequest(call));
+		if ('type' in upload) {
+			return handleSlotRefusal(call, upload, 'the link carries as many large bodies as it can');
 		}
 
 		const readBody = async (): Promise<Uint8Array | undefined> => {
 			const body = await call.readBody();
-			transfer.end(true);
+			upload.end(true);
 			return body;
 		};
 
 		try {
 			return await admitAndRun({...call, readBody});
 		} finally {
-			transfer.end(false);
+			upload.end(false);
 		}
 	};
 
 	/** How long the answer to a call would wait for the link. A small one does not wait. */
-	const computeLinkWait = (at: ServerSession, {answerMayWaitMs}: GateCall): number =>
-		answerMayWaitMs === undefined ? 0 : demand.computeWaitMs(context.countHeldBytes(), at.describe().serviceMs);
+	const computeLinkWaitMs = (target: ServerSession, {answerMayWaitMs}: GateCall): number =>
+		answerMayWaitMs === undefined ? 0 : linkDemand.computeWaitMs(context.countQueuedBytes(), target.describe().serviceMs);
 
 	/** Counts the answer among those that the link has to carry. */
-	const runForLink = async (at: ServerSession, call: GateCall): Promise<ForwardResult> => {
-		const end = demand.begin();
+	const runWithLargeResponse = async (target: ServerSession, call: GateCall): Promise<ForwardResult> => {
+		const end = linkDemand.begin();
 		let bytes = 0;
 		try {
-			const result = await at.run(call);
+			const result = await target.run(call);
 			bytes = result.type === 'answered' ? result.body.length : 0;
 			return result;
 		} finally {
@@ -288,24 +288,24 @@
 			return refuse(call, found);
 		}
 
-		const linkWaitMs = computeLinkWait(found, call);
+		const linkWaitMs = computeLinkWaitMs(found, call);
 		if (linkWaitMs > (call.answerMayWaitMs ?? 0)) {
 			return refuse(call, createNotRun('full', 'the link carries as many large answers as it can in time', linkWaitMs));
 		}
 
-		const slot = await found.acquire(describeWait(call));
+		const slot = await found.acquire(createSlotRequest(call));
 		if (slot.type !== 'run') {
-			return refuseWait(call, slot, slot.type === 'full' ? slot.reason : '');
+			return handleSlotRefusal(call, slot, slot.type === 'full' ? slot.reason : '');
 		}
 
 		// The server may have begun to leave while the request waited. If it has started again, its earlier session runs nothing.
-		const still = findSession(call);
-		if ('type' in still) {
+		const current = findSession(call);
+		if ('type' in current) {
 			found.release();
-			return refuse(call, still);
+			return refuse(call, current);
 		}
 
-		return call.answerMayWaitMs === undefined ? found.run(call) : runForLink(found, call);
+		return call.answerMayWaitMs === undefined ? found.run(call) : runWithLargeResponse(found, call);
 	};
 
 	const getServerState = (server: LocalServer): ServerState => {
@@ -316,9 +316,9 @@
 		return server.doubtedUntil > readSteadyMs() ? 'down' : 'ready';
 	};
 
-	const noteSilence = ({announcement, heardAt}: LocalServer): void => {
+	const reportSilence = ({announcement, heardAt}: LocalServer): void => {
 		const heardMsAgo = readSteadyMs() - heardAt;
-		if (heardMsAgo > silentMs && !isSilent) {
+		if (heardMsAgo > silenceWarningMs && !isSilent) {
 			isSilent = true;
 			log.record('warn', {kind: 'server-silent', server: announcement.lifetime.id, heardMsAgo: Math.round(heardMsAgo)});
 		}
@@ -329,15 +329,15 @@
 			const arrivedAt = readSteadyMs();
 			requests++;
 			try {
-				const refusal = quarantine.countSuspects() === 0 ? undefined : await admitTrial(call);
-				const result = refusal ?? await (call.isTransfer ? admitTransfer(call) : admitAndRun(call));
+				const refusal = quarantine.countSuspects() === 0 ? undefined : await checkQuarantine(call);
+				const result = refusal ?? await (call.isLargeUpload ? runLargeUpload(call) : admitAndRun(call));
 				return {result, load: getLoad(arrivedAt)};
 			} finally {
 				requests--;
 			}
 		},
 		announce(announcement) {
-			apply(acceptAnnouncement(state, announcement, readSteadyMs()), 'it said that it drains');
+			applyStep(acceptAnnouncement(state, announcement, readSteadyMs()), 'it said that it drains');
 		},
 		leave(leave) {
 			const now = readSteadyMs();
@@ -345,7 +345,7 @@
 				return err({cause: 'start', text: `start: found nothing, must be which start of ${leave.id} leaves, since it started again a moment ago`});
 			}
 
-			apply(acceptLeave(state, leave, now), 'it said that it leaves');
+			applyStep(acceptLeave(state, leave, now), 'it said that it leaves');
 			return ok(undefined);
 		},
 		describe() {
@@ -354,12 +354,12 @@
 				return undefined;
 			}
 
-			noteSilence(current);
+			reportSilence(current);
 			const {announcement, heardAt} = current;
 			return {
 				lifetime: announcement.lifetime,
 				service: announcement.service,
-				slots: countPlaces(announcement.slots),
+				slots: computeConcurrencyLimit(announcement.slots),
 				state: getServerState(current),
 				coldMs: Math.max(0, announcement.coldMs - (readSteadyMs() - heardAt)),
 				...session.describe(),
@@ -367,8 +367,8 @@
 		},
 		countRequests: () => requests,
 		dispose() {
-			for (const one of retired) {
-				one.end();
+			for (const retired of retiredSessions) {
+				retired.end();
 			}
 
 			session?.end();
--- a/src/lib/forwarding/peer-messages.ts
+++ b/src/lib/forwarding/peer-messages.ts
@@ -10,7 +10,7 @@
 } from '../common/read-input.js';
 import {parseVerdict, type Verdict} from '../common/verdict.js';
 import {
-	createMayHaveRun, parseForwardReason, type ForwardAnswer, type ForwardFailure, type GateLoad, type GateResult,
+	createMayHaveRun, parseForwardReason, type ForwardResponse, type ForwardFailure, type GateLoad, type GateResult,
 } from './forward-result.js';
 import {readHeaders, type PassedHeaders} from './read-headers.js';
 
@@ -126,7 +126,7 @@
 }
 
 /** An answer of a backend server; `undefined` if the head is that of none, or could not be written to a caller as it is. */
-function decodeAnswered([status, headers]: readonly unknown[], body: Uint8Array): ForwardAnswer | undefined {
+function decodeAnswered([status, headers]: readonly unknown[], body: Uint8Array): ForwardResponse | undefined {
 	if (!Number.isInteger(status) || (status as number) < leastStatus || (status as number) > mostStatus) {
 		return undefined;
 	}
--- a/src/lib/forwarding/read-body.test.ts
+++ b/src/lib/forwarding/read-body.test.ts
@@ -16,9 +16,9 @@
 	request.write('12345');
 	request.end('678');
 	assert.equal(String(await reading), '12345678');
-	assert.equal(budget.take(3), false);
+	assert.equal(budget.tryAcquire(3), false);
 	budget.release(8);
-	assert.equal(budget.take(10), true);
+	assert.equal(budget.tryAcquire(10), true);
 });
 
 test('a body for which there is no room, one that is too large, and one that ends early give back what they took', async () => {
@@ -40,7 +40,7 @@
 		cut.destroy();
 	});
 	await assert.rejects(readingCut, /closed within the body/);
-	assert.equal(budget.take(10), true);
+	assert.equal(budget.tryAcquire(10), true);
 });
 
 test('a body that has not come when nobody waits any more gives back what it took', async () => {
@@ -55,8 +55,8 @@
 	await new Promise(resolve => {
 		setImmediate(resolve);
 	});
-	assert.equal(budget.take(6), false);
+	assert.equal(budget.tryAcquire(6), false);
 	end();
 	await assert.rejects(reading, BodyTooLateError);
-	assert.equal(budget.take(10), true);
+	assert.equal(budget.tryAcquire(10), true);
 });
--- a/src/lib/forwarding/read-body.ts
+++ b/src/lib/forwarding/read-body.ts
@@ -5,7 +5,7 @@
  */
 import {Buffer} from 'node:buffer';
 import {type IncomingMessage} from 'node:http';
-import {boundlessBudget, type ByteBudget} from './byte-budget.js';
+import {unlimitedBudget, type ByteBudget} from './byte-budget.js';
 
 /** The body is larger than allowed. @internal */
 export class BodyTooLargeError extends Error {}
@@ -38,7 +38,7 @@
 export async function readBody(
 	request: IncomingMessage,
 	maxBytes: number,
-	budget: ByteBudget = boundlessBudget,
+	budget: ByteBudget = unlimitedBudget,
 	listenForEnd: (handleEnd: () => void) => () => void = () => () => undefined,
 ): Promise<Uint8Array> {
 	return new Promise((resolve, reject) => {
@@ -63,7 +63,7 @@
 			}
 
 			const isTooLarge = size + chunk.length > maxBytes;
-			if (isTooLarge || !budget.take(chunk.length)) {
+			if (isTooLarge || !budget.tryAcquire(chunk.length)) {
 				isOver = true;
 				fail(isTooLarge ? new BodyTooLargeError(`the body is larger than ${maxBytes} bytes`) : new NoRoomForBodyError('other bodies hold the memory that this one needs'));
 				return;
--- a/src/lib/forwarding/answer-format-error.ts
+++ b/src/lib/forwarding/response-format-error.ts
@@ -5,4 +5,4 @@
  */
 
 /** Bytes that are no answer. @internal */
-export class AnswerFormatError extends Error {}
+export class ResponseFormatError extends Error {}
--- a/src/lib/forwarding/answer-reader.test.ts
+++ b/src/lib/forwarding/response-parser.test.ts
@@ -2,23 +2,23 @@
 import {Buffer} from 'node:buffer';
 import test from 'node:test';
 import fc from 'fast-check';
-import {AnswerFormatError} from './answer-format-error.js';
-import {createAnswerReader, type WholeAnswer} from './answer-reader.js';
+import {ResponseFormatError} from './response-format-error.js';
+import {createResponseParser, type CompleteResponse} from './response-parser.js';
 
 /** Feeds an answer in pieces that end at some places. */
-function readInPieces(bytes: Uint8Array, cuts: readonly number[], method = 'GET'): {readonly answer: WholeAnswer | undefined; readonly reader: ReturnType<typeof createAnswerReader>} {
-	const reader = createAnswerReader(method);
+function readInPieces(bytes: Uint8Array, cuts: readonly number[], method = 'GET'): {readonly response: CompleteResponse | undefined; readonly parser: ReturnType<typeof createResponseParser>} {
+	const parser = createResponseParser(method);
 	const ends = [...new Set([...cuts.map(cut => cut % (bytes.length + 1)), bytes.length])].toSorted((left, right) => left - right);
-	let answer: WholeAnswer | undefined;
+	let response: CompleteResponse | undefined;
 	let start = 0;
 	for (const end of ends) {
 		if (end > start) {
-			answer = reader.read(bytes.subarray(start, end)) ?? answer;
+			response = parser.read(bytes.subarray(start, end)) ?? response;
 			start = end;
 		}
 	}
 
-	return {answer, reader};
+	return {response, parser};
 }
 
 const readText = (text: string, method = 'GET') => readInPieces(Buffer.from(text, 'latin1'), [], method);
@@ -29,12 +29,12 @@
 test('property: an answer with a length is the same in whatever pieces it comes', () => {
 	fc.assert(fc.property(body, cuts, (bytes, places) => {
 		const head = Buffer.from(`HTTP/1.1 200 OK\r\nX-Name: a\r\nContent-Length: ${bytes.length}\r\n\r\n`);
-		const {answer, reader} = readInPieces(Buffer.concat([head, bytes]), places);
-		assert.equal(answer?.status, 200);
-		assert.equal(answer.headers['x-name'], 'a');
-		assert.equal(answer.isKept, true);
-		assert.deepEqual(Buffer.from(answer.body), Buffer.from(bytes));
-		assert.equal(reader.hasExtra(), false);
+		const {response, parser} = readInPieces(Buffer.concat([head, bytes]), places);
+		assert.equal(response?.status, 200);
+		assert.equal(response.headers['x-name'], 'a');
+		assert.equal(response.isReusable, true);
+		assert.deepEqual(Buffer.from(response.body), Buffer.from(bytes));
+		assert.equal(parser.hasExcessBytes(), false);
 	}));
 });
 
@@ -42,9 +42,9 @@
 	fc.assert(fc.property(fc.array(fc.uint8Array({minLength: 1, maxLength: 40}), {maxLength: 6}), cuts, fc.boolean(), (parts, places, hasTrailer) => {
 		const chunks = parts.map(part => Buffer.concat([Buffer.from(`${part.length.toString(16)};name=value\r\n`), part, Buffer.from('\r\n')]));
 		const bytes = Buffer.concat([Buffer.from('HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n'), ...chunks, Buffer.from(`0\r\n${hasTrailer ? 'x: y\r\n' : ''}\r\n`)]);
-		const {answer, reader} = readInPieces(bytes, places);
-		assert.deepEqual(Buffer.from(answer!.body), Buffer.concat(parts));
-		assert.equal(reader.hasExtra(), false);
+		const {response, parser} = readInPieces(bytes, places);
+		assert.deepEqual(Buffer.from(response!.body), Buffer.concat(parts));
+		assert.equal(parser.hasExcessBytes(), false);
 	}));
 });
 
@@ -52,9 +52,9 @@
 	fc.assert(fc.property(fc.uint8Array({minLength: 1, maxLength: 60}), fc.nat(), fc.boolean(), (bytes, place, isChunked) => {
 		const text = isChunked ? `Transfer-Encoding: chunked\r\n\r\n${bytes.length.toString(16)}\r\n` : `Content-Length: ${bytes.length}\r\n\r\n`;
 		const whole = Buffer.concat([Buffer.from(`HTTP/1.1 200 OK\r\n${text}`), bytes, Buffer.from(isChunked ? '\r\n0\r\n\r\n' : '')]);
-		const {answer, reader} = readInPieces(whole.subarray(0, place % whole.length), []);
-		assert.equal(answer, undefined);
-		assert.equal(reader.end(), undefined);
+		const {response, parser} = readInPieces(whole.subarray(0, place % whole.length), []);
+		assert.equal(response, undefined);
+		assert.equal(parser.end(), undefined);
 	}));
 });
 
@@ -63,56 +63,56 @@
 		try {
 			readInPieces(bytes, places);
 		} catch (error) {
-			assert.ok(error instanceof AnswerFormatError);
+			assert.ok(error instanceof ResponseFormatError);
 		}
 	}));
 });
 
 test('bytes behind a whole answer belong to no request', () => {
-	const {answer, reader} = readText('HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nokHTTP/1.1 200 OK\r\n');
-	assert.equal(Buffer.from(answer!.body).toString(), 'ok');
-	assert.equal(reader.hasExtra(), true);
+	const {response, parser} = readText('HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nokHTTP/1.1 200 OK\r\n');
+	assert.equal(Buffer.from(response!.body).toString(), 'ok');
+	assert.equal(parser.hasExcessBytes(), true);
 });
 
 test('only the end of the connection ends an answer without a length, and the connection is not kept', () => {
-	const {answer, reader} = readText('HTTP/1.1 200 OK\r\nX: y\r\n\r\nsome');
-	assert.equal(answer, undefined);
-	assert.equal(reader.isUnframed(), true);
-	const whole = reader.end();
+	const {response, parser} = readText('HTTP/1.1 200 OK\r\nX: y\r\n\r\nsome');
+	assert.equal(response, undefined);
+	assert.equal(parser.isCloseDelimited(), true);
+	const whole = parser.end();
 	assert.equal(Buffer.from(whole!.body).toString(), 'some');
-	assert.equal(whole!.isKept, false);
+	assert.equal(whole!.isReusable, false);
 });
 
 test('answers without a body need no length', () => {
-	assert.equal(readText('HTTP/1.1 204 No Content\r\n\r\n').answer?.status, 204);
-	assert.equal(readText('HTTP/1.1 304 Not Modified\r\nContent-Length: 9\r\n\r\n').answer?.body.length, 0);
-	assert.equal(readText('HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\n', 'HEAD').answer?.body.length, 0);
+	assert.equal(readText('HTTP/1.1 204 No Content\r\n\r\n').response?.status, 204);
+	assert.equal(readText('HTTP/1.1 304 Not Modified\r\nContent-Length: 9\r\n\r\n').response?.body.length, 0);
+	assert.equal(readText('HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\n', 'HEAD').response?.body.length, 0);
 });
 
 test('what comes before the answer proper is passed over', () => {
-	const {answer} = readText('HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 103 Early Hints\r\nLink: x\r\n\r\nHTTP/1.1 201 Created\r\nContent-Length: 0\r\n\r\n');
-	assert.equal(answer?.status, 201);
-	assert.equal(answer.headers.link, undefined);
+	const {response} = readText('HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 103 Early Hints\r\nLink: x\r\n\r\nHTTP/1.1 201 Created\r\nContent-Length: 0\r\n\r\n');
+	assert.equal(response?.status, 201);
+	assert.equal(response.headers.link, undefined);
 });
 
 test('a connection is kept as the answer says', () => {
-	const isKept = (line: string, fields: string): boolean | undefined => readText(`${line}\r\n${fields}Content-Length: 0\r\n\r\n`).answer?.isKept;
-	assert.equal(isKept('HTTP/1.1 200 OK', ''), true);
-	assert.equal(isKept('HTTP/1.1 200 OK', 'Connection: Close\r\n'), false);
-	assert.equal(isKept('HTTP/1.0 200 OK', ''), false);
-	assert.equal(isKept('HTTP/1.0 200 OK', 'Connection: keep-alive\r\n'), true);
+	const isReusable = (line: string, fields: string): boolean | undefined => readText(`${line}\r\n${fields}Content-Length: 0\r\n\r\n`).response?.isReusable;
+	assert.equal(isReusable('HTTP/1.1 200 OK', ''), true);
+	assert.equal(isReusable('HTTP/1.1 200 OK', 'Connection: Close\r\n'), false);
+	assert.equal(isReusable('HTTP/1.0 200 OK', ''), false);
+	assert.equal(isReusable('HTTP/1.0 200 OK', 'Connection: keep-alive\r\n'), true);
 });
 
 test('a field that comes twice is joined, but for those that cannot be', () => {
-	const {answer} = readText('HTTP/1.1 200 OK\r\nVia: a\r\nVia: b\r\nSet-Cookie: c\r\nSet-Cookie: d\r\nContent-Length: 0\r\n\r\n');
-	assert.equal(answer?.headers.via, 'a, b');
-	assert.deepEqual(answer?.headers['set-cookie'], ['c', 'd']);
+	const {response} = readText('HTTP/1.1 200 OK\r\nVia: a\r\nVia: b\r\nSet-Cookie: c\r\nSet-Cookie: d\r\nContent-Length: 0\r\n\r\n');
+	assert.equal(response?.headers.via, 'a, b');
+	assert.deepEqual(response?.headers['set-cookie'], ['c', 'd']);
 });
 
 test('a field that is called like a part of every object is one like any other', () => {
-	const {answer} = readText('HTTP/1.1 200 OK\r\nConstructor: a\r\n__proto__: b\r\nContent-Length: 0\r\n\r\n');
-	assert.equal(answer?.headers.constructor, 'a');
-	assert.equal(Object.getPrototypeOf(answer?.headers), Object.prototype);
+	const {response} = readText('HTTP/1.1 200 OK\r\nConstructor: a\r\n__proto__: b\r\nContent-Length: 0\r\n\r\n');
+	assert.equal(response?.headers.constructor, 'a');
+	assert.equal(Object.getPrototypeOf(response?.headers), Object.prototype);
 });
 
 for (const [name, text] of [
@@ -130,7 +130,7 @@
 	['a head that does not end', `HTTP/1.1 200 OK\r\nX: ${'y'.repeat(20_000)}`],
 ] as const) {
 	test(`an answer with ${name} is refused`, () => {
-		assert.throws(() => readText(text), AnswerFormatError);
+		assert.throws(() => readText(text), ResponseFormatError);
 	});
 }
 
@@ -140,11 +140,11 @@
 		['HTTP/1.1 200 OK\r\n\r\n', megabyte],
 		['HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n', Buffer.concat([Buffer.from('100000\r\n'), megabyte, Buffer.from('\r\n')])],
 	] as const) {
-		const reader = createAnswerReader('GET');
-		reader.read(Buffer.from(head));
+		const parser = createResponseParser('GET');
+		parser.read(Buffer.from(head));
 		assert.throws(() => {
 			for (let sent = 0; sent < 200; sent++) {
-				reader.read(piece);
+				parser.read(piece);
 			}
 		}, /an answer of more than/);
 	}
--- a/src/lib/forwarding/running-attempts.ts
+++ b/src/lib/forwarding/running-attempts.ts
@@ -51,7 +51,7 @@
 	};
 	return target.isLocal
 		? context.localGate.run({
-			...common, hasBody: call.body !== undefined, isTransfer: false, readBody: async () => call.body,
+			...common, hasBody: call.body !== undefined, isLargeUpload: false, readBody: async () => call.body,
 		})
 		: context.gateClient.send({
 			...common, answerMayWaitMs, gate: target.gate, body: call.body, isBulk: isBulk(call.route.type), handleDoubt,
--- a/src/lib/forwarding/server-connections.test.ts
+++ b/src/lib/forwarding/server-connection-pool.test.ts
@@ -7,18 +7,18 @@
 import {toAddress} from '../common/ids.js';
 import {createCallScope} from './call-scope.js';
 import {encodeRequestHead, runExchange, type ExchangeResult} from './exchange.js';
-import {createServerConnections, type ServerConnections} from './server-connections.js';
+import {createServerConnectionPool, type ServerConnectionPool} from './server-connection-pool.js';
 
 type Fixture = {
 	readonly server: Server;
 	/** Connections that the server has accepted. */
 	readonly sockets: readonly Socket[];
-	readonly connections: ServerConnections;
+	readonly pool: ServerConnectionPool;
 	readonly get: (target: string) => Promise<ExchangeResult>;
 };
 
 /** A server that says the same on each request, whatever it is. */
-async function startRawServer(context: TestContext, text: string): Promise<{readonly sockets: readonly Socket[]; readonly connections: ServerConnections}> {
+async function startRawServer(context: TestContext, text: string): Promise<{readonly sockets: readonly Socket[]; readonly pool: ServerConnectionPool}> {
 	const sockets: Socket[] = [];
 	const server = createRawServer(socket => {
 		sockets.push(socket);
@@ -30,20 +30,20 @@
 	await new Promise<void>(resolve => {
 		server.listen(0, '127.0.0.1', resolve);
 	});
-	const connections = createServerConnections({
-		address: toAddress(`127.0.0.1:${(server.address() as AddressInfo).port}`), maxConnections: 8, idleMs: 4000, connectMs: 400,
+	const pool = createServerConnectionPool({
+		address: toAddress(`127.0.0.1:${(server.address() as AddressInfo).port}`), maxConnections: 8, idleMs: 4000, connectTimeoutMs: 400,
 	});
 	context.after(() => {
-		connections.dispose();
+		pool.dispose();
 		server.close();
 	});
-	return {sockets, connections};
+	return {sockets, pool};
 }
 
-async function sendOver(connections: ServerConnections, target: string): Promise<ExchangeResult> {
+async function sendOver(pool: ServerConnectionPool, target: string): Promise<ExchangeResult> {
 	const scope = createCallScope(readSteadyMs() + 2000);
 	const result = await runExchange({
-		connections, id: target, method: 'GET', target, headers: {host: 'h'}, body: undefined, scope, isOwnAnswer: () => true, readCallId: () => undefined,
+		pool, id: target, method: 'GET', target, headers: {host: 'h'}, body: undefined, scope, isOwnResponse: () => true, readCallId: () => undefined,
 	});
 	scope.dispose();
 	return result;
@@ -63,17 +63,17 @@
 	await new Promise<void>(resolve => {
 		server.listen(0, '127.0.0.1', resolve);
 	});
-	const connections = createServerConnections({
-		address: toAddress(`127.0.0.1:${(server.address() as AddressInfo).port}`), maxConnections: 8, idleMs: 4000, connectMs: 400, ...limits,
+	const pool = createServerConnectionPool({
+		address: toAddress(`127.0.0.1:${(server.address() as AddressInfo).port}`), maxConnections: 8, idleMs: 4000, connectTimeoutMs: 400, ...limits,
 	});
 	context.after(() => {
-		connections.dispose();
+		pool.dispose();
 		server.closeAllConnections();
 		server.close();
 	});
 	return {
-		server, sockets, connections,
-		get: async target => sendOver(connections, target),
+		server, sockets, pool,
+		get: async target => sendOver(pool, target),
 	};
 }
 
@@ -108,9 +108,9 @@
 });
 
 test('a connection on which more came than the answer is not used again', async context => {
-	const {sockets, connections} = await startRawServer(context, 'HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nokHTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nother');
-	assert.equal(readBody(await sendOver(connections, '/a')), 'ok');
-	assert.equal(readBody(await sendOver(connections, '/b')), 'ok');
+	const {sockets, pool} = await startRawServer(context, 'HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nokHTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nother');
+	assert.equal(readBody(await sendOver(pool, '/a')), 'ok');
+	assert.equal(readBody(await sendOver(pool, '/b')), 'ok');
 	assert.equal(sockets.length, 2);
 });
 
@@ -124,10 +124,10 @@
 });
 
 test('after a renewal new connections are made, and what is under way on the old ones is answered', async context => {
-	const {sockets, connections, get} = await startFixture(context);
+	const {sockets, pool, get} = await startFixture(context);
 	const before = get('/a');
 	await expectSoon('it is connected', () => sockets.length === 1);
-	connections.renew();
+	pool.renew();
 	const after = get('/b');
 	assert.equal(readBody(await before), '/a');
 	assert.equal(readBody(await after), '/b');
--- a/src/lib/forwarding/server-connections.ts
+++ b/src/lib/forwarding/server-connection-pool.ts
@@ -10,7 +10,7 @@
 import {type Address} from '../common/ids.js';
 
 /** Told of what happens on a connection while a request is under way there. @internal */
-export type ConnectionUser = {
+export type ConnectionListener = {
 	readonly handleBytes: (bytes: Uint8Array) => void;
 	/** The other side will send nothing more. */
 	readonly handleEnd: () => void;
@@ -19,26 +19,26 @@
 };
 
 /** A request that a connection carried. @internal */
-export type CarriedCall = {readonly id: string; readonly method: string};
+export type AssignedCall = {readonly id: string; readonly method: string};
 
 /** A connection that one request has for itself. @internal */
 export type ServerConnection = {
 	readonly isConnected: () => boolean;
 	/** Notes which request it carries now; yields the one before, which a server may answer a second time. */
-	readonly begin: (call: CarriedCall) => CarriedCall | undefined;
+	readonly startCall: (call: AssignedCall) => AssignedCall | undefined;
 	/** Writes the head of a request, and its body. */
 	readonly write: (head: string, body: Uint8Array | undefined) => void;
-	/** Writes an empty line, which no server takes for a request; yields whether the other side has closed in order. */
-	readonly probeEnd: (handleProbed: (isOrderly: boolean) => void) => void;
+	/** Writes an empty connection, which no server takes for a request; yields whether the other side has closed in order. */
+	readonly checkOrderlyEnd: (handleResult: (isOrderly: boolean) => void) => void;
 	/** Gives it back for the next request, which must come within so many milliseconds. */
 	readonly release: (idleMs: number) => void;
 	readonly destroy: () => void;
 };
 
 /** @internal */
-export type ServerConnections = {
+export type ServerConnectionPool = {
 	/** Takes an idle connection, or opens one; waits while as many are open as may be. */
-	readonly take: (user: ConnectionUser) => Promise<ServerConnection>;
+	readonly acquire: (listener: ConnectionListener) => Promise<ServerConnection>;
 	/** From here on requests get new connections. What is under way on the old ones may still be answered. */
 	readonly renew: () => void;
 	/** Closes all of them; no other one is opened. */
@@ -46,26 +46,26 @@
 };
 
 /** @internal */
-export type ServerConnectionsOptions = {
+export type ServerConnectionPoolOptions = {
 	readonly address: Address;
 	readonly maxConnections: number;
 	/** Idle connections older than this are not used any more, in milliseconds. */
 	readonly idleMs: number;
 	/** Milliseconds until a new connection must be up. */
-	readonly connectMs: number;
+	readonly connectTimeoutMs: number;
 };
 
 /** An open connection. */
-type Line = {
+type PooledConnection = {
 	readonly socket: Socket;
-	user: ConnectionUser | undefined;
+	listener: ConnectionListener | undefined;
 	isConnected: boolean;
 	/** It is closed after the request that it carries. */
 	isRetired: boolean;
 	/** Until when it may be used again, in steady milliseconds. */
-	idleUntil: number;
-	failure: string;
-	call: CarriedCall | undefined;
+	reusableUntil: number;
+	closeReason: string;
+	call: AssignedCall | undefined;
 };
 
 /**
@@ -73,79 +73,79 @@
  * @returns Connections, none open yet.
  * @internal
  */
-export function createServerConnections(options: ServerConnectionsOptions): ServerConnections {
+export function createServerConnectionPool(options: ServerConnectionPoolOptions): ServerConnectionPool {
 	const {host, port} = parseAddress(options.address);
-	const lines = new Set<Line>();
-	const idle: Line[] = [];
+	const connections = new Set<PooledConnection>();
+	const idle: PooledConnection[] = [];
 	const waiting: Array<() => void> = [];
 	let isDisposed = false;
 
-	const handleClosed = (line: Line): void => {
-		lines.delete(line);
-		const place = idle.indexOf(line);
-		if (place !== -1) {
-			idle.splice(place, 1);
+	const handleClosed = (connection: PooledConnection): void => {
+		connections.delete(connection);
+		const index = idle.indexOf(connection);
+		if (index !== -1) {
+			idle.splice(index, 1);
 		}
 
-		const {user} = line;
-		line.user = undefined;
-		user?.handleClosed(line.failure);
+		const {listener} = connection;
+		connection.listener = undefined;
+		listener?.handleClosed(connection.closeReason);
 		waiting.shift()?.();
 	};
 
-	const open = (user: ConnectionUser): Line => {
+	const open = (listener: ConnectionListener): PooledConnection => {
 		// A half that the server has closed stays open here, so that an orderly end can be told from a reset.
 		const socket = connect({
 			host, port, noDelay: true, allowHalfOpen: true,
 		});
-		const line: Line = {
-			socket, user, isConnected: false, isRetired: false, idleUntil: 0, failure: 'the server closed the connection', call: undefined,
+		const connection: PooledConnection = {
+			socket, listener, isConnected: false, isRetired: false, reusableUntil: 0, closeReason: 'the server closed the connection', call: undefined,
 		};
-		lines.add(line);
+		connections.add(connection);
 		const timer = setTimeout(() => {
-			line.failure = `no connection within ${options.connectMs} ms`;
+			connection.closeReason = `no connection within ${options.connectTimeoutMs} ms`;
 			socket.destroy();
-		}, options.connectMs);
+		}, options.connectTimeoutMs);
 		socket.once('connect', () => {
 			clearTimeout(timer);
-			line.isConnected = true;
+			connection.isConnected = true;
 		});
 		socket.on('data', (bytes: Uint8Array) => {
-			if (line.user === undefined) {
+			if (connection.listener === undefined) {
 				// Nobody has asked for anything: it belongs to no request.
 				socket.destroy();
 				return;
 			}
 
-			line.user.handleBytes(bytes);
+			connection.listener.handleBytes(bytes);
 		});
 		socket.once('end', () => {
-			if (line.user === undefined) {
+			if (connection.listener === undefined) {
 				socket.destroy();
 				return;
 			}
 
-			line.user.handleEnd();
+			connection.listener.handleEnd();
 		});
 		socket.on('error', error => {
-			line.failure = error.message;
+			connection.closeReason = error.message;
 		});
 		socket.once('close', () => {
 			clearTimeout(timer);
-			handleClosed(line);
+			handleClosed(connection);
 		});
-		return line;
+		return connection;
 	};
 
-	const giveOut = (line: Line): ServerConnection => ({
-		isConnected: () => line.isConnected,
-		begin(call) {
-			const before = line.call;
-			line.call = call;
-			return before;
+	const createHandle = (connection: PooledConnection): ServerConnection => ({
+		isConnected: () => connection.isConnected,
+		startCall(call) {
+			const previous = connection.call;
+			connection.call = call;
+			return previous;
 		},
 		write(head, body) {
-			const {socket} = line;
+			const {socket} = connection;
 			if (body === undefined || body.length === 0) {
 				socket.write(head, 'latin1');
 				return;
@@ -156,56 +156,56 @@
 			socket.write(body);
 			socket.uncork();
 		},
-		probeEnd(handleProbed) {
-			line.socket.write('\r\n', error => {
-				handleProbed(error === null || error === undefined);
+		checkOrderlyEnd(handleResult) {
+			connection.socket.write('\r\n', error => {
+				handleResult(error === null || error === undefined);
 			});
 		},
 		release(idleMs) {
-			line.user = undefined;
-			const {socket} = line;
+			connection.listener = undefined;
+			const {socket} = connection;
 			const keepMs = Math.min(options.idleMs, idleMs);
 			// What is left to write belongs to a request that has its answer: the next one would come behind it.
-			if (line.isRetired || keepMs <= 0 || socket.writableLength > 0 || socket.destroyed) {
+			if (connection.isRetired || keepMs <= 0 || socket.writableLength > 0 || socket.destroyed) {
 				socket.destroy();
 				return;
 			}
 
-			line.idleUntil = readSteadyMs() + keepMs;
-			idle.push(line);
+			connection.reusableUntil = readSteadyMs() + keepMs;
+			idle.push(connection);
 			waiting.shift()?.();
 		},
 		destroy() {
-			line.user = undefined;
-			line.socket.destroy();
+			connection.listener = undefined;
+			connection.socket.destroy();
 		},
 	});
 
 	/** The one that was used last goes first, so that those that are not needed grow old. */
-	const takeIdle = (user: ConnectionUser): Line | undefined => {
+	const acquireIdle = (listener: ConnectionListener): PooledConnection | undefined => {
 		const now = readSteadyMs();
-		for (let line = idle.pop(); line !== undefined; line = idle.pop()) {
-			if (!line.socket.destroyed && now <= line.idleUntil) {
-				line.user = user;
-				return line;
+		for (let connection = idle.pop(); connection !== undefined; connection = idle.pop()) {
+			if (!connection.socket.destroyed && now <= connection.reusableUntil) {
+				connection.listener = listener;
+				return connection;
 			}
 
-			line.socket.destroy();
+			connection.socket.destroy();
 		}
 
 		return undefined;
 	};
 
 	return {
-		async take(user) {
+		async acquire(listener) {
 			while (!isDisposed) {
-				const line = takeIdle(user);
-				if (line !== undefined) {
-					return giveOut(line);
+				const connection = acquireIdle(listener);
+				if (connection !== undefined) {
+					return createHandle(connection);
 				}
 
-				if (lines.size < options.maxConnections) {
-					return giveOut(open(user));
+				if (connections.size < options.maxConnections) {
+					return createHandle(open(listener));
 				}
 
 				await new Promise<void>(resolve => {
@@ -216,22 +216,22 @@
 			throw new Error('the server is there no more');
 		},
 		renew() {
-			for (const line of idle.splice(0)) {
-				line.socket.destroy();
+			for (const connection of idle.splice(0)) {
+				connection.socket.destroy();
 			}
 
-			for (const line of lines) {
-				line.isRetired = true;
+			for (const connection of connections) {
+				connection.isRetired = true;
 			}
 		},
 		dispose() {
 			isDisposed = true;
-			for (const {socket} of lines) {
+			for (const {socket} of connections) {
 				socket.destroy();
 			}
 
-			for (const tell of waiting.splice(0)) {
-				tell();
+			for (const wake of waiting.splice(0)) {
+				wake();
 			}
 		},
 	};
--- a/src/lib/forwarding/server-session.ts
+++ b/src/lib/forwarding/server-session.ts
@@ -16,11 +16,11 @@
 import {type MeshLog} from '../timeline/mesh-log.js';
 import {endGraceMs, type CallScope} from './call-scope.js';
 import {filterCallHeaders, getText, type WireHeaders} from './call-headers.js';
-import {runExchange, type ExchangeAnswer, type ExchangeFailure} from './exchange.js';
+import {runExchange, type ExchangeResponse, type ExchangeFailure} from './exchange.js';
 import {
 	createMayHaveRun, createNotRun, type ForwardFailure, type ForwardResult,
 } from './forward-result.js';
-import {createServerConnections} from './server-connections.js';
+import {createServerConnectionPool} from './server-connection-pool.js';
 import {isRefusingConnections} from './refused-connection.js';
 import {createSilentConnections} from './silent-connections.js';
 
@@ -49,7 +49,7 @@
 	/** Whether the server, or its node, leaves: its end is no crash then. */
 	readonly isLeaving: () => boolean;
 	/** Another server answered at the address. */
-	readonly handleStranger: (lifetime: ServerLifetime) => void;
+	readonly handleMisdirected: (lifetime: ServerLifetime) => void;
 };
 
 /** How busy the server is, and how its answers fared. @internal */
@@ -70,7 +70,7 @@
 	readonly resize: (slots: number) => void;
 	readonly describe: () => SessionLoad;
 	/** It has ended without a word, since another start is there that took its place: what is lost from here on was in work then. A node that lags reads this before it reads the ends of the connections. */
-	readonly noteCrashed: () => void;
+	readonly recordCrash: () => void;
 	/** Another server is there. What this one is at work on it may still answer; nothing more is sent to it, and who waits for a slot is told at once. */
 	readonly retire: () => void;
 	/** The lifetime is over, and what it was at work on lost: it may have run. */
@@ -81,25 +81,25 @@
 const idleConnectionMs = 4000;
 
 /** A backend server on the same VM answers a connection in well under a millisecond. */
-const connectMs = 400;
+const connectTimeoutMs = 400;
 
 /** A server that could not be reached is tried again after this, in milliseconds: a restart takes about as long. @internal */
-export const doubtMs = 500;
+export const unreachableBackoffMs = 500;
 
 /** A server on the same VM takes or refuses a connection in well under a millisecond; the answers of those that wait for this are late by it at the most. Milliseconds. */
-const askMs = 100;
+const crashProbeTimeoutMs = 100;
 
 /** Requests that the log names when a server crashes: as many as are in work at the largest of the users' servers. */
-const namedSuspects = 20;
+const maxLoggedSuspectCount = 20;
 
 /** Weight of the newest request in the share of failures: some ten requests make it. */
 const failureWeight = 0.1;
 
 /** Time that is taken off what is left when it is passed on, in milliseconds: the grace of the scope, and the way to the server. */
-const passOnMs = endGraceMs + 1;
+const deadlineMarginMs = endGraceMs + 1;
 
 /** One request more than there are slots is at the server for so many of them. It waits there for as long as an eighth of a request takes, where no rank counts. */
-const slotsPerRequestAhead = 8;
+const slotsPerQueuedRequest = 8;
 
 /**
  * Counts the requests that may be at a server at once. A slot that comes free would stand idle while its answer
@@ -110,19 +110,19 @@
  * @returns Requests that may be there.
  * @internal
  */
-export const countPlaces = (slots: number): number => slots + Math.floor(slots / slotsPerRequestAhead);
+export const computeConcurrencyLimit = (slots: number): number => slots + Math.floor(slots / slotsPerQueuedRequest);
 
 /** A request that was sent to the server. */
-type SentCall = {readonly id: string; readonly mark: RequestMark};
+type SentCall = {readonly id: string; readonly fingerprint: RequestMark};
 
 /** One that ended here without an answer: a server that does not drop it works on it until then, in steady milliseconds. */
-type GivenUpCall = SentCall & {readonly until: number};
+type AbandonedCall = SentCall & {readonly expiresAt: number};
 
 /** A request that was given up is a suspect for so long at the most. Milliseconds: several times what most requests take. */
-const givenUpMs = 5000;
+const abandonedCallTtlMs = 5000;
 
 /** Requests that were given up which are remembered at the most: several times what is in work at the largest servers of the users. */
-const mostGivenUp = 64;
+const maxAbandonedCallCount = 64;
 
 /**
  * @param call - A request.
@@ -130,11 +130,11 @@
  * @returns It as the quarantine looks at it.
  * @internal
  */
-export const createCallMark = ({method, target, headers}: Pick<SessionCall, 'method' | 'target' | 'headers'>, body: Uint8Array | undefined): RequestMark => createRequestMark({
+export const createCallFingerprint = ({method, target, headers}: Pick<SessionCall, 'method' | 'target' | 'headers'>, body: Uint8Array | undefined): RequestMark => createRequestMark({
 	method, host: typeof headers.host === 'string' ? headers.host : '', target, body,
 });
 
-const endedFailure = createNotRun('gone', 'the backend server has started again, or another one is there');
+const sessionEndedFailure = createNotRun('gone', 'the backend server has started again, or another one is there');
 
 /**
  * Opens a session; no connection is made before the first request.
@@ -147,71 +147,71 @@
 export function openServerSession(announcement: ServerAnnouncement, context: ServerSessionContext): ServerSession {
 	const {wire, log} = context;
 	const {lifetime} = announcement;
-	const slots = createSlotKeeper(countPlaces(announcement.slots));
-	const connections = createServerConnections({
-		address: announcement.address, maxConnections: context.maxConnections, idleMs: idleConnectionMs, connectMs,
+	const slots = createSlotKeeper(computeConcurrencyLimit(announcement.slots));
+	const pool = createServerConnectionPool({
+		address: announcement.address, maxConnections: context.maxConnections, idleMs: idleConnectionMs, connectTimeoutMs,
 	});
-	const silence = createSilentConnections();
-	let givenUp: readonly GivenUpCall[] = [];
+	const halfOpenDetector = createSilentConnections();
+	let abandonedCalls: readonly AbandonedCall[] = [];
 	let failureShare = 0;
 	let isEnded = false;
 	let hasCrashed = false;
 
-	const keepGivenUp = ({id, scope}: SessionCall, mark: RequestMark): void => {
-		const until = Math.min(scope.endsAt, readSteadyMs() + givenUpMs);
-		givenUp = [...givenUp, {id, mark, until}].slice(-mostGivenUp);
+	const addAbandonedCall = ({id, scope}: SessionCall, fingerprint: RequestMark): void => {
+		const expiresAt = Math.min(scope.endsAt, readSteadyMs() + abandonedCallTtlMs);
+		abandonedCalls = [...abandonedCalls, {id, fingerprint, expiresAt}].slice(-maxAbandonedCallCount);
 	};
 
 	/** What its caller left may be what crashed a server that worked on it all the same. */
-	const takeGivenUp = (): readonly SentCall[] => {
+	const removeAbandonedCalls = (): readonly SentCall[] => {
 		const now = readSteadyMs();
-		const current = givenUp.filter(({until}) => until > now);
-		givenUp = [];
+		const current = abandonedCalls.filter(({expiresAt}) => expiresAt > now);
+		abandonedCalls = [];
 		return current;
 	};
 
 	const handleCrash = (lost: readonly SentCall[]): void => {
-		const atWork = [...lost, ...takeGivenUp()];
-		const named = atWork.slice(0, namedSuspects);
+		const atWork = [...lost, ...removeAbandonedCalls()];
+		const logged = atWork.slice(0, maxLoggedSuspectCount);
 		log.record('warn', {
 			kind: 'server-crashed', server: lifetime.id, atWork: atWork.length,
-			suspects: named.map(({mark}) => mark.getFingerprint()), calls: named.map(({id}) => id),
+			suspects: logged.map(({fingerprint}) => fingerprint.getFingerprint()), calls: logged.map(({id}) => id),
 		});
-		context.quarantine.noteCrash(lifetime, atWork.map(({mark}) => mark));
+		context.quarantine.noteCrash(lifetime, atWork.map(({fingerprint}) => fingerprint));
 		context.handleUnreachable(lifetime, 'it crashed');
 	};
 
 	const crashWatch = createCrashWatch<SentCall>({
-		hasEnded: async () => hasCrashed || (!isEnded && !context.isLeaving() && isRefusingConnections(announcement.address, askMs)),
+		hasEnded: async () => hasCrashed || (!isEnded && !context.isLeaving() && isRefusingConnections(announcement.address, crashProbeTimeoutMs)),
 		handleCrash,
 	});
 
 	/** Nothing else may have been in work when it ended. */
-	const checkGivenUp = (): void => {
-		for (const call of takeGivenUp()) {
+	const checkAbandonedCalls = (): void => {
+		for (const call of removeAbandonedCalls()) {
 			void crashWatch.noteLost(call);
 		}
 	};
 
-	const noteOutcome = (hasFailed: boolean): void => {
+	const recordOutcome = (hasFailed: boolean): void => {
 		failureShare = (failureShare * (1 - failureWeight)) + (hasFailed ? failureWeight : 0);
 	};
 
-	const judgeFailure = (failure: ExchangeFailure): ForwardFailure => {
+	const convertFailure = (failure: ExchangeFailure): ForwardFailure => {
 		if (isEnded && !failure.isSent) {
-			return endedFailure;
+			return sessionEndedFailure;
 		}
 
 		switch (failure.reason) {
 			case 'unreachable': {
-				checkGivenUp();
+				checkAbandonedCalls();
 				context.handleUnreachable(lifetime, failure.detail);
-				return createNotRun('server-unreachable', failure.detail, doubtMs);
+				return createNotRun('server-unreachable', failure.detail, unreachableBackoffMs);
 			}
 
 			case 'connection-lost':
 			case 'wrong-answer': {
-				noteOutcome(true);
+				recordOutcome(true);
 				return createMayHaveRun(failure.reason, failure.detail);
 			}
 
@@ -227,78 +227,78 @@
 	 * A request that was in work when the server crashed goes to no other server of its own accord: one that crashes whatever runs it
 	 * took as many servers at once as its route allows attempts. One that was answered elsewhere a moment ago goes on as ever.
 	 */
-	const judgeLost = async ({id}: SessionCall, mark: RequestMark, failure: ExchangeFailure): Promise<ForwardFailure> => {
-		const isCrash = await crashWatch.noteLost({id, mark});
-		const judged = judgeFailure(failure);
-		return isCrash && context.quarantine.judge(mark).type !== 'free' ? {...judged, reason: 'server-crashed'} : judged;
+	const convertLostConnection = async ({id}: SessionCall, fingerprint: RequestMark, failure: ExchangeFailure): Promise<ForwardFailure> => {
+		const isCrash = await crashWatch.noteLost({id, fingerprint});
+		const converted = convertFailure(failure);
+		return isCrash && context.quarantine.judge(fingerprint).type !== 'free' ? {...converted, reason: 'server-crashed'} : converted;
 	};
 
-	const judgeAnswer = (answer: ExchangeAnswer, mark: RequestMark): ForwardResult => {
-		if (answer.status === 421) {
+	const convertResponse = (response: ExchangeResponse, fingerprint: RequestMark): ForwardResult => {
+		if (response.status === 421) {
 			// Another server has the address: it is not asked again before it has said who it is.
-			context.handleStranger(lifetime);
+			context.handleMisdirected(lifetime);
 			return {...createNotRun('gone', 'another backend server has the address'), hasArrived: true};
 		}
 
-		if (answer.headers[wire.notRun] !== undefined) {
-			noteOutcome(true);
-			return {...createNotRun('shed', `the backend server answered ${answer.status} and did not run it`), hasArrived: true};
+		if (response.headers[wire.notRun] !== undefined) {
+			recordOutcome(true);
+			return {...createNotRun('shed', `the backend server answered ${response.status} and did not run it`), hasArrived: true};
 		}
 
-		if (answer.status >= 200 && answer.status < 300 && answer.headers[wire.signature] === undefined) {
-			noteOutcome(true);
+		if (response.status >= 200 && response.status < 300 && response.headers[wire.signature] === undefined) {
+			recordOutcome(true);
 			return createMayHaveRun('wrong-answer', 'a success without the signature of a backend server');
 		}
 
-		const hasFailed = answer.status >= 500;
-		noteOutcome(hasFailed);
+		const hasFailed = response.status >= 500;
+		recordOutcome(hasFailed);
 		// A failure says nothing for a request: a server may give up on one, or a call of its may fail, before it comes to what crashes it.
 		if (!hasFailed) {
-			context.quarantine.noteAnswered(mark);
+			context.quarantine.noteAnswered(fingerprint);
 		}
 
 		return {
-			type: 'answered', status: answer.status, headers: filterCallHeaders(answer.headers), body: answer.body,
+			type: 'answered', status: response.status, headers: filterCallHeaders(response.headers), body: response.body,
 		};
 	};
 
-	const createOwnAnswerCheck = (call: SessionCall) => (headers: IncomingHttpHeaders, status: number): boolean => {
+	const createOwnResponseCheck = (call: SessionCall) => (headers: IncomingHttpHeaders, status: number): boolean => {
 		const id = getText(headers, wire.callId);
 		const isRefusal = headers[wire.notRun] !== undefined || status === 421;
 		return id === call.id || (id === undefined && isRefusal);
 	};
 
 	const send = async (call: SessionCall, body: Uint8Array | undefined): Promise<ForwardResult> => {
-		const mark = createCallMark(call, body);
-		const settled = context.quarantine.settle(mark);
+		const fingerprint = createCallFingerprint(call, body);
+		const settled = context.quarantine.settle(fingerprint);
 		if (settled !== undefined) {
 			await settled;
 		}
 
 		const now = readSteadyMs();
-		const leftMs = Math.floor(call.scope.endsAt - now - passOnMs);
+		const leftMs = Math.floor(call.scope.endsAt - now - deadlineMarginMs);
 		const ended = call.scope.getEnd();
 		if (ended !== undefined || leftMs <= 0) {
 			return createNotRun(ended ?? 'timeout', 'its time was over before it could be sent');
 		}
 
 		if (isEnded) {
-			return endedFailure;
+			return sessionEndedFailure;
 		}
 
-		if (silence.areDoubtful(slots.describe().serviceMs, now)) {
-			connections.renew();
+		if (halfOpenDetector.areDoubtful(slots.describe().serviceMs, now)) {
+			pool.renew();
 			log.record('info', {kind: 'connections-renewed', server: lifetime.id, reason: 'a request has waited for far longer than requests take'});
 		}
 
-		const admission = context.quarantine.admitRun(mark);
+		const admission = context.quarantine.admitRun(fingerprint);
 		if (admission.type === 'refused') {
 			return createNotRun('quarantined', admission.detail, admission.retryAfterMs);
 		}
 
-		const handleEnd = silence.begin(now);
-		const answer = await runExchange({
-			connections, id: call.id, method: call.method, target: call.target, body, scope: call.scope,
+		const finishRequest = halfOpenDetector.begin(now);
+		const result = await runExchange({
+			pool, id: call.id, method: call.method, target: call.target, body, scope: call.scope,
 			headers: {
 				...call.headers as Record<string, string | string[]>,
 				[wire.callId]: call.id,
@@ -307,26 +307,26 @@
 				[wire.callerService]: call.callerService,
 				...body === undefined ? {} : {'content-length': String(body.length)},
 			},
-			isOwnAnswer: createOwnAnswerCheck(call),
+			isOwnResponse: createOwnResponseCheck(call),
 			readCallId: headers => getText(headers, wire.callId),
 		});
-		handleEnd();
+		finishRequest();
 		admission.end();
-		if (answer.type === 'failed' && answer.isSent && answer.reason !== 'connection-lost' && answer.reason !== 'wrong-answer') {
-			keepGivenUp(call, mark);
+		if (result.type === 'failed' && result.isSent && result.reason !== 'connection-lost' && result.reason !== 'wrong-answer') {
+			addAbandonedCall(call, fingerprint);
 		}
 
-		if (answer.type === 'failed') {
-			return answer.reason === 'connection-lost' ? judgeLost(call, mark, answer) : judgeFailure(answer);
+		if (result.type === 'failed') {
+			return result.reason === 'connection-lost' ? convertLostConnection(call, fingerprint, result) : convertFailure(result);
 		}
 
-		return judgeAnswer(answer, mark);
+		return convertResponse(result, fingerprint);
 	};
 
-	const stopTaking = (): void => {
+	const stopAccepting = (): void => {
 		isEnded = true;
 		slots.end();
-		connections.renew();
+		pool.renew();
 	};
 
 	return {
@@ -349,18 +349,18 @@
 			return result;
 		},
 		resize(count) {
-			slots.resize(countPlaces(count));
+			slots.resize(computeConcurrencyLimit(count));
 		},
 		describe: () => ({...slots.describe(), failureShare}),
-		noteCrashed() {
+		recordCrash() {
 			hasCrashed = true;
 			crashWatch.noteReplaced();
-			checkGivenUp();
+			checkAbandonedCalls();
 		},
-		retire: stopTaking,
+		retire: stopAccepting,
 		end() {
-			stopTaking();
-			connections.dispose();
+			stopAccepting();
+			pool.dispose();
 		},
 	};
 }
--- a/src/lib/forwarding/suspended-gate.test.ts
+++ b/src/lib/forwarding/suspended-gate.test.ts
@@ -33,7 +33,7 @@
 		wire: {
 			callId: 'x-call', timeLeft: 'x-left', expectedServer: 'x-server', callerService: 'x-caller', signature: 'x-signature', notRun: 'x-not-run',
 		},
-		log: silentLog, handleChange: () => undefined, getMaxConnections: () => 10, quarantine: createQuietQuarantine(), isLeaving: () => false, linkMbps: 7, countHeldBytes: () => 0,
+		log: silentLog, handleChange: () => undefined, getMaxConnections: () => 10, quarantine: createQuietQuarantine(), isLeaving: () => false, linkMbps: 7, countQueuedBytes: () => 0,
 	});
 	const scope = createCallScope(readSteadyMs() + 30_000);
 	context.after(() => {
@@ -50,7 +50,7 @@
 	const startedAt = performance.now();
 	const sent = gate.run({
 		id: 'first', server: id, method: 'GET', target: '/logs/1', headers: {host: 'mesh.example'}, readBody: async () => undefined,
-		callerService: 'hall', rank: 1, mayWaitMs: 20_000, hasBody: false, isTransfer: false, scope,
+		callerService: 'hall', rank: 1, mayWaitMs: 20_000, hasBody: false, isLargeUpload: false, scope,
 	});
 	await expectSoon('it arrives', () => open.length === 1);
 	suspendedMs = 2500;
--- a/src/lib/forwarding/transfer-limit.ts
+++ b/src/lib/forwarding/upload-limit.ts
@@ -9,30 +9,30 @@
 import {readAwakeMs} from '../common/clock.js';
 
 /** What carries one body. @internal */
-export type Transfer = {
+export type Upload = {
 	/** The body is here, or will not come. */
 	readonly end: (isWhole: boolean) => void;
 };
 
 /** @internal */
-export type TransferLimit = {
+export type UploadLimit = {
 	/** Waits for a place on the link; the outcome is as that of a slot. */
-	readonly acquire: (request: SlotRequest) => Promise<Transfer | Exclude<SlotOutcome, {readonly type: 'run'}>>;
+	readonly acquire: (request: SlotRequest) => Promise<Upload | Exclude<SlotOutcome, {readonly type: 'run'}>>;
 };
 
 /** Megabits a second of the link for each body that comes in at once. Uploads of the users have 60 KB on average: at this rate one takes 140 ms, a part of the shortest latency objective. */
-const mbpsOfTransfer = 3.5;
+const mbpsPerUpload = 3.5;
 
 /** Bodies that come in at once over the slowest links: while one waits for its sender the other moves. */
-const fewestTransfers = 2;
+const minUploadCount = 2;
 
 /**
  * @param linkMbps - Megabits a second of a link.
  * @returns Large bodies that it carries at once in one direction.
  * @internal
  */
-export function countTransfers(linkMbps: number): number {
-	return Math.max(fewestTransfers, Math.floor(linkMbps / mbpsOfTransfer));
+export function computeMaxUploads(linkMbps: number): number {
+	return Math.max(minUploadCount, Math.floor(linkMbps / mbpsPerUpload));
 }
 
 /**
@@ -40,22 +40,22 @@
  * @returns The limit; nothing comes in yet.
  * @internal
  */
-export function createTransferLimit(linkMbps: number): TransferLimit {
-	const places = createSlotKeeper(countTransfers(linkMbps));
+export function createUploadLimit(linkMbps: number): UploadLimit {
+	const slots = createSlotKeeper(computeMaxUploads(linkMbps));
 	return {
 		async acquire(request) {
-			const outcome = await places.acquire(request);
+			const outcome = await slots.acquire(request);
 			if (outcome.type !== 'run') {
 				return outcome;
 			}
 
 			const startedAt = readAwakeMs();
-			let isOver = false;
+			let isEnded = false;
 			return {
 				end(isWhole) {
-					if (!isOver) {
-						isOver = true;
-						places.release(isWhole ? readAwakeMs() - startedAt : undefined);
+					if (!isEnded) {
+						isEnded = true;
+						slots.release(isWhole ? readAwakeMs() - startedAt : undefined);
 					}
 				},
 			};
--- a/src/lib/sidecar/sidecar.ts
+++ b/src/lib/sidecar/sidecar.ts
@@ -163,7 +163,7 @@
 		getMaxConnections: service => sync.holder.get()?.config.services.find(({name}) => name === service)?.maxConnections ?? defaultConnections,
 		isLeaving: () => isGateLeaving,
 		linkMbps: settings.linkMbps,
-		countHeldBytes: linkWriter.countHeldBytes,
+		countQueuedBytes: linkWriter.countQueuedBytes,
 	});
 
 	const describeSelf = (sequence: number): Omit<PeerReport, 'periods' | 'isProbe'> => ({
