--- a/src/lib/forwarding/byte-budget.ts
+++ b/src/lib/forwarding/byte-budget.ts
@@ -1,22 +1,24 @@
 /**
- * Bounds what bodies may hold of a node's memory together.
+ * Limits the memory that all buffered request bodies of a node use together.
  *
  * @module
  */
 
 /** @internal */
 export type ByteBudget = {
-	/** Takes bytes if they are left. */
+	/** Reserves bytes and returns true, or returns false if the limit would be exceeded. */
 	readonly tryAcquire: (bytes: number) => boolean;
 	readonly release: (bytes: number) => void;
 };
 
-/** A budget that never runs out, for bodies whose sender is bounded already. @internal */
+/** A budget without a limit, for bodies whose sender is already limited. @internal */
 export const unlimitedBudget: ByteBudget = {tryAcquire: () => true, release: () => undefined};
 
 /**
- * @param limit - Bytes that may be held at once.
- * @returns A budget of which nothing is taken.
+ * Creates a budget with nothing reserved.
+ *
+ * @param limit - Maximum bytes reserved at once.
+ * @returns The budget.
  * @internal
  */
 export function createByteBudget(limit: number): ByteBudget {
--- a/src/lib/forwarding/chunked-body-reader.ts
+++ b/src/lib/forwarding/chunked-body-reader.ts
@@ -1,31 +1,33 @@
 /**
- * Reads a body that comes in chunks, each with its size, up to the last one of
- * size 0 and the fields behind it.
+ * Decodes a body in HTTP/1.1 chunked transfer coding, up to the last chunk (size 0)
+ * and its trailer fields.
  *
  * @module
  */
 import {Buffer} from 'node:buffer';
 import {ResponseFormatError} from './response-format-error.js';
 
-/** A chunk's size with its extensions is shorter than this. Bytes. */
+/** Maximum length of a chunk-size line with its extensions, or of a trailer line. */
 const maxChunkLineBytes = 1024;
 
 const hexDigitsPattern = /^[\da-f]+$/i;
 
-/** The same bytes, with the methods that search them. @internal */
+/** Wraps the same memory in a Buffer, for its search methods. @internal */
 export const toBuffer = ({buffer, byteOffset, byteLength}: Uint8Array) => Buffer.from(buffer, byteOffset, byteLength);
 
 /** @internal */
 export type ChunkedBodyReader = {
-	/** Reads on in bytes that are held; yields how many of them it took. */
+	/** Decodes bytes; the caller keeps those that are not consumed and passes them again. Returns the number of consumed bytes. */
 	readonly read: (held: Uint8Array) => number;
 	readonly isComplete: () => boolean;
-	/** The body, once it is whole. */
+	/** Returns the decoded body; valid once it is complete. */
 	readonly getBody: () => Uint8Array;
 };
 
 /**
- * @returns A reader that has seen nothing yet.
+ * Creates a reader for one chunked body.
+ *
+ * @returns The reader.
  * @internal
  */
 export function createChunkedBodyReader(): ChunkedBodyReader {
@@ -33,13 +35,13 @@
 	let remainingBytes = 0;
 	let state: 'size' | 'data' | 'data-end' | 'trailer' | 'whole' = 'size';
 
-	/** Reads a line; `undefined` if its end has not come yet. */
+	/** Returns the line that starts at an offset, or `undefined` if it is incomplete. */
 	const readLine = (held: Uint8Array, from: number): string | undefined => {
 		const bytes = toBuffer(held);
 		const end = bytes.indexOf('\r\n', from);
 		if (end === -1) {
 			if (held.length - from > maxChunkLineBytes) {
-				throw new ResponseFormatError('a line within the chunks that does not end');
+				throw new ResponseFormatError('line in the chunked response body is too long');
 			}
 
 			return undefined;
@@ -52,7 +54,7 @@
 		const size = line.split(';')[0]!.trim();
 		remainingBytes = Number.parseInt(size, 16);
 		if (!hexDigitsPattern.test(size) || !Number.isSafeInteger(remainingBytes)) {
-			throw new ResponseFormatError('the size of a chunk that is no number');
+			throw new ResponseFormatError('chunk size in the response body is not a hexadecimal number');
 		}
 
 		state = remainingBytes === 0 ? 'trailer' : 'data';
@@ -66,7 +68,7 @@
 		} else if (line === '') {
 			state = 'size';
 		} else {
-			throw new ResponseFormatError('a chunk that is longer than its size');
+			throw new ResponseFormatError('chunk in the response body is longer than its size');
 		}
 	};
 
--- a/src/lib/forwarding/connection-scopes.ts
+++ b/src/lib/forwarding/connection-scopes.ts
@@ -1,6 +1,6 @@
 /**
- * Ends the calls of a connection when it closes: whoever asked has gone, so
- * nobody waits for the answer. Tells on how many connections answers have not left yet.
+ * Cancels the calls of a connection when it closes, because their caller no longer
+ * waits for the responses. Counts the connections with unsent response bytes.
  *
  * @module
  */
@@ -10,17 +10,19 @@
 
 /** @internal */
 export type ConnectionScopes = {
-	/** Adds a call to its connection; yields a function that takes it off. */
+	/** Adds a call to its connection. Returns a function that removes it. */
 	readonly add: (socket: Socket, scope: CallScope) => () => void;
-	/** Connections on which bytes of answers wait for their callers to read. */
+	/** Returns the number of connections with response bytes that the caller has not read yet. */
 	readonly countUnsent: () => number;
-	/** Closes connections that carry no call and no bytes of an answer. */
+	/** Closes connections without calls and without unsent response bytes. */
 	readonly closeIdle: () => void;
 };
 
 /**
+ * Counts connections whose write buffer is not empty because the other end reads too slowly.
+ *
  * @param sockets - Connections.
- * @returns How many of them have bytes that the system has not taken yet, since the other end does not read as fast.
+ * @returns The number of connections with bytes that the operating system has not accepted yet.
  * @internal
  */
 export function countUnsent(sockets: Iterable<Socket>): number {
@@ -33,8 +35,10 @@
 }
 
 /**
- * @param server - A server whose connections are watched from now on.
- * @returns Where calls are added.
+ * Tracks the calls of each connection that a server accepts from now on.
+ *
+ * @param server - The server.
+ * @returns The calls by connection.
  * @internal
  */
 export function watchConnections(server: Server): ConnectionScopes {
@@ -50,7 +54,7 @@
 			calls.clear();
 		};
 
-		// A caller that has closed its half does not wait for an answer any more, although bytes could still be sent.
+		// A caller that half-closes the connection no longer waits for a response, although it could still receive one.
 		socket.once('end', cancelCalls);
 		socket.once('close', () => {
 			scopes.delete(socket);
--- a/src/lib/forwarding/exchange.ts
+++ b/src/lib/forwarding/exchange.ts
@@ -1,5 +1,5 @@
 /**
- * One request and its whole answer over one connection to the backend server.
+ * Sends one request to the backend server over a pooled connection and reads the complete response.
  *
  * @module
  */
@@ -8,7 +8,7 @@
 import {type CallScope, type ScopeEnd} from './call-scope.js';
 import {type AssignedCall, type ServerConnection, type ServerConnectionPool} from './server-connection-pool.js';
 
-/** What is sent. @internal */
+/** A request to the backend server. @internal */
 export type ExchangeRequest = {
 	readonly pool: ServerConnectionPool;
 	readonly id: string;
@@ -18,13 +18,13 @@
 	readonly headers: OutgoingHttpHeaders;
 	readonly body: Uint8Array | undefined;
 	readonly scope: CallScope;
-	/** Checks whether an answer is to this request; any other one is dropped with its connection, unless it is a second one to the request before. */
+	/** Whether a response belongs to this request. Any other response closes its connection, unless it is a duplicate response to the connection's previous request. */
 	readonly isOwnResponse: (headers: IncomingHttpHeaders, status: number) => boolean;
-	/** Which request an answer names. */
+	/** Returns the call id that a response carries. */
 	readonly readCallId: (headers: IncomingHttpHeaders) => string | undefined;
 };
 
-/** The whole answer. @internal */
+/** The complete response. @internal */
 export type ExchangeResponse = {
 	readonly type: 'answered';
 	readonly status: number;
@@ -35,7 +35,7 @@
 /** @internal */
 export type ExchangeFailure = {
 	readonly type: 'failed';
-	/** Whether a byte of the request may have arrived. */
+	/** Whether any byte of the request may have reached the server. */
 	readonly isSent: boolean;
 	readonly reason: 'unreachable' | 'connection-lost' | 'wrong-answer' | ScopeEnd;
 	readonly detail: string;
@@ -44,16 +44,16 @@
 /** @internal */
 export type ExchangeResult = ExchangeResponse | ExchangeFailure;
 
-/** Share of the idle time that the server allows after which a connection is not used again: a request must not cross its close. */
+/** Share of the server's keep-alive timeout for which an idle connection is reused. The margin keeps a request from racing with the server's close. */
 const idleTimeoutShare = 0.6;
 
-/** Methods whose requests usually have no body, so that none need be announced as empty. */
+/** Methods whose requests usually have no body, so that they need no `content-length: 0`. */
 const bodilessMethods: ReadonlySet<string> = new Set(['GET', 'HEAD', 'DELETE', 'OPTIONS', 'TRACE']);
 
-/** What would end a line of the head, or the head itself. */
+/** Characters that would end a header line or the head (header injection). */
 const lineBreakPattern = /[\r\n\0]/;
 
-/** What may stand in the first line: anything else would end it, or split it. */
+/** Characters allowed in the request target. Any other would end or split the request line. */
 const targetPattern = /^[\u0021-\u00FF]+$/;
 
 const methodPattern = /^[\w!#$%&'*+.^`|~-]+$/;
@@ -64,7 +64,7 @@
 	}
 
 	if (lineBreakPattern.test(name) || lineBreakPattern.test(String(value))) {
-		throw new Error(`the field ${JSON.stringify(name)} cannot be written as one line`);
+		throw new Error(`request header ${JSON.stringify(name)} contains a line break or NUL`);
 	}
 
 	return `${name}: ${value}\r\n`;
@@ -74,8 +74,8 @@
  * Encodes the head of a request.
  *
  * @param request - The request.
- * @returns Its text, in Latin-1.
- * @throws When a part of it would be read as something else.
+ * @returns The head as text, to be sent as Latin-1.
+ * @throws If the method, the target or a header would change the structure of the head.
  * @internal
  */
 export function encodeRequestHead({method, target, headers, body}: Pick<ExchangeRequest, 'method' | 'target' | 'headers' | 'body'>): string {
@@ -89,13 +89,13 @@
 	const isEmpty = body === undefined && !bodilessMethods.has(method) && headers['content-length'] === undefined;
 	const own = `${isEmpty ? 'content-length: 0\r\n' : ''}connection: keep-alive\r\n`;
 	if (!methodPattern.test(method) || !targetPattern.test(target)) {
-		throw new Error('the method or the path cannot be written as a part of one line');
+		throw new Error('request method or target contains a character that is not allowed in a request line');
 	}
 
 	return `${method} ${target} HTTP/1.1\r\n${fields}${own}\r\n`;
 }
 
-/** How long the server says that it keeps a connection, in milliseconds. */
+/** Returns the idle time in milliseconds within which a connection may be reused, derived from the server's Keep-Alive header; infinity without that header. */
 function readKeepAliveMs(headers: IncomingHttpHeaders): number {
 	const value = headers['keep-alive'];
 	const seconds = /timeout=(\d+)/.exec(typeof value === 'string' ? value : '')?.[1];
@@ -103,10 +103,10 @@
 }
 
 /**
- * Sends a request and reads its answer whole.
+ * Sends a request and reads the complete response.
  *
  * @param exchange - The request.
- * @returns The answer, or how it failed; never rejects.
+ * @returns The response, or the failure; never rejects.
  * @internal
  */
 export async function runExchange(exchange: ExchangeRequest): Promise<ExchangeResult> {
@@ -116,9 +116,9 @@
 		let previousCall: AssignedCall | undefined;
 		let isSettled = false;
 		let isHeadChecked = false;
-		/** What is read is a second answer to the request before on the connection. */
+		/** Whether the response being read is a duplicate response to the connection's previous request. */
 		let isDuplicate = false;
-		// A scope that has ended already calls back before it can be unsubscribed from.
+		// A no-op at first: a scope that has already ended calls its handler before subscribe returns.
 		let stopListening = (): void => undefined;
 
 		const settle = (result: ExchangeResult): void => {
@@ -138,7 +138,7 @@
 			connection?.destroy();
 		};
 
-		/** The connection goes on to the next request only if nothing of this one is left on it. */
+		/** Returns the connection to the pool only if no bytes follow the response. */
 		const finish = ({isReusable, ...response}: CompleteResponse): void => {
 			if (isSettled) {
 				return;
@@ -152,7 +152,7 @@
 			}
 		};
 
-		/** A server may answer the request before once more, where the answer to this one is due: its end is known, and that to this one still comes. */
+		/** Whether the server answers the previous request again instead of this one. Such a response is skipped if its end is known, since the response to this request still follows. */
 		const isDuplicateResponse = (headers: IncomingHttpHeaders): boolean =>
 			previousCall?.method === exchange.method && exchange.readCallId(headers) === previousCall.id && !parser.isCloseDelimited();
 
@@ -172,14 +172,14 @@
 				return true;
 			}
 
-			fail('wrong-answer', `an answer with status ${head.status} to another request`);
+			fail('wrong-answer', `response with status ${head.status} belongs to another request`);
 			return false;
 		};
 
-		/** Reads on behind an answer that is passed over; yields the bytes that came behind it. */
+		/** Skips a duplicate response and resets the parser. Returns the bytes that follow it. */
 		const dropDuplicateResponse = ({isReusable}: CompleteResponse): Uint8Array | undefined => {
 			if (!isReusable) {
-				fail('connection-lost', 'the connection closes behind a second answer to the request before');
+				fail('connection-lost', 'server closes the connection after a duplicate response to the previous request');
 				return undefined;
 			}
 
@@ -190,7 +190,7 @@
 			return excess.length > 0 ? excess : undefined;
 		};
 
-		/** Reads bytes; yields those that are left when an answer was passed over. */
+		/** Parses bytes. Returns the bytes that remain after a skipped duplicate response. */
 		const readNextResponse = (bytes: Uint8Array): Uint8Array | undefined => {
 			const response = parser.read(bytes);
 			if (!checkHead() || response === undefined) {
@@ -217,9 +217,9 @@
 		};
 
 		/**
-		 * Without a length the end of the connection is the end of the answer, but a reset that follows the last bytes at once
-		 * reaches this program as an ordinary end: the event loop reports the hang-up as soon as the bytes are read. Only a
-		 * write tells the two apart.
+		 * A response without a length ends when the connection closes. A reset that directly follows the last bytes looks like
+		 * an orderly close, because the event loop reports the hang-up as soon as the bytes are read. A write fails only after
+		 * a reset, so it tells the two apart.
 		 */
 		const handleEnd = (): void => {
 			if (isSettled) {
@@ -227,14 +227,14 @@
 			}
 
 			if (!parser.isCloseDelimited()) {
-				fail('connection-lost', parser.getHead() === undefined ? 'the connection closed without an answer' : 'the connection closed within the answer');
+				fail('connection-lost', parser.getHead() === undefined ? 'connection closed before the response' : 'connection closed before the end of the response');
 				return;
 			}
 
 			connection?.checkOrderlyEnd(isOrderly => {
 				const response = isOrderly ? parser.end() : undefined;
 				if (response === undefined) {
-					fail('connection-lost', 'the connection was reset within an answer without a length');
+					fail('connection-lost', 'connection reset during a response without a length');
 				} else {
 					finish(response);
 				}
@@ -264,7 +264,7 @@
 		};
 
 		stopListening = exchange.scope.subscribe(reason => {
-			fail(reason, reason === 'timeout' ? 'no answer in time' : 'the caller has gone');
+			fail(reason, reason === 'timeout' ? 'no response before the deadline' : 'call was cancelled');
 		});
 		if (!isSettled) {
 			void start();
--- a/src/lib/forwarding/forward-result.ts
+++ b/src/lib/forwarding/forward-result.ts
@@ -1,30 +1,29 @@
 /**
- * How an attempt to have a request run ended, as the entry and the gate tell it
- * to one another.
+ * The result of one attempt to forward a request, as the gate reports it to the entry.
  *
  * @module
  */
 import {type HeaderMap} from '../calls/attempt.js';
 import {type Verdict} from '../common/verdict.js';
 
-/** Why there is no answer. @internal */
+/** Why an attempt has no response. @internal */
 export type ForwardReason =
-	/** The gate has no slot in time. */
+	/** The gate has no free slot in time. */
 	| 'full'
-	/** The backend server is leaving, or its node is. */
+	/** The backend server or its node is draining. */
 	| 'draining'
-	/** The backend server is not beside that node any more. */
+	/** The backend server no longer runs beside that node. */
 	| 'gone'
 	/** The backend server could not be reached. */
 	| 'server-unreachable'
-	/** Its node could not be reached. */
+	/** The node beside the backend server could not be reached. */
 	| 'node-unreachable'
-	/** The backend server says that it did not run the request. */
+	/** The backend server reported that it did not execute the request. */
 	| 'shed'
 	| 'connection-lost'
-	/** The backend server ended while the request was in work there, and may have ended because of it. */
+	/** The backend server crashed while it executed the request, possibly because of it. */
 	| 'server-crashed'
-	/** Backend servers ended while such a request was in work: it is not sent to another one. */
+	/** Backend servers crashed while they executed such requests, so it is not sent to another one. */
 	| 'quarantined'
 	| 'wrong-answer'
 	| 'no-server'
@@ -50,33 +49,35 @@
 	readonly verdict: Exclude<Verdict, 'ran'>;
 	readonly reason: ForwardReason;
 	readonly detail: string;
-	/** Milliseconds after which it may be tried again; 0 if nothing is known. */
+	/** Milliseconds after which the request may be retried; 0 if unknown. */
 	readonly retryAfterMs: number;
-	/** Whether the request arrived at a backend server, which counts against the retry budget. */
+	/** Whether the request reached a backend server, which counts against the retry budget. */
 	readonly hasArrived: boolean;
 };
 
 /** @internal */
 export type ForwardResult = ForwardResponse | ForwardFailure;
 
-/** How busy the backend server behind a gate is. @internal */
+/** The load of the backend server behind a gate. @internal */
 export type GateLoad = {
 	readonly running: number;
 	readonly waiting: number;
 	readonly serviceMs: number;
-	/** Milliseconds that this request spent at the gate and its server: the rest of the time went on the way. */
+	/** Milliseconds that this request spent at the gate and its server. The rest of the round-trip time is network time. */
 	readonly tookMs: number;
 };
 
-/** What a gate answers. @internal */
+/** The result of a request at a gate, with the load of its server. @internal */
 export type GateResult = {
 	readonly result: ForwardResult;
 	readonly load: GateLoad | undefined;
 };
 
 /**
- * @param text - A reason that came over the network.
- * @returns The reason; one that is unknown says nothing but that the answer cannot be used.
+ * Parses a reason received from another node.
+ *
+ * @param text - The reason.
+ * @returns The reason; `wrong-answer` if it is unknown.
  * @internal
  */
 export function parseForwardReason(text: string | undefined): ForwardReason {
@@ -84,9 +85,11 @@
 }
 
 /**
- * @param reason - Why the request was turned away before any of it reached a backend server.
- * @param detail - For people.
- * @param retryAfterMs - When it may be tried again, in milliseconds.
+ * Creates a failure with the verdict `not-run`: the request was certainly not executed.
+ *
+ * @param reason - Why the request was refused before any of it reached a backend server.
+ * @param detail - Human-readable details.
+ * @param retryAfterMs - Milliseconds after which the request may be retried; 0 if unknown.
  * @returns The failure.
  * @internal
  */
@@ -97,8 +100,10 @@
 }
 
 /**
- * @param reason - Why there is no answer although the request was sent.
- * @param detail - For people.
+ * Creates a failure with the verdict `may-have-run`: the request may have been executed.
+ *
+ * @param reason - Why there is no response although the request was sent.
+ * @param detail - Human-readable details.
  * @returns The failure.
  * @internal
  */
--- a/src/lib/forwarding/full-link.test.ts
+++ b/src/lib/forwarding/full-link.test.ts
@@ -1,4 +1,4 @@
-/** What a node sends and asks while the link of its VM is full of large answers. */
+/** Tests what a node sends and fetches while large responses or uploads saturate the link of its VM. */
 import assert from 'node:assert/strict';
 import {Buffer} from 'node:buffer';
 import {once} from 'node:events';
@@ -34,14 +34,14 @@
 
 const slowMbps = 10;
 
-/** Bytes that the link carries in so many milliseconds. */
+/** Bytes that the link carries in the given time. */
 const countCarriedBytes = (ms: number): number => slowMbps * 1000 / 8 * ms;
 
-/** How long what is sent next may wait on the link behind large answers. Milliseconds: a new connection, a question and its answer are three such waits, and a call may wait 300 ms for the connection. */
+/** Maximum queueing delay on the link behind large responses. A new connection, a request and its response are three such delays, and a call waits at most 300 ms for a connection. */
 const maxQueueMs = 100;
 
-// Guards against nodes that serve by an older configuration since everything that they send waits behind their own large answers.
-test('the link of a VM is not handed more large answers than it carries, so that whatever else its node sends leaves soon', async context => {
+// Guards against nodes that keep routing by an old configuration because everything that they send waits behind their own large responses.
+test('large responses are written no faster than the link carries them, so that other traffic of the node is sent soon', async context => {
 	let received = 0;
 	const port = await listen(context, createServer(socket => {
 		socket.on('data', bytes => {
@@ -68,14 +68,14 @@
 		assert.ok(received <= countCarriedBytes(elapsedMs + maxQueueMs), `${received} bytes after ${Math.round(elapsedMs)} ms, of which the link carries ${Math.round(countCarriedBytes(elapsedMs))}`);
 	}
 
-	assert.ok(received >= countCarriedBytes(400) / 2, `${received} bytes left in half a second: the link is not used`);
+	assert.ok(received >= countCarriedBytes(400) / 2, `${received} bytes were sent in half a second: the link is not used`);
 });
 
-/** Opens connections that are up after so many milliseconds, as over a link that is full. */
+/** Creates a function that opens connections with a delay, as over a saturated link. */
 function createSlowOpening(openMs: number): (options: NetConnectOpts) => Socket {
 	return options => {
 		const socket = new Socket();
-		// What is written meanwhile waits, as on any connection that is being opened.
+		// Makes the socket buffer writes until it connects, as any opening socket does.
 		Reflect.set(socket, 'connecting', true);
 		setTimeout(() => {
 			if (!socket.destroyed) {
@@ -90,7 +90,7 @@
 	id: 'c1', server: toBackendServerId('i-1'), method: 'POST', target: '/', callerService: 'hall', rank: 1, mayWaitMs: 0,
 } as const;
 
-/** A gate that hands a configuration over. */
+/** Starts a gate server that responds to configuration requests. */
 async function startConfigurationGate(context: TestContext): Promise<Address> {
 	const localGate: Partial<LocalGate> = {};
 	const gate = createGateServer({
@@ -105,13 +105,13 @@
 	return toAddress(`127.0.0.1:${await listen(context, gate.server)}`);
 }
 
-// Guards against a node that never gets a newer configuration since it gives each connection up before the link has let it through, and begins anew.
-test('a node that connections take longer to reach than a call waits for one is handed the configuration all the same', async context => {
+// Guards against a node that never gets a newer configuration because it abandons each connection before the saturated link has established it, and then opens another one.
+test('a node can fetch the configuration although connecting takes longer than a call waits for a connection', async context => {
 	const address = await startConfigurationGate(context);
 	const client = createGateClient({openSocket: createSlowOpening(500)});
 	context.after(client.dispose);
 	const startedAt = readSteadyMs();
-	// As a node asks that hears of the version again and again: within the time in which it has to be in force.
+	// A node that keeps hearing of a newer version retries until the version must be active.
 	let answer;
 	while (answer === undefined && readSteadyMs() - startedAt < 2000) {
 		const scope = createCallScope(startedAt + 2000);
@@ -123,8 +123,8 @@
 	assert.deepEqual(answer, {type: 'whole', text: 'nine'});
 });
 
-// Guards against a refusal that says "not run" for a request that leaves after all once the link lets its connection through.
-test('a call that has gone elsewhere before its connection was up never leaves, and the next one finds the connection open', async context => {
+// Guards against the verdict "not-run" for a request that is sent after all once its connection is established.
+test('a call that was retried elsewhere before its connection was established is never sent, and the next call reuses the connection', async context => {
 	const received: string[] = [];
 	const address = toAddress(`127.0.0.1:${await listen(context, createServer(socket => {
 		const reader = createFrameReader();
@@ -155,7 +155,7 @@
 	};
 
 	assert.equal(await send(), 'not-run node-unreachable');
-	// As a node does with the connections of one that could not be reached.
+	// A node renews the connections of a node that it could not reach.
 	client.renew(address, 'unreachable');
 	await sleep(300);
 	assert.deepEqual(received, []);
@@ -164,7 +164,7 @@
 	assert.equal(opened, 1);
 });
 
-test('a node that is back is not waited for on a connection that was being opened while it was away', async context => {
+test('after a node is reachable again, a new connection replaces one that was opening while the node was unreachable', async context => {
 	let opened = 0;
 	const client = createGateClient({
 		openSocket(options) {
@@ -183,8 +183,8 @@
 	assert.ok((await first).isErr());
 });
 
-// Guards against the same at a node whose callers upload: its own large bodies before whatever else it sends.
-test('the link of a VM is not handed more large bodies than it carries, and one that nobody waits for stays', async context => {
+// Guards against the same delay at a node whose callers upload: its large request bodies are sent before everything else.
+test('large request bodies are written no faster than the link carries them, and those of cancelled calls are not sent', async context => {
 	let received = 0;
 	let partialBytes = 0;
 	const bodies: number[] = [];
@@ -221,13 +221,13 @@
 		assert.ok(received <= countCarriedBytes(elapsedMs + maxQueueMs), `${received} bytes after ${Math.round(elapsedMs)} ms, of which the link carries ${Math.round(countCarriedBytes(elapsedMs))}`);
 	}
 
-	assert.ok(received >= countCarriedBytes(300) / 2, `${received} bytes left: the link is not used`);
+	assert.ok(received >= countCarriedBytes(300) / 2, `${received} bytes were sent: the link is not used`);
 	for (const scope of scopes) {
 		scope.end('cancelled');
 	}
 
-	assert.ok(link.countQueued() <= 1, 'what nobody waits for any more stays, but for the one that may have begun to leave');
-	await expectSoon('what has begun to leave has arrived whole', () => link.countQueued() === 0 && partialBytes === 0);
-	assert.ok(bodies.length < scopes.length / 2, `${bodies.length} bodies left`);
+	assert.ok(link.countQueued() <= 1, 'the bodies of cancelled calls are removed from the queue, except one that may be partly written');
+	await expectSoon('the partly written body has arrived completely', () => link.countQueued() === 0 && partialBytes === 0);
+	assert.ok(bodies.length < scopes.length / 2, `${bodies.length} bodies were sent`);
 	assert.ok(bodies.every(length => length === 90_000));
 });
--- a/src/lib/forwarding/gate-server.test.ts
+++ b/src/lib/forwarding/gate-server.test.ts
@@ -14,15 +14,15 @@
 
 type Fixture = {
 	readonly open: () => Promise<Socket>;
-	/** Causes of what was refused. */
+	/** Causes of the refusals. */
 	readonly refused: string[];
-	/** Calls that the gate was handed, whose scopes have not ended. */
+	/** Returns the number of calls at the gate whose scopes have not ended. */
 	readonly countCalls: () => number;
 };
 
 const configBytes = 1_000_000;
 
-/** A gate at which each call waits until its scope ends. */
+/** Starts a gate server whose gate holds each call until its scope ends. */
 async function startFixture(context: TestContext): Promise<Fixture> {
 	const refused: string[] = [];
 	let calls = 0;
@@ -38,7 +38,7 @@
 	const {server, dispose} = createGateServer({
 		gate: gate as Gate, getConfig: () => ({head: ['whole'], body: Buffer.alloc(configBytes)}), log: silentLog, link: createLinkWriter(1000),
 		async catchUp() {
-			// Nothing lags here.
+			// The event loop does not lag in this test.
 		},
 		refusals: {
 			note({cause}) {
@@ -73,16 +73,16 @@
 
 const expectClosed = async (socket: Socket): Promise<void> => expectSoon('the connection is closed', () => socket.destroyed || socket.readableEnded);
 
-test('bytes that cannot be read cost their connection and end its requests; those of others go on', async context => {
+test('unreadable bytes close their connection and cancel its requests; other connections are not affected', async context => {
 	const {open, refused, countCalls} = await startFixture(context);
 	const [good, bad] = [await open(), await open()];
 	good.write(encodeRequest(1));
 	bad.write(encodeRequest(1));
-	await expectSoon('both are under way', () => countCalls() === 2);
+	await expectSoon('both requests are in flight', () => countCalls() === 2);
 	bad.resume();
 	bad.write('GET / HTTP/1.1\r\n\r\n');
 	await expectClosed(bad);
-	await expectSoon('one is under way', () => countCalls() === 1);
+	await expectSoon('one request is in flight', () => countCalls() === 1);
 	assert.deepEqual(refused, ['unreadable']);
 	const frames: Frame[] = [];
 	const reader = createFrameReader();
@@ -90,31 +90,31 @@
 		frames.push(...reader.read(bytes));
 	});
 	good.write(encode({type: 'ping', id: 5}));
-	await expectSoon('the other connection answers', () => frames.some(({type}) => type === 'pong'));
+	await expectSoon('the other connection receives a pong', () => frames.some(({type}) => type === 'pong'));
 	assert.equal(countCalls(), 1);
 });
 
-test('an id that is under way is not taken again', async context => {
+test('a request with an id that is already in flight closes the connection', async context => {
 	const {open, refused, countCalls} = await startFixture(context);
 	const socket = await open();
 	socket.resume();
 	socket.write(Buffer.concat([encodeRequest(1), encodeRequest(1)]));
 	await expectClosed(socket);
 	assert.deepEqual(refused, ['unreadable']);
-	await expectSoon('none is under way', () => countCalls() === 0);
+	await expectSoon('no request is in flight', () => countCalls() === 0);
 });
 
-test('more requests than any node has under way are a flood', async context => {
+test('too many requests in flight on a connection are refused as a flood', async context => {
 	const {open, refused, countCalls} = await startFixture(context);
 	const socket = await open();
 	socket.resume();
 	socket.write(Buffer.concat(Array.from({length: 5000}, (_, id) => encodeRequest(id))));
 	await expectClosed(socket);
 	assert.deepEqual(refused, ['flood']);
-	await expectSoon('none is under way', () => countCalls() === 0);
+	await expectSoon('no request is in flight', () => countCalls() === 0);
 });
 
-test('answers that nobody reads are held up to a bound', async context => {
+test('unread responses are buffered up to a limit', async context => {
 	const {open, refused} = await startFixture(context);
 	const socket = await open();
 	socket.pause();
@@ -122,11 +122,11 @@
 		socket.write(encode({type: 'config', id}));
 	}
 
-	await expectSoon('it is refused', () => refused.length > 0);
+	await expectSoon('the connection is refused', () => refused.length > 0);
 	assert.deepEqual(refused, ['flood']);
 });
 
-test('frames that are never whole are held up to a bound over all connections, and what they held is given back', async context => {
+test('incomplete frames are buffered up to a limit over all connections, and a closed connection releases its bytes', async context => {
 	const {open, refused, countCalls} = await startFixture(context);
 	const sockets = [await open(), await open()];
 	const part = Buffer.concat([encodeFrameHead({type: 'body', id: 1, body: Buffer.alloc(60_000_000)}), Buffer.alloc(50_000_000)]);
@@ -135,7 +135,7 @@
 		socket.write(part);
 	}
 
-	await expectSoon('one is closed', () => sockets.some(socket => socket.destroyed || socket.readableEnded));
+	await expectSoon('one connection is closed', () => sockets.some(socket => socket.destroyed || socket.readableEnded));
 	const held = sockets.find(socket => !socket.destroyed && !socket.readableEnded)!;
 	const frames: Frame[] = [];
 	const reader = createFrameReader();
@@ -144,13 +144,13 @@
 	});
 	held.write(Buffer.alloc(10_000_000));
 	held.write(encode({type: 'ping', id: 5}));
-	await expectSoon('the other is answered', () => frames.some(({type}) => type === 'pong'));
-	// What it held, and what it holds no more, leave room for others.
+	await expectSoon('the other connection receives a pong', () => frames.some(({type}) => type === 'pong'));
+	// The closed connection and the completed frame have released their bytes, so there is room for another connection.
 	const last = await open();
 	last.on('data', () => undefined);
 	last.write(part);
 	last.write(Buffer.alloc(10_000_000));
 	last.write(encodeRequest(2));
-	await expectSoon('its request is under way', () => countCalls() === 1);
+	await expectSoon('the request of the last connection is in flight', () => countCalls() === 1);
 	assert.deepEqual(refused, ['flood']);
 });
--- a/src/lib/forwarding/gate-server.ts
+++ b/src/lib/forwarding/gate-server.ts
@@ -1,6 +1,6 @@
 /**
- * Takes requests of other nodes for the backend server beside this one, and
- * hands the configuration in force to nodes that lack it.
+ * Accepts requests from other nodes for the backend server beside this node, and
+ * sends the active configuration to nodes that ask for it.
  *
  * @module
  */
@@ -24,56 +24,56 @@
 /** @internal */
 export type GateServerContext = {
 	readonly gate: LocalGate;
-	/** What a node is sent that has a version of the configuration. */
+	/** Returns the response to a node that has the given version of the configuration. */
 	readonly getConfig: (version: number) => EncodedConfigAnswer;
-	/** Lets whatever has arrived meanwhile be heard, if this process lags behind. */
+	/** Waits until pending input has been handled if the event loop of this process lags. */
 	readonly catchUp: LoopLag['catchUp'];
 	readonly log: MeshLog;
 	readonly refusals: Refusals;
-	/** Writes to the link of this VM. */
+	/** Writes frames at the rate of this VM's link. */
 	readonly link: LinkWriter;
 };
 
 /** @internal */
 export type GateServer = {
 	readonly server: Server;
-	/** Answers, or connections with answers, that have not left yet. */
+	/** Returns the number of queued large responses plus the number of connections with unsent bytes. */
 	readonly countUnsent: () => number;
-	/** Closes every connection once what was written to it has been read; settles when that is done, or does not come about soon. */
+	/** Closes each connection once the other node has read what was written to it. Resolves when all are closed, or after a timeout. */
 	readonly dispose: () => Promise<void>;
 };
 
-/** One request under way on a connection. */
+/** A request in flight on a connection. */
 type IncomingRequest = {
 	readonly scope: CallScope;
-	/** Takes the body of an offer; `undefined` if none is waited for. */
+	/** Receives the body of an offered request; `undefined` if the gate has not asked for it. */
 	handleBody: ((body: Uint8Array) => void) | undefined;
 };
 
 type Connection = {
 	readonly socket: Socket;
-	/** Where it comes from, for people: a socket that has closed does not tell any more. */
+	/** Remote address for log records, stored because a closed socket no longer has it. */
 	readonly peerAddress: string;
 	readonly requests: Map<number, IncomingRequest>;
-	/** Bytes of a frame that is not whole yet. */
+	/** Bytes buffered for an incomplete frame. */
 	bufferedBytes: number;
 };
 
-/** More than any node sends, of something that this one holds for it. */
+/** Another node exceeds a limit on what this node buffers or keeps for it. */
 class FloodError extends Error {}
 
-/** Requests under way on one connection at the most: many times what nodes of the users have. */
+/** Maximum number of requests in flight on one connection, many times what the users' nodes have. */
 const maxIncomingRequestCount = 4096;
 
-/** What connections may hold of frames that are not whole yet. Bytes: a third of what the smallest VMs of the users give a process, as much as the entry holds of bodies. */
+/** Maximum bytes buffered for incomplete frames over all connections: a third of the memory of a process on the users' smallest VMs, and as much as the entry buffers for request bodies. */
 const maxBufferedBytes = 83_886_080;
 
-/** Answers that a node may leave unread. Bytes: several times the largest configuration, and more than all the answers that are read in a second over the fastest links of the users. */
+/** Maximum unsent response bytes on a connection that asks for the configuration: several times the largest configuration, and more than the users' fastest links carry in a second. */
 const maxUnreadBytes = 33_554_432;
 
 /**
- * What other nodes may take to read the last answers once a node has nothing else to do. Milliseconds: they read at once unless they stand still, and a
- * megabyte in the system's buffers takes 0.8 s over the slowest links of the users, most of which has passed by then.
+ * How long shutdown waits for other nodes to read the last responses. Other nodes read at once unless they hang. A megabyte
+ * in the system's send buffers takes 0.8 s over the users' slowest links, but most of that time has passed before shutdown.
  */
 const closeTimeoutMs = 300;
 
@@ -84,7 +84,9 @@
 }
 
 /**
- * @param context - The gate and what it works with.
+ * Creates the server that accepts requests from other nodes.
+ *
+ * @param context - The gate and its dependencies.
  * @returns The server, not listening yet.
  * @internal
  */
@@ -93,11 +95,11 @@
 	const connections = new Set<Connection>();
 	let bufferedBytes = 0;
 
-	/** Asks for the body of an offer once a slot is held. */
+	/** Requests the body of an offered request, once the request holds a slot. */
 	const fetchBody = async (connection: Connection, id: number, incoming: IncomingRequest): Promise<Uint8Array> => new Promise((resolve, reject) => {
 		incoming.handleBody = resolve;
 		incoming.scope.subscribe(() => {
-			reject(new Error('the caller has gone'));
+			reject(new Error('call was cancelled'));
 		});
 		link.write(connection.socket, {type: 'continue', id});
 	});
@@ -113,24 +115,24 @@
 			});
 		} catch (error) {
 			log.record('error', {kind: 'node-failed', reason: (error as Error).stack ?? String(error)});
-			return {result: createMayHaveRun('wrong-answer', 'a fault of the gate'), load: undefined};
+			return {result: createMayHaveRun('wrong-answer', 'internal error of the gate'), load: undefined};
 		}
 	};
 
-	/** An id that is under way already would have its answers taken for those of another request. */
+	/** Refuses an id that is already in flight, because its responses could not be told apart, and too many requests. */
 	const checkRequest = ({requests}: Connection, {id}: Frame): void => {
 		if (requests.has(id)) {
-			throw new FieldError('frame.id', id, 'one that is not under way on this connection');
+			throw new FieldError('frame.id', id, 'an id that is not in flight on this connection');
 		}
 
 		if (requests.size >= maxIncomingRequestCount) {
-			throw new FloodError(`more than ${maxIncomingRequestCount} requests under way on one connection`);
+			throw new FloodError(`more than ${maxIncomingRequestCount} requests in flight on one connection`);
 		}
 	};
 
 	const checkUnread = ({socket}: Connection, maxBytes = maxUnreadBytes): void => {
 		if (socket.writableLength + link.countQueuedBytes(socket) > maxBytes) {
-			throw new FloodError(`more than ${maxBytes} bytes of answers that are not read`);
+			throw new FloodError(`more than ${maxBytes} bytes of unread responses on one connection`);
 		}
 	};
 
@@ -155,7 +157,7 @@
 			case 'offer': {
 				const request = decodePeerRequest(frame.head);
 				checkRequest(connection, frame);
-				// Large answers of servers wait for a slow link by right.
+				// The higher limit applies because large responses legitimately queue for a slow link.
 				checkUnread(connection, maxBufferedBytes);
 				void handleRequest(connection, frame, request);
 				break;
@@ -174,13 +176,13 @@
 
 			case 'config': {
 				checkUnread(connection);
-				// Whoever asks serves by an older version meanwhile.
+				// Urgent, because the other node routes by an older version until it has this one.
 				link.writeUrgent(connection.socket, {type: 'answer', id: frame.id, ...getConfig(decodeConfigRequest(frame.head))});
 				break;
 			}
 
 			case 'ping': {
-				// Whoever asks whether the connection works may be waiting for large answers on it.
+				// The higher limit applies because large responses may legitimately queue on a connection that is probed.
 				checkUnread(connection, maxBufferedBytes);
 				link.write(connection.socket, {type: 'pong', id: frame.id});
 				break;
@@ -189,7 +191,7 @@
 			case 'continue':
 			case 'answer':
 			case 'pong': {
-				throw new FieldError('frame.type', frame.type, 'one of those that a node sends that asks');
+				throw new FieldError('frame.type', frame.type, 'request, offer, body, cancel, config or ping');
 			}
 		}
 	};
@@ -204,11 +206,11 @@
 			kind: 'peer-refused', cause, place: connection.peerAddress, reason,
 		});
 		connection.socket.destroy();
-		// At once, so that the next connection is not refused for what this one held.
+		// Releases the bytes now instead of on close, so that they do not count against the next connection.
 		updateBufferedBytes(connection, 0);
 	};
 
-	/** Reads what has arrived; counts what is held of frames that are not whole. */
+	/** Handles the frames in received bytes and accounts for the bytes of an incomplete frame. */
 	const readBytes = (connection: Connection, reader: FrameReader, bytes: Uint8Array): void => {
 		for (const frame of reader.read(bytes)) {
 			handleFrame(connection, frame);
@@ -216,7 +218,7 @@
 
 		updateBufferedBytes(connection, reader.countHeldBytes());
 		if (bufferedBytes > maxBufferedBytes) {
-			throw new FloodError(`more than ${maxBufferedBytes} bytes of frames that are not whole`);
+			throw new FloodError(`more than ${maxBufferedBytes} bytes of incomplete frames over all connections`);
 		}
 	};
 
@@ -238,7 +240,7 @@
 			}
 		});
 		socket.on('error', () => {
-			// What it means for the requests is told by the close that follows.
+			// The close event that follows cancels the requests.
 		});
 		socket.once('close', () => {
 			updateBufferedBytes(connection, 0);
@@ -251,7 +253,7 @@
 		server,
 		countUnsent: () => link.countQueued() + countUnsent(Array.from(connections, ({socket}) => socket)),
 		async dispose() {
-			// A connection that is destroyed while something unread arrives on it is reset, and the system drops what had not been read there.
+			// Destroying a socket with unread input sends a reset, and the other node then loses bytes that it has not read yet. An orderly end avoids this.
 			const closed = Promise.all(Array.from(connections, async ({socket}) => new Promise(resolve => {
 				socket.once('close', resolve);
 				socket.end();
--- a/src/lib/forwarding/leaving-gate.test.ts
+++ b/src/lib/forwarding/leaving-gate.test.ts
@@ -1,4 +1,4 @@
-/** Answers on their way from a gate, while it is asked something or goes. */
+/** Tests that responses in transit from a gate are not lost when the gate is probed or shuts down. */
 import assert from 'node:assert/strict';
 import {connect, type AddressInfo, type Socket} from 'node:net';
 import {setTimeout as sleep} from 'node:timers/promises';
@@ -17,7 +17,7 @@
 
 type Fixture = {
 	readonly gate: GateServer;
-	/** The connection of another node. */
+	/** Connection from another node. */
 	readonly socket: Socket;
 	readonly refused: readonly unknown[];
 	readonly countAnswers: () => number;
@@ -70,7 +70,7 @@
 	});
 };
 
-test('answers that wait for a slow link are not cut because it is asked whether the connection works', async context => {
+test('responses queued for a slow link are not cut off by a liveness probe', async context => {
 	const {socket, refused, countAnswers} = await startGate(context, 20_000_000);
 	socket.pause();
 	sendRequest(socket, 1);
@@ -84,13 +84,13 @@
 	assert.equal(countAnswers(), 2);
 });
 
-for (const [what, isAsked] of [['whoever reads it sends nothing more', false], ['whoever reads it asks for something meanwhile', true]] as const) {
-	test(`an answer that counts as sent arrives although the gate goes, when ${what}`, async context => {
+for (const [what, isAsked] of [['the other node sends nothing more', false], ['the other node sends a ping meanwhile', true]] as const) {
+	test(`a response that counts as sent arrives although the gate shuts down, when ${what}`, async context => {
 		const {gate, socket, countAnswers, countBytes} = await startGate(context, 1_500_000);
 		socket.pause();
 		sendRequest(socket, 1);
 		await sleep(300);
-		context.diagnostic(`unsent ${gate.countUnsent()} when it goes`);
+		context.diagnostic(`${gate.countUnsent()} unsent when the gate shuts down`);
 		const wasLeft = gate.countUnsent() === 0;
 		gate.dispose();
 		if (isAsked) {
--- a/src/lib/forwarding/link-pacer.test.ts
+++ b/src/lib/forwarding/link-pacer.test.ts
@@ -3,7 +3,7 @@
 import fc from 'fast-check';
 import {createLinkPacer} from './link-pacer.js';
 
-test('property: pieces leave no faster than the link carries them, and the link does not run dry', () => {
+test('property: bytes are written no faster than the link carries them, and the link is never idle', () => {
 	fc.assert(fc.property(fc.integer({min: 1, max: 1000}), fc.array(fc.integer({min: 1, max: 400}), {minLength: 20, maxLength: 100}), (linkMbps, smallBytes) => {
 		const pacer = createLinkPacer(linkMbps);
 		let now = 5000;
@@ -17,12 +17,12 @@
 
 		const carried = linkMbps * 1000 / 8 * (now - 5000);
 		const queueMs = (sent - carried) / (linkMbps * 1000 / 8);
-		assert.ok(queueMs <= 100, `${queueMs} ms wait on the link`);
+		assert.ok(queueMs <= 100, `${queueMs} ms of queueing delay on the link`);
 		assert.ok(sent >= carried * 0.8, `${sent} bytes of ${carried}`);
 	}));
 });
 
-test('what was not handed over while the link was idle is not made up for later', () => {
+test('an idle link does not allow a larger burst later', () => {
 	const pacer = createLinkPacer(10);
 	pacer.record(pacer.pieceBytes, 0);
 	assert.equal(pacer.computeWaitMs(60_000), 0);
--- a/src/lib/forwarding/link-pacer.ts
+++ b/src/lib/forwarding/link-pacer.ts
@@ -1,7 +1,7 @@
 /**
- * When a node may hand its system more bytes for the link of its VM: the decision part. What the system has taken
- * leaves in its order, and whatever is sent next waits behind it, so that large answers are handed over no faster than
- * the link carries them.
+ * Token bucket that decides when a node may write more bytes to the link of its VM. The operating system sends bytes in
+ * the order in which they are written, so later writes wait behind earlier ones. Large responses are therefore written no
+ * faster than the link carries them.
  *
  * @module
  */
@@ -9,25 +9,27 @@
 
 /** @internal */
 export type LinkPacer = {
-	/** Bytes that are handed over in one piece at the most. */
+	/** Maximum bytes per write. */
 	readonly pieceBytes: number;
-	/** Notes bytes that were handed over. Small ones are noted as well, and never wait. */
+	/** Records written bytes. Small frames are recorded too, but never wait. */
 	readonly record: (bytes: number, now: number) => void;
-	/** Milliseconds until the next piece may be handed over. */
+	/** Returns the milliseconds until the next write is allowed. */
 	readonly computeWaitMs: (now: number) => number;
 };
 
-/** What the link is handed ahead of time, in milliseconds of it: enough that it does not run dry between two turns of a busy process. */
+/** How far writes may be ahead of the link. Enough to keep the link busy between two event loop iterations of a busy process. */
 const burstMs = 20;
 
 /**
- * @param linkMbps - Megabits a second of the link; 0 if they are not known, so that nothing waits.
- * @returns The pacer of a link that carries nothing yet.
+ * Creates the pacer of an idle link.
+ *
+ * @param linkMbps - Bandwidth of the link in megabits per second; 0 if unknown, so that no write waits.
+ * @returns The pacer.
  * @internal
  */
 export function createLinkPacer(linkMbps: number): LinkPacer {
 	const bytesPerMs = computeLinkPace(linkMbps);
-	/** When the link has carried all that was handed over, in steady milliseconds. */
+	/** Time at which the link has carried all written bytes, in steady milliseconds. */
 	let drainedAt = 0;
 	return {
 		pieceBytes: Math.ceil(bytesPerMs * burstMs),
--- a/src/lib/forwarding/link-writer.test.ts
+++ b/src/lib/forwarding/link-writer.test.ts
@@ -8,7 +8,7 @@
 import {createFrameReader, type Frame} from './frame.js';
 import {createLinkWriter} from './link-writer.js';
 
-/** Connections whose other ends read nothing until they are told to. */
+/** Opens connections whose far ends are paused. */
 async function openPairs(context: TestContext, count: number): Promise<ReadonlyArray<{readonly near: Socket; readonly far: Socket; readonly frames: Frame[]}>> {
 	const ends: Socket[] = [];
 	const server = createServer({pauseOnConnect: true}, socket => {
@@ -41,17 +41,17 @@
 	return pairs;
 }
 
-/** More than the buffers of a connection on this machine take. */
+/** Larger than the socket buffers of a connection on this machine. */
 const hugeBody = Buffer.alloc(24_000_000);
 
-/** Megabits a second of a link that carries it in a fifth of a second. */
+/** Bandwidth at which `hugeBody` takes a fifth of a second, in megabits per second. */
 const fastMbps = 1000;
 
-/** Takes a third of a second over the slow link. */
+/** Takes a third of a second at `slowMbps`. */
 const largeBody = Buffer.alloc(300_000);
 const slowMbps = 7;
 
-test('over a slow link large answers leave one after the other, and small ones do not wait for them', async context => {
+test('large responses are sent one after another over a slow link, and small ones do not wait for them', async context => {
 	const pairs = await openPairs(context, 4);
 	const answers = createLinkWriter(slowMbps);
 	for (const {far} of pairs) {
@@ -63,16 +63,16 @@
 	}
 
 	answers.write(pairs[3]!.near, {type: 'answer', id: 9, body: Buffer.alloc(100)});
-	await expectSoon('the small answer is there', () => pairs[3]!.frames.some(({id}) => id === 9));
+	await expectSoon('the small response has arrived', () => pairs[3]!.frames.some(({id}) => id === 9));
 	assert.deepEqual(pairs.map(({frames}) => frames.length), [0, 0, 0, 1]);
-	await expectSoon('the first one is there', () => pairs[0]!.frames.length === 1);
+	await expectSoon('the first large response has arrived', () => pairs[0]!.frames.length === 1);
 	assert.deepEqual(pairs.map(({frames}) => frames.length), [1, 0, 0, 1]);
-	await expectSoon('the third one is there', () => pairs[2]!.frames.length === 1);
+	await expectSoon('the third large response has arrived', () => pairs[2]!.frames.length === 1);
 	assert.deepEqual(pairs.map(({frames}) => frames.length), [1, 1, 1, 1]);
-	await expectSoon('the fourth one is there', () => pairs[3]!.frames.length === 2);
+	await expectSoon('the fourth large response has arrived', () => pairs[3]!.frames.length === 2);
 });
 
-test('a connection that closes gives its place back', async context => {
+test('a closed connection releases its place in the queue', async context => {
 	const pairs = await openPairs(context, 3);
 	const answers = createLinkWriter(fastMbps);
 	for (const [id, {near}] of pairs.entries()) {
@@ -82,11 +82,11 @@
 
 	pairs[0]!.near.destroy();
 	pairs[2]!.far.resume();
-	await expectSoon('the third one leaves', () => pairs[2]!.frames.length === 1);
+	await expectSoon('the third response has arrived', () => pairs[2]!.frames.length === 1);
 	assert.equal(answers.countQueued(), 1);
 });
 
-test('nodes that do not read what they are sent do not keep the answers of others back', async context => {
+test('nodes that do not read do not delay the responses to other nodes', async context => {
 	const pairs = await openPairs(context, 3);
 	const answers = createLinkWriter(fastMbps);
 	for (const [id, {near}] of pairs.entries()) {
@@ -94,12 +94,12 @@
 	}
 
 	pairs[2]!.far.resume();
-	await expectSoon('the third one leaves', () => pairs[2]!.frames.length === 1);
+	await expectSoon('the third response has arrived', () => pairs[2]!.frames.length === 1);
 	assert.deepEqual(pairs.map(({frames}) => frames.length), [0, 0, 1]);
 	assert.equal(answers.countQueued(), 2);
 });
 
-test('answers that wait for room on the link are counted until they leave', async context => {
+test('responses queued for the link are counted until they are sent', async context => {
 	const pairs = await openPairs(context, 4);
 	const answers = createLinkWriter(fastMbps);
 	for (const [id, {near}] of pairs.entries()) {
@@ -112,11 +112,11 @@
 		far.resume();
 	}
 
-	await expectSoon('all have left', () => answers.countQueued() === 0 && pairs.every(({near}) => near.writableLength === 0));
+	await expectSoon('all responses are sent', () => answers.countQueued() === 0 && pairs.every(({near}) => near.writableLength === 0));
 	await expectSoon('all have arrived', () => pairs.every(({frames}) => frames.length === 1));
 });
 
-test('an answer that nobody waits for any more does not leave, unless it has begun to', async context => {
+test('a cancelled response is not sent unless it is partly written', async context => {
 	const [pair] = await openPairs(context, 1);
 	const answers = createLinkWriter(slowMbps);
 	pair!.far.resume();
@@ -126,12 +126,12 @@
 
 	answers.cancel(pair!.near, 1);
 	answers.cancel(pair!.near, 2);
-	await expectSoon('what is left has arrived', () => pair!.frames.length === 2);
+	await expectSoon('the remaining responses have arrived', () => pair!.frames.length === 2);
 	assert.deepEqual(pair!.frames.map(({id, body}) => [id, body.length]), [[1, largeBody.length], [3, largeBody.length]]);
 	assert.equal(answers.countQueued(), 0);
 });
 
-test('what comes while a large answer leaves on the same connection follows it whole, and what goes first does not wait for others', async context => {
+test('frames queued behind a large response on the same connection are sent after it, and urgent frames do not wait for other connections', async context => {
 	const pairs = await openPairs(context, 2);
 	const answers = createLinkWriter(slowMbps);
 	for (const {far} of pairs) {
--- a/src/lib/forwarding/link-writer.ts
+++ b/src/lib/forwarding/link-writer.ts
@@ -1,8 +1,8 @@
 /**
- * Sends frames over the link of this VM, large ones piece by piece and no
- * faster than the link carries them. Handed over all at once they would hold up
- * whatever is sent after them, for as long as all of them take: a new
- * connection, a question for the configuration, a heartbeat, a small answer.
+ * Writes frames to the link of this VM, large ones in pieces and no faster than the
+ * link carries them. Large frames written at once would delay everything sent after
+ * them until all of them are sent: new connections, configuration requests,
+ * heartbeats and small responses (head-of-line blocking).
  *
  * @module
  */
@@ -16,57 +16,59 @@
 
 /** @internal */
 export type LinkWriter = {
-	/** Writes a frame; one with a large body when the link has room. Frames of one connection never mix. Calls back once the connection has taken it. */
+	/** Writes a frame. A frame with a large body waits until the link has capacity. Frames of one connection are never interleaved. Calls back once the socket has accepted the whole frame. */
 	readonly write: (socket: Socket, frame: LinkFrame, handleWritten?: () => void) => void;
-	/** Writes a frame before all that wait for the link, whatever its size. */
+	/** Writes a frame of any size before all queued large frames, but never inside one that is already being written on the same connection. */
 	readonly writeUrgent: (socket: Socket, frame: LinkFrame) => void;
-	/** Nobody waits for a frame any more: one that has not begun to leave stays here. */
+	/** Removes a queued large frame whose receiver no longer needs it. A frame that has been partly written is completed. */
 	readonly cancel: (socket: Socket, id: number) => void;
-	/** Large frames that have not been handed to the system as a whole. */
+	/** Returns the number of large frames that are not completely written. */
 	readonly countQueued: () => number;
-	/** Bytes that wait here, for one connection or for all. */
+	/** Returns the queued bytes of one connection, or of the large frames of all connections. */
 	readonly countQueuedBytes: (socket?: Socket) => number;
 	readonly dispose: () => void;
 };
 
-/** Bodies above this size take part. Bytes: on the slowest links of the users it takes twelve milliseconds, as long as a few small answers. */
+/** Bodies above this size are written in pieces. The users' slowest links carry this many bytes in twelve milliseconds, as long as a few small responses. */
 const largeBodyBytes = 16_384;
 
-/** How long the system may take for a piece before another frame goes on. Milliseconds. */
+/** How long a socket may take to accept a piece before another frame continues. */
 const minWaitMs = 5;
 
-/** A large frame that waits, or is on its way. */
+/** A large frame that is queued or partly written. */
 type LargeFrame = {
 	readonly socket: Socket;
 	readonly frame: LinkFrame;
 	readonly handleWritten: (() => void) | undefined;
 	readonly body: Uint8Array;
-	/** Bytes of the body that were handed over. */
+	/** Bytes of the body that have been written. */
 	sentBytes: number;
 	isStarted: boolean;
-	/** The system has not taken the last piece yet: whoever should read it does not. */
+	/** Whether the socket has not accepted the last piece yet, because the other node does not read. */
 	isBlocked: boolean;
 };
 
-/** A frame with whoever is told that it was taken. */
+/** A frame with the callback for when it has been written. */
 type QueuedFrame = readonly [frame: LinkFrame, handleWritten: (() => void) | undefined];
 
-/** Frames that came while another one was leaving on the same connection. */
+/** Frames queued behind a large frame that is being written on the same connection. */
 type FrameQueue = {
 	readonly frames: QueuedFrame[];
 	bytes: number;
 };
 
 /**
- * @param linkMbps - Megabits a second of the link.
- * @returns What writes frames; none is on its way.
+ * Creates a writer with nothing queued.
+ *
+ * @param linkMbps - Bandwidth of the link in megabits per second; 0 if unknown, so that no frame waits.
+ * @returns The writer.
  * @internal
  */
 export function createLinkWriter(linkMbps: number): LinkWriter {
 	const pacer = createLinkPacer(linkMbps);
-	/** In the order in which they came. The first that is not blocked goes on, so that few are on their way at once. */
+	/** Large frames in the order of arrival. The first one that is not blocked continues, so that few are partly written at once. */
 	let largeFrames: LargeFrame[] = [];
-	/** Connections on which a large frame is on its way. */
+	/** Queues of the connections on which a large frame is being written. */
 	const queues = new Map<Socket, FrameQueue>();
 	let timer: NodeJS.Timeout | undefined;
 
@@ -79,7 +81,7 @@
 		largeFrames = largeFrames.filter(other => other !== large);
 	};
 
-	/** The connection is free again: what came meanwhile follows. */
+	/** Writes the frames that were queued behind a large frame on a connection. */
 	const flushQueue = (socket: Socket): void => {
 		const queue = queues.get(socket);
 		queues.delete(socket);
@@ -128,7 +130,7 @@
 		});
 	};
 
-	/** One large frame at a time on a connection; one whose connection has closed takes no room. */
+	/** Whether the next piece of a frame may be written. Each connection writes one large frame at a time. */
 	const mayContinue = ({socket, isStarted, isBlocked, sentBytes, body}: LargeFrame): boolean =>
 		!isBlocked && sentBytes < body.length && (isStarted || !queues.has(socket));
 
@@ -153,7 +155,7 @@
 			writePiece(next);
 		}
 
-		// The system mostly takes a piece at once, and the same frame goes on; if it does not by then, another one does.
+		// The socket usually accepts a piece at once and its callback continues with the same frame. Otherwise the timer continues with another frame.
 		timer = setTimeout(sendNext, Math.max(waitMs, minWaitMs));
 	};
 
--- a/src/lib/forwarding/local-gate.test.ts
+++ b/src/lib/forwarding/local-gate.test.ts
@@ -25,17 +25,17 @@
 	readonly quarantine: Quarantine;
 	/** Ids of the calls that arrived. */
 	readonly arrived: string[];
-	/** Cuts all connections to the server. */
+	/** Closes all connections to the server. */
 	readonly cutAll: () => void;
-	/** Answers the first call that is still open. */
+	/** Responds to the oldest unanswered call. */
 	readonly answerNext: () => void;
 	readonly announce: (changes?: Partial<ServerAnnouncement>) => void;
 	readonly createCall: (call: string) => GateCall;
-	/** Bytes of answers that wait for the link. */
+	/** Response bytes queued for the link. */
 	queuedBytes: number;
 };
 
-/** A gate before a server with one slot that answers when it is told to. */
+/** Creates a gate for a server with one slot that responds only on `answerNext`. */
 async function createFixture(context: TestContext, isLeaving: () => boolean = () => false): Promise<Fixture> {
 	const arrived: string[] = [];
 	const open: ServerResponse[] = [];
@@ -101,7 +101,7 @@
 	assert.ok(!fixture.arrived.includes('late'));
 }
 
-test('a server that said that it drains, or that it leaves, gets nothing from its own gate either', async context => {
+test('a server that announced draining or sent a leave gets no requests from its own gate', async context => {
 	const draining = await createFixture(context);
 	draining.announce({isDraining: true});
 	await expectRefusal(draining, 'draining');
@@ -110,11 +110,11 @@
 	await expectRefusal(left, 'draining');
 });
 
-test('a node that leaves takes nothing new for its server', async context => {
+test('a leaving node refuses new requests for its server', async context => {
 	await expectRefusal(await createFixture(context, () => true), 'draining');
 });
 
-test('a request that waits for a slot while the server says that it leaves is turned away', async context => {
+test('a request that waits for a slot when the server sends a leave is refused', async context => {
 	const fixture = await createFixture(context);
 	const first = fixture.gate.run(fixture.createCall('first'));
 	await waitForArrival(fixture);
@@ -128,7 +128,7 @@
 	assert.deepEqual(fixture.arrived, ['first']);
 });
 
-test('a request whose large answer would wait longer for the link than it may is turned away at once, any other one runs', async context => {
+test('a request whose large response would wait too long for the link is refused at once; others run', async context => {
 	const fixture = await createFixture(context);
 	fixture.queuedBytes = 1_000_000;
 	const {result} = await fixture.gate.run({...fixture.createCall('late'), answerMayWaitMs: 700});
@@ -142,7 +142,7 @@
 	await small;
 	fixture.queuedBytes = 300_000;
 	const patient = fixture.gate.run({...fixture.createCall('patient'), answerMayWaitMs: 700});
-	await expectSoon('it arrives', () => fixture.arrived.includes('patient'));
+	await expectSoon('the request arrives', () => fixture.arrived.includes('patient'));
 	fixture.answerNext();
 	const answered = await patient;
 	assert.equal(answered.result.type, 'answered');
@@ -150,7 +150,7 @@
 
 const later: ServerLifetime = {id, startedAt: 2000};
 
-test('when a server starts again, what was sent to the earlier start may have run, and its slot is free', async context => {
+test('when a server restarts, requests sent to the earlier lifetime may have been executed, and their slots are free', async context => {
 	const fixture = await createFixture(context);
 	const sent = fixture.gate.run(fixture.createCall('first'));
 	await waitForArrival(fixture);
@@ -158,9 +158,9 @@
 	const {result} = await sent;
 	assert.ok(result.type === 'failed');
 	assert.deepEqual([result.verdict, result.reason], ['may-have-run', 'server-crashed']);
-	// One request is at the server, by its own count; the earlier start is told by the end of its connection.
+	// Only one request counts against the new lifetime. The earlier one notices the cancellation by its closed connection.
 	const next = fixture.gate.run(fixture.createCall('next'));
-	await expectSoon('the next one arrives', () => fixture.arrived.includes('next'));
+	await expectSoon('the next request arrives', () => fixture.arrived.includes('next'));
 	fixture.answerNext();
 	fixture.answerNext();
 	assert.equal((await next).result.type, 'answered');
@@ -168,10 +168,10 @@
 	assert.equal(fixture.gate.countRequests(), 0);
 });
 
-/** The mark of each call of a fixture: all ask for the same. */
+/** Fingerprint of the fixture's calls, which all request the same target. */
 const fingerprint = createSampleMark('/logs/1');
 
-test('a server that has started again before its end was read has crashed: what was in work there is suspected', async context => {
+test('a restart that is announced before the connection close is read counts as a crash, and the running request is suspected', async context => {
 	const fixture = await createFixture(context);
 	const sent = fixture.gate.run(fixture.createCall('first'));
 	await waitForArrival(fixture);
@@ -181,7 +181,7 @@
 	assert.equal(fixture.quarantine.judge(fingerprint).type, 'trial');
 });
 
-test('one of another id at the same address is there after a crash, one at another address is not', async context => {
+test('a server with another id counts as a crash of the old one at the same address, but not at another address', async context => {
 	const other: ServerLifetime = {id: toBackendServerId('i-2'), startedAt: 3000};
 	const sameAddress = await createFixture(context);
 	const sent = sameAddress.gate.run(sameAddress.createCall('first'));
@@ -200,11 +200,11 @@
 });
 
 /**
- * What was seen: a page ended a server 4 ms after its run there had been given up; the crash named 12 other requests and not that one.
- *
- * Cause: a server that does not drop a request whose connection closes goes on with it, and what had been given up was not taken for in work.
+ * Guards against a crash report without the request that caused the crash: one crashed its server 4 ms after it was
+ * abandoned, and the report named 12 other requests instead. A server that does not cancel a request when its connection
+ * closes still executes it, so abandoned requests have to be suspects too.
  */
-test('what was given up while the server may be at work on it is suspected when the server crashes, with or without others in work', async context => {
+test('an abandoned request that the server may still execute is suspected when the server crashes, with or without other running requests', async context => {
 	for (const isAlone of [true, false]) {
 		const fixture = await createFixture(context);
 		const left = fixture.createCall('left');
@@ -215,21 +215,21 @@
 		assert.equal(fixture.quarantine.judge(fingerprint).type, 'free');
 		const other = fixture.gate.run({...fixture.createCall('other'), target: '/logs/other'});
 		if (isAlone) {
-			await expectSoon('the other one arrives', () => fixture.arrived.includes('other'));
+			await expectSoon('the other request arrives', () => fixture.arrived.includes('other'));
 			fixture.answerNext();
 			fixture.answerNext();
 			await other;
 		} else {
-			await expectSoon('the other one arrives', () => fixture.arrived.includes('other'));
+			await expectSoon('the other request arrives', () => fixture.arrived.includes('other'));
 		}
 
 		fixture.announce({lifetime: later});
 		await other;
-		await expectSoon('it is suspected', () => fixture.quarantine.judge(fingerprint).type === 'trial');
+		await expectSoon('the abandoned request is suspected', () => fixture.quarantine.judge(fingerprint).type === 'trial');
 	}
 });
 
-test('a server that leaves and ends has not crashed', async context => {
+test('the end of a draining server is not a crash', async context => {
 	const fixture = await createFixture(context);
 	const sent = fixture.gate.run(fixture.createCall('first'));
 	await waitForArrival(fixture);
@@ -239,9 +239,9 @@
 	assert.equal(fixture.quarantine.judge(fingerprint).type, 'free');
 });
 
-test('when a server starts again, who waits for a slot of the earlier start is told at once that it has not run', async context => {
+test('when a server restarts, requests that wait for a slot of the earlier lifetime are refused at once as not executed', async context => {
 	const fixture = await createFixture(context);
-	// It holds the slot until its body has arrived.
+	// This request holds the slot until its body arrives.
 	let sendBody = (): void => undefined;
 	const body = new Promise<Uint8Array>(resolve => {
 		sendBody = () => {
@@ -260,7 +260,7 @@
 	assert.deepEqual(fixture.arrived, []);
 });
 
-test('a body that arrives after its server has started again is not sent to the later start past its slots', async context => {
+test('a request whose body arrives after its server restarted is not sent to the new lifetime, where it holds no slot', async context => {
 	const fixture = await createFixture(context);
 	let sendBody = (): void => undefined;
 	const body = new Promise<Uint8Array>(resolve => {
@@ -276,7 +276,7 @@
 	assert.deepEqual(fixture.arrived, []);
 });
 
-test('a server that starts again inherits no failures, no doubt and no leaving', async context => {
+test('a restarted server inherits no failure rate, no unreachable state and no draining state', async context => {
 	const fixture = await createFixture(context);
 	const failing = fixture.gate.run(fixture.createCall('first'));
 	await waitForArrival(fixture);
@@ -291,13 +291,13 @@
 	});
 });
 
-test('a request for another server than the one that is there is turned away', async context => {
+test('a request for another server than the current one is refused', async context => {
 	const fixture = await createFixture(context);
 	fixture.announce({lifetime: {id: toBackendServerId('i-2'), startedAt: 1}});
 	await expectRefusal(fixture, 'gone');
 });
 
-test('large bodies come in over a slow link two at a time; who would wait too long for it is refused, small requests are not', async context => {
+test('a slow link receives two large bodies at a time; an upload that would wait too long is refused, small requests are not', async context => {
 	const {gate, arrived, announce, createCall, answerNext} = await createFixture(context);
 	announce({slots: 8});
 	const bodies: Array<(body: Uint8Array) => void> = [];
@@ -314,10 +314,10 @@
 	await expectSoon('the small request arrives', () => arrived.includes('s1'));
 	assert.equal(bodies.length, 2);
 	bodies[0]?.(new Uint8Array(5));
-	await expectSoon('the third body is asked for', () => bodies.length === 3);
+	await expectSoon('the third body is requested', () => bodies.length === 3);
 	bodies[1]?.(new Uint8Array(5));
 	bodies[2]?.(new Uint8Array(5));
-	await expectSoon('all have arrived', () => arrived.length === 4);
+	await expectSoon('all requests have arrived', () => arrived.length === 4);
 	for (let open = 0; open < 4; open++) {
 		answerNext();
 	}
@@ -326,7 +326,7 @@
 	assert.ok(results.every(({result}) => result.type === 'answered'));
 });
 
-test('a large body that does not come gives its place on the link back', async context => {
+test('a large body that does not arrive releases its place on the link', async context => {
 	const {gate, announce, createCall, arrived, answerNext} = await createFixture(context);
 	announce({slots: 8});
 	const fail = (name: string): GateCall => ({
@@ -343,7 +343,7 @@
 	assert.equal((await whole).result.type, 'answered');
 });
 
-test('connections to a server that have gone silent cost one request, not one each', async context => {
+test('half-open connections to a server lose one request in total, not one each', async context => {
 	const silent = new WeakSet<Socket>();
 	const sockets = new Set<Socket>();
 	const server = createServer((request, response) => {
@@ -387,7 +387,7 @@
 		silent.add(socket);
 	}
 
-	// A request counts as lost after eight times what requests took here, which a busy machine makes longer.
+	// A request counts as lost after eight times the measured service time, which is longer on a busy machine.
 	const lostAfterMs = Math.max(600, ((gate.describe()?.serviceMs ?? 0) * 8) + 100);
 	const lost = run('lost', lostAfterMs + 300);
 	await new Promise(resolve => {
@@ -398,7 +398,7 @@
 	assert.equal(await lost, 'failed');
 });
 
-test('a request in work at a server that has left and works on is answered by it, although another one is there by then', async context => {
+test('a request running at a server that has left still gets its response after another server has replaced it', async context => {
 	const fixture = await createFixture(context);
 	const first = fixture.gate.run(fixture.createCall('first'));
 	await waitForArrival(fixture);
@@ -409,7 +409,7 @@
 	assert.equal(result.type === 'answered' ? 'answered' : result.reason, 'answered');
 });
 
-test('a late answer to an earlier request does not end the one that is in work on its connection', async context => {
+test('a late duplicate response to the previous request does not end the current request on the connection', async context => {
 	const {createServer: createNetServer} = await import('node:net');
 	const formatAnswer = (call: string, body: string): string => `HTTP/1.1 200 OK\r\nx-call: ${call}\r\nx-signature: s\r\ncontent-length: ${body.length}\r\n\r\n${body}`;
 	let requests = 0;
@@ -450,7 +450,8 @@
 		const scope = createCallScope(performance.now() + 3000);
 		context.after(scope.dispose);
 		return {
-			id: call, server: id, method: 'GET', target: '/', headers: {}, readBody: async () => undefined, callerService: 'hall', rank: 1, mayWaitMs: 1000, hasBody: false, isLargeUpload: false, scope,
+			id: call, server: id, method: 'GET', target: '/', headers: {}, readBody: async () => undefined,
+			callerService: 'hall', rank: 1, mayWaitMs: 1000, hasBody: false, isLargeUpload: false, scope,
 		};
 	};
 
--- a/src/lib/forwarding/local-gate.ts
+++ b/src/lib/forwarding/local-gate.ts
@@ -1,7 +1,7 @@
 /**
- * The gate before the backend server beside this node: the only way to it.
- * Because every request passes here, the number in work is exact, and what is
- * turned away here has certainly not run.
+ * The gate: admission control for the backend server beside this node. Every request
+ * to that server passes the gate, so its count of running requests is exact, and a
+ * request that it refuses has certainly not been executed.
  *
  * @module
  */
@@ -32,17 +32,17 @@
 
 /** A request at the gate. @internal */
 export type GateCall = SessionCall & {
-	/** Which backend server the sender means. Whichever lifetime of it runs takes the request: it was sent to no earlier one. */
+	/** Backend server that the sender chose. Any lifetime of it may execute the request, since the request was not sent to an earlier one. */
 	readonly server: BackendServerId;
-	/** 0 goes first. */
+	/** Priority; 0 is the highest. */
 	readonly rank: number;
-	/** Milliseconds that it may wait for a slot. */
+	/** Maximum expected wait for a slot, in milliseconds. */
 	readonly mayWaitMs: number;
-	/** Whether it has a body, which is there once a slot is held. */
+	/** Whether the request has a body, which is read once it holds a slot. */
 	readonly hasBody: boolean;
-	/** Its body is large and comes from another VM. */
+	/** Whether the body is large and comes from another VM. */
 	readonly isLargeUpload: boolean;
-	/** Milliseconds that its answer may be expected to wait for the link, if it is large and goes to another VM. */
+	/** Maximum expected wait of the response for the link, in milliseconds; `undefined` unless the response is large and goes to another VM. */
 	readonly answerMayWaitMs?: number | undefined;
 };
 
@@ -50,15 +50,15 @@
 export type LocalGateContext = {
 	readonly wire: WireHeaders;
 	readonly log: MeshLog;
-	/** Told whenever the other nodes should hear of a change at once. */
+	/** Called when a change should be announced to the other nodes at once. */
 	readonly handleChange: () => void;
-	/** Connections that the backend server accepts from this node. */
+	/** Returns the maximum number of connections that the backend server accepts from this node. */
 	readonly getMaxConnections: (service: string) => number;
 	readonly isLeaving: () => boolean;
 	readonly quarantine: ServerSessionContext['quarantine'] & Pick<Quarantine, 'countSuspects'>;
-	/** Megabits a second of this VM's link. */
+	/** Bandwidth of this VM's link, in megabits per second. */
 	readonly linkMbps: number;
-	/** Bytes of answers that wait for the link. */
+	/** Returns the response bytes queued for the link. */
 	readonly countQueuedBytes: () => number;
 };
 
@@ -66,23 +66,23 @@
 export type LocalGate = {
 	readonly run: (call: GateCall) => Promise<GateResult>;
 	readonly announce: (announcement: ServerAnnouncement) => void;
-	/** The server leaves; from here on it gets no new work. One that may be an earlier start's late word is refused, so that nobody relies on it. */
+	/** Handles a leave of the server, which gets no new requests from then on. Returns a refusal if the leave may be a late message of an earlier lifetime. */
 	readonly leave: (leave: ServerLeave) => Result<undefined, CallRefusal>;
 	readonly describe: () => ServerReport | undefined;
 	readonly countRequests: () => number;
 	readonly dispose: () => void;
 };
 
-/** A server that has been silent for this many milliseconds is named in the log; it goes on being used while it answers. */
+/** Time without an announcement after which a warning is logged. The server stays in use while it responds to requests. */
 const silenceWarningMs = 8000;
 
-/** A refusal leaves this long before the time is over, in milliseconds, so that it arrives as one. */
+/** How long before the deadline a waiting request is refused, so that the refusal arrives before the caller times out. */
 const refusalMarginMs = 40;
 
 /**
- * Creates the gate; it turns everything away until a server announces itself.
+ * Creates the gate. It refuses every request until a server announces itself.
  *
- * @param context - What it works with.
+ * @param context - The dependencies of the gate.
  * @returns The gate.
  * @internal
  */
@@ -90,9 +90,9 @@
 	const {wire, log, handleChange, quarantine} = context;
 	let state: LocalServerState = noLocalServer;
 	let session: ServerSession | undefined;
-	/** Whose session it is, also once the server was forgotten. */
+	/** The server of the session, kept after the state has forgotten that server. */
 	let sessionServer: LocalServer | undefined;
-	/** Sessions of servers of other ids that are at work still. */
+	/** Sessions of servers with other ids that may still have running requests. */
 	let retiredSessions: readonly ServerSession[] = [];
 	const uploadLimit = createUploadLimit(context.linkMbps);
 	const linkDemand = createLinkDemand(context.linkMbps);
@@ -110,7 +110,10 @@
 		};
 	};
 
-	/** A server that starts again has lost what it was at work on. One of another id may work on: it said that it leaves, or the new one's word was a late one. */
+	/**
+	 * Closes the session of a replaced server. A server that restarted has lost its running requests. One with another id may
+	 * still finish them: it may have left in order, or the announcement of the new server was a late message.
+	 */
 	const closeSession = (closed: ServerSession, before: LocalServer, next: LocalServer): void => {
 		const hasSameId = before.announcement.lifetime.id === next.announcement.lifetime.id;
 		if (!before.isLeaving && (hasSameId || before.announcement.address === next.announcement.address)) {
@@ -181,19 +184,19 @@
 		}
 	};
 
-	/** Finds what is held for the server that a call means, or why it cannot go there. */
+	/** Returns the session for a call, or the reason why its server accepts no requests. */
 	const findSession = (call: GateCall): ServerSession | ForwardFailure => {
 		const {current} = state;
 		if (session === undefined || current?.announcement.lifetime.id !== call.server) {
-			return createNotRun('gone', `${call.server} is not beside this node`);
+			return createNotRun('gone', `backend server ${call.server} does not run beside this node`);
 		}
 
 		if (current.isLeaving || context.isLeaving()) {
-			return createNotRun('draining', `${call.server} takes no new work`);
+			return createNotRun('draining', `backend server ${call.server} is draining and accepts no new requests`);
 		}
 
 		if (current.doubtedUntil > readSteadyMs()) {
-			return createNotRun('server-unreachable', `${call.server} could not be reached a moment ago`, unreachableBackoffMs);
+			return createNotRun('server-unreachable', `backend server ${call.server} refused or timed out a recent connection`, unreachableBackoffMs);
 		}
 
 		return session;
@@ -219,16 +222,16 @@
 			}
 
 			case 'gone': {
-				return refuse(call, createNotRun('gone', `${call.server} has started again, or another server is there`));
+				return refuse(call, createNotRun('gone', `backend server ${call.server} has restarted or was replaced`));
 			}
 
 			case 'cancelled': {
-				return createNotRun(call.scope.getEnd() ?? 'cancelled', 'the caller has gone');
+				return createNotRun(call.scope.getEnd() ?? 'cancelled', 'call was cancelled');
 			}
 		}
 	};
 
-	/** What may crash the server takes no slot, and no place among those that wait for one, before it may run. With a body that is known only once it is here. */
+	/** Refuses a quarantined request before it takes a slot or a place in the wait queue. A request with a body is checked later, since its fingerprint depends on the body. */
 	const checkQuarantine = async (call: GateCall): Promise<ForwardFailure | undefined> => {
 		if (call.hasBody) {
 			return undefined;
@@ -240,7 +243,7 @@
 		return judgement.type === 'refused' ? refuse(call, createNotRun('quarantined', describeQuarantine(judgement), judgement.retryAfterMs)) : undefined;
 	};
 
-	/** Has a call wait for the link first if its body is large, so that no slot is held for bodies that wait. */
+	/** Runs a call with a large body. It waits for the link before it takes a slot, so that no slot is idle while bodies queue for the link. */
 	const runLargeUpload = async (call: GateCall): Promise<ForwardResult> => {
 		const found = findSession(call);
 		if ('type' in found) {
@@ -249,7 +252,7 @@
 
 		const upload = await uploadLimit.acquire(createSlotRequest(call));
 		if ('type' in upload) {
-			return handleSlotRefusal(call, upload, 'the link carries as many large bodies as it can');
+			return handleSlotRefusal(call, upload, 'maximum number of concurrent large uploads over the link reached');
 		}
 
 		const readBody = async (): Promise<Uint8Array | undefined> => {
@@ -265,11 +268,11 @@
 		}
 	};
 
-	/** How long the answer to a call would wait for the link. A small one does not wait. */
+	/** Estimates how long the response to a call waits for the link, in milliseconds; 0 for a small response. */
 	const computeLinkWaitMs = (target: ServerSession, {answerMayWaitMs}: GateCall): number =>
 		answerMayWaitMs === undefined ? 0 : linkDemand.computeWaitMs(context.countQueuedBytes(), target.describe().serviceMs);
 
-	/** Counts the answer among those that the link has to carry. */
+	/** Runs a call and counts its large response towards the demand on the link. */
 	const runWithLargeResponse = async (target: ServerSession, call: GateCall): Promise<ForwardResult> => {
 		const end = linkDemand.begin();
 		let bytes = 0;
@@ -290,7 +293,7 @@
 
 		const linkWaitMs = computeLinkWaitMs(found, call);
 		if (linkWaitMs > (call.answerMayWaitMs ?? 0)) {
-			return refuse(call, createNotRun('full', 'the link carries as many large answers as it can in time', linkWaitMs));
+			return refuse(call, createNotRun('full', 'large responses queued for the link exceed the maximum wait of the response', linkWaitMs));
 		}
 
 		const slot = await found.acquire(createSlotRequest(call));
@@ -298,7 +301,7 @@
 			return handleSlotRefusal(call, slot, slot.type === 'full' ? slot.reason : '');
 		}
 
-		// The server may have begun to leave while the request waited. If it has started again, its earlier session runs nothing.
+		// The server may have started to drain while the request waited. If it has restarted, its old session runs nothing.
 		const current = findSession(call);
 		if ('type' in current) {
 			found.release();
@@ -337,15 +340,15 @@
 			}
 		},
 		announce(announcement) {
-			applyStep(acceptAnnouncement(state, announcement, readSteadyMs()), 'it said that it drains');
+			applyStep(acceptAnnouncement(state, announcement, readSteadyMs()), 'server announced that it is draining');
 		},
 		leave(leave) {
 			const now = readSteadyMs();
 			if (isAmbiguousLeave(state, leave, now)) {
-				return err({cause: 'start', text: `start: found nothing, must be which start of ${leave.id} leaves, since it started again a moment ago`});
+				return err({cause: 'start', text: `start: found nothing, must be the start time of ${leave.id} that leaves, since it restarted a moment ago`});
 			}
 
-			applyStep(acceptLeave(state, leave, now), 'it said that it leaves');
+			applyStep(acceptLeave(state, leave, now), 'server announced that it leaves');
 			return ok(undefined);
 		},
 		describe() {
--- a/src/lib/forwarding/refused-connection.test.ts
+++ b/src/lib/forwarding/refused-connection.test.ts
@@ -4,7 +4,7 @@
 import {toAddress} from '../common/ids.js';
 import {isRefusingConnections} from './refused-connection.js';
 
-test('a server that listens does not refuse; nobody does', async () => {
+test('a listening server does not refuse connections; an address without a listener does', async () => {
 	const server = createServer();
 	await new Promise<void>(resolve => {
 		server.listen(0, '127.0.0.1', resolve);
@@ -17,11 +17,11 @@
 	assert.equal(await isRefusingConnections(address, 1000), true);
 });
 
-test('a process that was busy for longer than it would wait still reads what had come meanwhile', async () => {
+test('a process that was busy for longer than the timeout still reads a refusal that arrived meanwhile', async () => {
 	const asked = isRefusingConnections(toAddress('127.0.0.1:1'), 20);
 	const until = performance.now() + 80;
 	while (performance.now() < until) {
-		// Busy: the refusal has come, and the time is over, when the loop looks again.
+		// Blocks the event loop, so that both the refusal and the timeout are due in its next iteration.
 	}
 
 	assert.equal(await asked, true);
--- a/src/lib/forwarding/refused-connection.ts
+++ b/src/lib/forwarding/refused-connection.ts
@@ -1,5 +1,5 @@
 /**
- * Asks whether anybody listens at an address.
+ * Checks whether an address refuses connections, which shows that no process listens there.
  *
  * @module
  */
@@ -8,9 +8,11 @@
 import {type Address} from '../common/ids.js';
 
 /**
- * @param address - Where a server listened.
- * @param timeoutMs - After so many milliseconds without an answer nothing is known.
- * @returns Whether a connection was refused, so that nobody listens there. `false` if one was taken, and if nothing is known.
+ * Checks whether an address refuses connections.
+ *
+ * @param address - Address at which a server listened.
+ * @param timeoutMs - Milliseconds to wait for the connection attempt.
+ * @returns Whether the connection was refused. `false` if it was accepted, timed out or failed otherwise.
  * @internal
  */
 export async function isRefusingConnections(address: Address, timeoutMs: number): Promise<boolean> {
@@ -23,7 +25,7 @@
 			resolve(isRefusing);
 		};
 
-		// Timers come before what has arrived in a turn of the loop: a busy process looks at both once more.
+		// An event loop iteration runs timers before it reads sockets. Two more iterations let a process that was busy see a refusal that has already arrived.
 		const timer = setTimeout(() => {
 			setImmediate(() => {
 				setImmediate(finish, false);
--- a/src/lib/forwarding/response-format-error.ts
+++ b/src/lib/forwarding/response-format-error.ts
@@ -1,8 +1,8 @@
 /**
- * What is said of bytes that are no answer.
+ * The error for bytes that are not a valid HTTP response.
  *
  * @module
  */
 
-/** Bytes that are no answer. @internal */
+/** The bytes received from the backend server are not a valid HTTP/1.1 response. @internal */
 export class ResponseFormatError extends Error {}
--- a/src/lib/forwarding/response-parser.ts
+++ b/src/lib/forwarding/response-parser.ts
@@ -1,11 +1,11 @@
 /**
- * Reads one HTTP/1.1 answer out of the bytes of a connection, strictly: whatever
- * could be read in two ways is refused, since the rest of it would be taken for the
- * next answer.
+ * Parses one HTTP/1.1 response from the bytes of a connection. The parser is strict:
+ * it refuses every ambiguous response, because a wrong length would make the rest of
+ * this response look like the next one (response splitting).
  *
- * Node.js has a client that does this. It builds four objects with streams and
- * listeners for each request, which on a small VM, where code is mostly cold, is
- * a good part of what a call costs its node.
+ * The HTTP client of Node.js is not used because it creates four objects with streams
+ * and listeners for each request. On a small VM, where most code is not yet optimized,
+ * that is a large part of a call's CPU time.
  *
  * @module
  */
@@ -14,16 +14,16 @@
 import {ResponseFormatError} from './response-format-error.js';
 import {createChunkedBodyReader, toBuffer, type ChunkedBodyReader} from './chunked-body-reader.js';
 
-/** A whole answer. @internal */
+/** A complete response. @internal */
 export type CompleteResponse = {
 	readonly status: number;
 	readonly headers: IncomingHttpHeaders;
 	readonly body: Uint8Array;
-	/** Whether the connection may carry another request. */
+	/** Whether the connection can be reused for another request. */
 	readonly isReusable: boolean;
 };
 
-/** The head of an answer whose body may still come. @internal */
+/** The status and headers of a response whose body may be incomplete. @internal */
 export type ResponseHead = {
 	readonly status: number;
 	readonly headers: IncomingHttpHeaders;
@@ -31,43 +31,43 @@
 
 /** @internal */
 export type ResponseParser = {
-	/** Takes bytes; yields the answer once it is whole. Throws if the bytes are no answer. */
+	/** Parses more bytes. Returns the response once it is complete. Throws a ResponseFormatError if the bytes are not a valid response. */
 	readonly read: (bytes: Uint8Array) => CompleteResponse | undefined;
-	/** The head, as soon as it has been read. */
+	/** Returns the status and headers once they are parsed. */
 	readonly getHead: () => ResponseHead | undefined;
-	/** Whether only the end of the connection tells where the answer ends. */
+	/** Whether the response has neither a length nor chunks, so that it ends when the connection closes. */
 	readonly isCloseDelimited: () => boolean;
-	/** The connection has ended in order; yields the answer if that makes it whole. */
+	/** Handles an orderly close of the connection. Returns the response if the close completes it. */
 	readonly end: () => CompleteResponse | undefined;
-	/** Whether more bytes came than the answer has. */
+	/** Whether bytes follow the complete response. */
 	readonly hasExcessBytes: () => boolean;
-	/** Takes the bytes behind the whole answer. */
+	/** Removes and returns the bytes after the complete response. */
 	readonly takeExcessBytes: () => Uint8Array;
 };
 
-/** A longer head is no head of a server. Bytes, as Node.js has it by default. */
+/** Maximum size of the status line and headers, the default of Node.js. */
 const maxHeadBytes = 16_384;
 
-/** A longer answer is not taken. Bytes: it is held whole, and has to fit into one frame with its head; several times the largest answers of the users. */
+/** Maximum size of a response. A response is buffered whole and must fit into one frame with its head. Several times the users' largest response. */
 const maxResponseBytes = 100_663_296;
 
-/** Heads before that of the answer, such as 100: servers send one or two. */
+/** Maximum number of heads up to and including the final one. Servers send one or two interim responses, such as 100 Continue. */
 const maxInterimResponseCount = 32;
 
 const statusLinePattern = /^HTTP\/1\.([01]) (\d{3})(?: [^\r\n]*)?$/;
 const fieldNamePattern = /^[\w!#$%&'*+.^`|~-]+$/;
 const digitsPattern = /^\d+$/;
 
-/** What the value of a field cannot be written with to the caller. */
+/** Characters that a header value sent to the caller must not contain. */
 const forbiddenValueCharacters = /[^\t\u0020-\u007E\u0080-\u00FF]/;
 
-/** Statuses whose answers have no body, and need no length. */
+/** Statuses whose responses have no body and need no Content-Length. */
 const bodilessStatuses: ReadonlySet<number> = new Set([204, 304]);
 
-/** Fields that a server may send several times and that cannot be joined into one. */
+/** Headers that may occur several times and cannot be combined into one value. */
 const multiValueFields: ReadonlySet<string> = new Set(['set-cookie']);
 
-/** Fields that tell how the answer is framed: a second one would tell something else. */
+/** Headers that determine the length of the response. A second one makes the length ambiguous. */
 const singleValueFields: ReadonlySet<string> = new Set(['content-length', 'transfer-encoding']);
 
 type Framing =
@@ -82,22 +82,22 @@
 	const colon = line.indexOf(':');
 	const name = line.slice(0, Math.max(0, colon)).toLowerCase();
 	if (!fieldNamePattern.test(name)) {
-		throw new ResponseFormatError('a field of the head that has no name');
+		throw new ResponseFormatError('response header line has no valid name');
 	}
 
 	const value = line.slice(colon + 1).trim();
 	if (forbiddenValueCharacters.test(value)) {
-		throw new ResponseFormatError(`the field ${name} holds what no field can`);
+		throw new ResponseFormatError(`response header ${name} contains a control character`);
 	}
 
-	// Names that every object has are names like any others here.
+	// Object.hasOwn, because a header may be named like a property of Object.prototype, such as constructor.
 	const existing = Object.hasOwn(headers, name) ? headers[name] : undefined;
 	if (existing === undefined) {
 		headers[name] = multiValueFields.has(name) ? [value] : value;
 	} else if (Array.isArray(existing)) {
 		existing.push(value);
 	} else if (singleValueFields.has(name)) {
-		throw new ResponseFormatError(`${name} came twice`);
+		throw new ResponseFormatError(`response has more than one ${name} header`);
 	} else {
 		headers[name] = `${existing}, ${value}`;
 	}
@@ -111,7 +111,7 @@
 	const {'transfer-encoding': encoding, 'content-length': length} = headers;
 	if (encoding !== undefined) {
 		if (encoding.toLowerCase() !== 'chunked' || length !== undefined) {
-			throw new ResponseFormatError('the length of the answer can be read in two ways');
+			throw new ResponseFormatError('response length is ambiguous: expected either Transfer-Encoding: chunked or Content-Length');
 		}
 
 		return {type: 'chunked'};
@@ -122,11 +122,11 @@
 	}
 
 	if (!digitsPattern.test(length) || !Number.isSafeInteger(Number(length))) {
-		throw new ResponseFormatError('a length that is no number');
+		throw new ResponseFormatError('Content-Length of the response is not a decimal integer');
 	}
 
 	if (Number(length) > maxResponseBytes) {
-		throw new ResponseFormatError(`an answer of more than ${maxResponseBytes} bytes`);
+		throw new ResponseFormatError(`response is larger than ${maxResponseBytes} bytes`);
 	}
 
 	return {type: 'length', bytes: Number(length)};
@@ -141,7 +141,7 @@
 	const [statusLine = '', ...lines] = text.split('\r\n');
 	const [, minor, statusDigits] = statusLinePattern.exec(statusLine) ?? [];
 	if (minor === undefined || statusDigits === undefined) {
-		throw new ResponseFormatError('the first line is none of an answer');
+		throw new ResponseFormatError('response does not start with an HTTP/1.x status line');
 	}
 
 	const headers: Record<string, string | string[]> = {};
@@ -157,8 +157,10 @@
 }
 
 /**
- * @param method - Method of the request, which tells whether a body follows.
- * @returns A reader that has seen nothing yet.
+ * Creates a parser for one response.
+ *
+ * @param method - Method of the request. A response to HEAD has no body.
+ * @returns The parser.
  * @internal
  */
 export function createResponseParser(method: string): ResponseParser {
@@ -168,7 +170,7 @@
 	let isComplete = false;
 	let receivedBytes = 0;
 	let interimCount = 0;
-	/** Bodies of a known length are joined once, not with each piece. */
+	/** Parts of the body, joined once when it is complete: joining with each part would copy it many times. */
 	const pieces: Uint8Array[] = [];
 	let piecesBytes = 0;
 
@@ -176,7 +178,6 @@
 		buffered = buffered.length === 0 ? bytes : Buffer.concat([buffered, bytes]);
 	};
 
-	/** Bodies of a known length are joined once, not with each piece. */
 	const finish = (body: Uint8Array): CompleteResponse => {
 		isComplete = true;
 		const {status, headers, isReusable} = head!;
@@ -189,7 +190,7 @@
 		const end = toBuffer(buffered).indexOf('\r\n\r\n');
 		if (end === -1) {
 			if (buffered.length > maxHeadBytes) {
-				throw new ResponseFormatError('a head that does not end');
+				throw new ResponseFormatError('response head is too large');
 			}
 
 			return false;
@@ -198,12 +199,12 @@
 		const parsed = parseHead(toBuffer(buffered).toString('latin1', 0, end), method);
 		buffered = buffered.subarray(end + 4);
 		if (parsed.status === 101) {
-			throw new ResponseFormatError('another protocol was not asked for');
+			throw new ResponseFormatError('response 101 Switching Protocols to a request without Upgrade');
 		}
 
 		interimCount++;
 		if (interimCount > maxInterimResponseCount) {
-			throw new ResponseFormatError('interim answers that do not end');
+			throw new ResponseFormatError('too many interim responses');
 		}
 
 		if (parsed.status >= 200) {
@@ -253,7 +254,7 @@
 		read(bytes) {
 			receivedBytes += bytes.length;
 			if (receivedBytes > maxResponseBytes) {
-				throw new ResponseFormatError(`an answer of more than ${maxResponseBytes} bytes`);
+				throw new ResponseFormatError(`response is larger than ${maxResponseBytes} bytes`);
 			}
 
 			addBytes(bytes);
--- a/src/lib/forwarding/server-connection-pool.test.ts
+++ b/src/lib/forwarding/server-connection-pool.test.ts
@@ -11,13 +11,13 @@
 
 type Fixture = {
 	readonly server: Server;
-	/** Connections that the server has accepted. */
+	/** Connections that the server accepted. */
 	readonly sockets: readonly Socket[];
 	readonly pool: ServerConnectionPool;
 	readonly get: (target: string) => Promise<ExchangeResult>;
 };
 
-/** A server that says the same on each request, whatever it is. */
+/** Starts a server that sends the same bytes whenever it receives any. */
 async function startRawServer(context: TestContext, text: string): Promise<{readonly sockets: readonly Socket[]; readonly pool: ServerConnectionPool}> {
 	const sockets: Socket[] = [];
 	const server = createRawServer(socket => {
@@ -49,7 +49,7 @@
 	return result;
 }
 
-/** A server that answers with the path, and connections to it. */
+/** Starts a server that responds with the request's path, and creates a pool for it. */
 async function startFixture(context: TestContext, limits: {readonly maxConnections?: number; readonly idleMs?: number} = {}): Promise<Fixture> {
 	const sockets: Socket[] = [];
 	const server = createServer((request, response) => {
@@ -79,7 +79,7 @@
 
 const readBody = (result: ExchangeResult): string => result.type === 'answered' ? new TextDecoder().decode(result.body) : result.reason;
 
-test('a connection carries one request after another, and each gets its own answer', async context => {
+test('a connection is reused for sequential requests, and each gets its own response', async context => {
 	const {sockets, get} = await startFixture(context);
 	assert.equal(readBody(await get('/a')), '/a');
 	assert.equal(readBody(await get('/b')), '/b');
@@ -89,7 +89,7 @@
 	assert.equal(sockets.length, 2);
 });
 
-test('no more connections are opened than may be; what comes beyond waits for one', async context => {
+test('at most the maximum number of connections is opened; further requests wait for one', async context => {
 	const {sockets, get} = await startFixture(context, {maxConnections: 2});
 	const targets = ['/a', '/b', '/c', '/d', '/e'];
 	const results = await Promise.all(targets.map(async target => get(target)));
@@ -97,7 +97,7 @@
 	assert.equal(sockets.length, 2);
 });
 
-test('a connection that is too old is not used again', async context => {
+test('a connection that was idle for too long is not reused', async context => {
 	const {sockets, get} = await startFixture(context, {idleMs: 30});
 	await get('/a');
 	await new Promise(resolve => {
@@ -107,40 +107,40 @@
 	assert.equal(sockets.length, 2);
 });
 
-test('a connection on which more came than the answer is not used again', async context => {
+test('a connection with bytes after the response is not reused', async context => {
 	const {sockets, pool} = await startRawServer(context, 'HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nokHTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nother');
 	assert.equal(readBody(await sendOver(pool, '/a')), 'ok');
 	assert.equal(readBody(await sendOver(pool, '/b')), 'ok');
 	assert.equal(sockets.length, 2);
 });
 
-test('a connection on which something arrives unasked is not used again', async context => {
+test('a connection that receives bytes without a request is not reused', async context => {
 	const {sockets, get} = await startFixture(context);
 	await get('/a');
 	sockets[0]!.write('HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nother');
-	await expectSoon('it is closed', () => sockets[0]!.destroyed);
+	await expectSoon('the connection is closed', () => sockets[0]!.destroyed);
 	assert.equal(readBody(await get('/b')), '/b');
 	assert.equal(sockets.length, 2);
 });
 
-test('after a renewal new connections are made, and what is under way on the old ones is answered', async context => {
+test('after a renewal new connections are opened, and requests in flight on the old ones still get their responses', async context => {
 	const {sockets, pool, get} = await startFixture(context);
 	const before = get('/a');
-	await expectSoon('it is connected', () => sockets.length === 1);
+	await expectSoon('the first request is connected', () => sockets.length === 1);
 	pool.renew();
 	const after = get('/b');
 	assert.equal(readBody(await before), '/a');
 	assert.equal(readBody(await after), '/b');
 	assert.equal(sockets.length, 2);
-	await expectSoon('the old one is closed', () => sockets[0]!.destroyed);
+	await expectSoon('the old connection is closed', () => sockets[0]!.destroyed);
 });
 
-test('a server that is not there has certainly not got the request; one that goes away may have', async context => {
+test('a refused connection proves that the request was not sent; a lost connection does not', async context => {
 	const {server, sockets, get} = await startFixture(context);
-	const cut = get('/a');
-	await expectSoon('it is connected', () => sockets.length === 1);
+	const interrupted = get('/a');
+	await expectSoon('the request is connected', () => sockets.length === 1);
 	sockets[0]!.destroy();
-	const lost = await cut;
+	const lost = await interrupted;
 	assert.deepEqual([lost.type, lost.type === 'failed' && lost.isSent], ['failed', true]);
 	server.closeAllConnections();
 	await new Promise(resolve => {
@@ -150,7 +150,7 @@
 	assert.deepEqual([refused.type, refused.type === 'failed' && refused.isSent], ['failed', false]);
 });
 
-test('a request whose parts would be read as something else is not written', () => {
+test('a request whose method, target or headers would change the structure of the head is not sent', () => {
 	const bad = [
 		{method: 'GET', target: '/a b', headers: {}},
 		{method: 'GET', target: '/a\r\nx: y', headers: {}},
@@ -164,7 +164,7 @@
 	}
 });
 
-test('a request without a body says so where one is usual', () => {
+test('a request without a body has content-length: 0 if its method usually has a body', () => {
 	const encode = (method: string): string => encodeRequestHead({
 		method, target: '/', headers: {host: 'h'}, body: undefined,
 	});
--- a/src/lib/forwarding/server-connection-pool.ts
+++ b/src/lib/forwarding/server-connection-pool.ts
@@ -1,6 +1,7 @@
 /**
- * Connections to the backend server, one request on each at a time. A connection
- * on which anything arrives while no request is under way is never used again.
+ * Pool of connections to the backend server, each with one request at a time. A
+ * connection that receives bytes while no request is in flight is closed, because
+ * they would be read as the response to the next request.
  *
  * @module
  */
@@ -9,39 +10,39 @@
 import {readSteadyMs} from '../common/clock.js';
 import {type Address} from '../common/ids.js';
 
-/** Told of what happens on a connection while a request is under way there. @internal */
+/** Handles the events of a connection while a request is in flight on it. @internal */
 export type ConnectionListener = {
 	readonly handleBytes: (bytes: Uint8Array) => void;
-	/** The other side will send nothing more. */
+	/** Called when the server has closed its side of the connection. */
 	readonly handleEnd: () => void;
-	/** The connection is gone. */
+	/** Called when the connection is closed. */
 	readonly handleClosed: (reason: string) => void;
 };
 
-/** A request that a connection carried. @internal */
+/** The request that a connection is assigned to. @internal */
 export type AssignedCall = {readonly id: string; readonly method: string};
 
-/** A connection that one request has for itself. @internal */
+/** A connection used exclusively by one request. @internal */
 export type ServerConnection = {
 	readonly isConnected: () => boolean;
-	/** Notes which request it carries now; yields the one before, which a server may answer a second time. */
+	/** Assigns the connection to a request. Returns the previous request, to which a server may send a duplicate response. */
 	readonly startCall: (call: AssignedCall) => AssignedCall | undefined;
-	/** Writes the head of a request, and its body. */
+	/** Writes the head and the body of a request. */
 	readonly write: (head: string, body: Uint8Array | undefined) => void;
-	/** Writes an empty connection, which no server takes for a request; yields whether the other side has closed in order. */
+	/** Writes an empty line, which servers ignore before a request. Calls back with whether the write succeeded, which shows that the server closed the connection in order instead of resetting it. */
 	readonly checkOrderlyEnd: (handleResult: (isOrderly: boolean) => void) => void;
-	/** Gives it back for the next request, which must come within so many milliseconds. */
+	/** Returns the connection to the pool; it is reused only within `idleMs` milliseconds. */
 	readonly release: (idleMs: number) => void;
 	readonly destroy: () => void;
 };
 
 /** @internal */
 export type ServerConnectionPool = {
-	/** Takes an idle connection, or opens one; waits while as many are open as may be. */
+	/** Returns an idle connection or opens one. Waits while the maximum number of connections is in use. */
 	readonly acquire: (listener: ConnectionListener) => Promise<ServerConnection>;
-	/** From here on requests get new connections. What is under way on the old ones may still be answered. */
+	/** Makes later requests use new connections. Requests in flight on the old ones can still finish. */
 	readonly renew: () => void;
-	/** Closes all of them; no other one is opened. */
+	/** Closes all connections; no new one is opened afterwards. */
 	readonly dispose: () => void;
 };
 
@@ -49,28 +50,30 @@
 export type ServerConnectionPoolOptions = {
 	readonly address: Address;
 	readonly maxConnections: number;
-	/** Idle connections older than this are not used any more, in milliseconds. */
+	/** Maximum idle time of a reusable connection, in milliseconds. */
 	readonly idleMs: number;
-	/** Milliseconds until a new connection must be up. */
+	/** Connect timeout, in milliseconds. */
 	readonly connectTimeoutMs: number;
 };
 
-/** An open connection. */
+/** A connection that is opening or open. */
 type PooledConnection = {
 	readonly socket: Socket;
 	listener: ConnectionListener | undefined;
 	isConnected: boolean;
-	/** It is closed after the request that it carries. */
+	/** Whether the connection is closed after its current request. */
 	isRetired: boolean;
-	/** Until when it may be used again, in steady milliseconds. */
+	/** Time until which the idle connection may be reused, in steady milliseconds. */
 	reusableUntil: number;
 	closeReason: string;
 	call: AssignedCall | undefined;
 };
 
 /**
- * @param options - Where the server listens, and limits.
- * @returns Connections, none open yet.
+ * Creates a pool without open connections.
+ *
+ * @param options - Address of the server, and limits.
+ * @returns The pool.
  * @internal
  */
 export function createServerConnectionPool(options: ServerConnectionPoolOptions): ServerConnectionPool {
@@ -94,7 +97,7 @@
 	};
 
 	const open = (listener: ConnectionListener): PooledConnection => {
-		// A half that the server has closed stays open here, so that an orderly end can be told from a reset.
+		// With allowHalfOpen the writable side stays open after the server closes its side, so that a write can tell an orderly close from a reset.
 		const socket = connect({
 			host, port, noDelay: true, allowHalfOpen: true,
 		});
@@ -112,7 +115,7 @@
 		});
 		socket.on('data', (bytes: Uint8Array) => {
 			if (connection.listener === undefined) {
-				// Nobody has asked for anything: it belongs to no request.
+				// The bytes belong to no request.
 				socket.destroy();
 				return;
 			}
@@ -165,7 +168,7 @@
 			connection.listener = undefined;
 			const {socket} = connection;
 			const keepMs = Math.min(options.idleMs, idleMs);
-			// What is left to write belongs to a request that has its answer: the next one would come behind it.
+			// Unsent bytes belong to a request that already has its response. The next request would wait behind them.
 			if (connection.isRetired || keepMs <= 0 || socket.writableLength > 0 || socket.destroyed) {
 				socket.destroy();
 				return;
@@ -181,7 +184,7 @@
 		},
 	});
 
-	/** The one that was used last goes first, so that those that are not needed grow old. */
+	/** Returns the most recently used idle connection, so that surplus connections expire. */
 	const acquireIdle = (listener: ConnectionListener): PooledConnection | undefined => {
 		const now = readSteadyMs();
 		for (let connection = idle.pop(); connection !== undefined; connection = idle.pop()) {
@@ -213,7 +216,7 @@
 				});
 			}
 
-			throw new Error('the server is there no more');
+			throw new Error('connection pool of the backend server is closed');
 		},
 		renew() {
 			for (const connection of idle.splice(0)) {
--- a/src/lib/forwarding/server-session.ts
+++ b/src/lib/forwarding/server-session.ts
@@ -1,7 +1,7 @@
 /**
- * What the gate holds for one lifetime of the backend server: its slots, the
- * connections to it, and how its answers fared. All of it ends with the
- * lifetime, and nothing of it is handed on to the next one.
+ * The state that the gate keeps for one lifetime of the backend server: its slots, its
+ * connection pool and its failure rate. The state ends with the lifetime; the next
+ * lifetime starts with a new session.
  *
  * @module
  */
@@ -24,14 +24,14 @@
 import {isRefusingConnections} from './refused-connection.js';
 import {createSilentConnections} from './silent-connections.js';
 
-/** A request for the server, which holds a slot. @internal */
+/** A request for the server that holds a slot. @internal */
 export type SessionCall = {
 	readonly id: string;
 	readonly method: string;
 	readonly target: string;
-	/** Headers to pass on. */
+	/** Headers to forward. */
 	readonly headers: Readonly<Record<string, string | readonly string[]>>;
-	/** Reads the body, once a slot is held. */
+	/** Reads the body, called once the request holds a slot. */
 	readonly readBody: () => Promise<Uint8Array | undefined>;
 	readonly callerService: string;
 	readonly scope: CallScope;
@@ -41,73 +41,76 @@
 export type ServerSessionContext = {
 	readonly wire: WireHeaders;
 	readonly log: MeshLog;
-	/** Connections that the server accepts from this node. */
+	/** Maximum number of connections that the server accepts from this node. */
 	readonly maxConnections: number;
-	/** The server could not be reached. */
+	/** Called when the server could not be reached, or has crashed. */
 	readonly handleUnreachable: (lifetime: ServerLifetime, reason: string) => void;
 	readonly quarantine: Pick<Quarantine, 'judge' | 'settle' | 'admitRun' | 'noteCrash' | 'noteAnswered'>;
-	/** Whether the server, or its node, leaves: its end is no crash then. */
+	/** Whether the server or its node is leaving, so that the end of the server is not a crash. */
 	readonly isLeaving: () => boolean;
-	/** Another server answered at the address. */
+	/** Called when another server responded at the address (status 421). */
 	readonly handleMisdirected: (lifetime: ServerLifetime) => void;
 };
 
-/** How busy the server is, and how its answers fared. @internal */
+/** Load and failure rate of the server. @internal */
 export type SessionLoad = {
 	readonly running: number;
 	readonly waiting: number;
 	readonly serviceMs: number;
-	/** Share of the latest requests that failed there, 0 to 1. */
+	/** Moving average of the share of failed requests, 0 to 1. */
 	readonly failureShare: number;
 };
 
 /** @internal */
 export type ServerSession = {
-	/** Asks for a slot, which `run` gives back, or `release`. */
+	/** Requests a slot, which `run` or `release` returns. */
 	readonly acquire: (request: SlotRequest) => Promise<SlotOutcome>;
 	readonly release: () => void;
 	readonly run: (call: SessionCall) => Promise<ForwardResult>;
 	readonly resize: (slots: number) => void;
 	readonly describe: () => SessionLoad;
-	/** It has ended without a word, since another start is there that took its place: what is lost from here on was in work then. A node that lags reads this before it reads the ends of the connections. */
+	/**
+	 * Records that the server has crashed, because another lifetime replaced it without a leave. Requests lost from then on
+	 * were running at the crash: a node that lags learns of the new lifetime before it reads the closed connections.
+	 */
 	readonly recordCrash: () => void;
-	/** Another server is there. What this one is at work on it may still answer; nothing more is sent to it, and who waits for a slot is told at once. */
+	/** Stops new requests because another server has replaced this one. Requests that wait for a slot are refused at once; running requests may still finish. */
 	readonly retire: () => void;
-	/** The lifetime is over, and what it was at work on lost: it may have run. */
+	/** Ends the session and closes its connections. Requests in flight fail as `may-have-run`. */
 	readonly end: () => void;
 };
 
-/** Idle connections to the backend server are closed after this, in milliseconds, if it does not say how long it keeps them: the shortest limit seen is some seconds. */
+/** Maximum idle time of a connection to the backend server. The shortest keep-alive timeout of servers that send no Keep-Alive header is some seconds. */
 const idleConnectionMs = 4000;
 
-/** A backend server on the same VM answers a connection in well under a millisecond. */
+/** Connect timeout. A backend server on the same VM accepts a connection in well under a millisecond. */
 const connectTimeoutMs = 400;
 
-/** A server that could not be reached is tried again after this, in milliseconds: a restart takes about as long. @internal */
+/** Backoff after a failed connection to the server: a restart takes about as long. @internal */
 export const unreachableBackoffMs = 500;
 
-/** A server on the same VM takes or refuses a connection in well under a millisecond; the answers of those that wait for this are late by it at the most. Milliseconds. */
+/** Timeout of the connection attempt that checks for a crash. A server on the same VM accepts or refuses a connection in well under a millisecond. The failure responses that wait for the check are delayed by at most this time. */
 const crashProbeTimeoutMs = 100;
 
-/** Requests that the log names when a server crashes: as many as are in work at the largest of the users' servers. */
+/** Maximum number of running requests that the log lists when a server crashes: as many as run at the users' largest server. */
 const maxLoggedSuspectCount = 20;
 
-/** Weight of the newest request in the share of failures: some ten requests make it. */
+/** Weight of the newest request in the moving average of failures, which covers about ten requests. */
 const failureWeight = 0.1;
 
-/** Time that is taken off what is left when it is passed on, in milliseconds: the grace of the scope, and the way to the server. */
+/** Subtracted from the remaining time that is forwarded to the server: the grace period of the call scope, and the latency to the server. */
 const deadlineMarginMs = endGraceMs + 1;
 
-/** One request more than there are slots is at the server for so many of them. It waits there for as long as an eighth of a request takes, where no rank counts. */
+/** One extra request is sent to the server per this many slots. It waits there for about an eighth of a service time, without regard to its rank. */
 const slotsPerQueuedRequest = 8;
 
 /**
- * Counts the requests that may be at a server at once. A slot that comes free would stand idle while its answer
- * comes to the gate and the next request goes back, some three milliseconds under load; a request that
- * is there already takes it at once.
+ * Computes how many requests may be at a server at once, more than it executes. Without the extra requests a free slot
+ * would be idle while its response travels to the gate and the next request to the server, about three milliseconds under
+ * load. A request that already waits at the server takes the slot at once.
  *
- * @param slots - Requests that the server works on at once.
- * @returns Requests that may be there.
+ * @param slots - Requests that the server executes at once.
+ * @returns The maximum number of requests at the server.
  * @internal
  */
 export const computeConcurrencyLimit = (slots: number): number => slots + Math.floor(slots / slotsPerQueuedRequest);
@@ -115,32 +118,34 @@
 /** A request that was sent to the server. */
 type SentCall = {readonly id: string; readonly fingerprint: RequestMark};
 
-/** One that ended here without an answer: a server that does not drop it works on it until then, in steady milliseconds. */
+/** A sent request that was abandoned without a response. Until `expiresAt` (steady milliseconds) the server may still execute it. */
 type AbandonedCall = SentCall & {readonly expiresAt: number};
 
-/** A request that was given up is a suspect for so long at the most. Milliseconds: several times what most requests take. */
+/** Maximum time for which an abandoned request is a crash suspect: several times what most requests take. */
 const abandonedCallTtlMs = 5000;
 
-/** Requests that were given up which are remembered at the most: several times what is in work at the largest servers of the users. */
+/** Maximum number of remembered abandoned requests: several times what runs at the users' largest servers. */
 const maxAbandonedCallCount = 64;
 
 /**
- * @param call - A request.
- * @param body - Its body.
- * @returns It as the quarantine looks at it.
+ * Creates the fingerprint by which the quarantine identifies a request.
+ *
+ * @param call - The request.
+ * @param body - The body of the request.
+ * @returns The fingerprint, computed lazily.
  * @internal
  */
 export const createCallFingerprint = ({method, target, headers}: Pick<SessionCall, 'method' | 'target' | 'headers'>, body: Uint8Array | undefined): RequestMark => createRequestMark({
 	method, host: typeof headers.host === 'string' ? headers.host : '', target, body,
 });
 
-const sessionEndedFailure = createNotRun('gone', 'the backend server has started again, or another one is there');
+const sessionEndedFailure = createNotRun('gone', 'backend server has restarted or was replaced');
 
 /**
- * Opens a session; no connection is made before the first request.
+ * Opens a session. It connects to the server on the first request.
  *
- * @param announcement - What the server said of itself.
- * @param context - What it works with.
+ * @param announcement - The announcement of the server.
+ * @param context - The dependencies of the session.
  * @returns The session of an idle server.
  * @internal
  */
@@ -162,7 +167,7 @@
 		abandonedCalls = [...abandonedCalls, {id, fingerprint, expiresAt}].slice(-maxAbandonedCallCount);
 	};
 
-	/** What its caller left may be what crashed a server that worked on it all the same. */
+	/** Removes all abandoned calls and returns those that the server may still execute, since one of them may have crashed it. */
 	const removeAbandonedCalls = (): readonly SentCall[] => {
 		const now = readSteadyMs();
 		const current = abandonedCalls.filter(({expiresAt}) => expiresAt > now);
@@ -178,7 +183,7 @@
 			suspects: logged.map(({fingerprint}) => fingerprint.getFingerprint()), calls: logged.map(({id}) => id),
 		});
 		context.quarantine.noteCrash(lifetime, atWork.map(({fingerprint}) => fingerprint));
-		context.handleUnreachable(lifetime, 'it crashed');
+		context.handleUnreachable(lifetime, 'backend server crashed');
 	};
 
 	const crashWatch = createCrashWatch<SentCall>({
@@ -186,7 +191,7 @@
 		handleCrash,
 	});
 
-	/** Nothing else may have been in work when it ended. */
+	/** Reports abandoned calls to the crash watch, because they may be the only requests that were running when the server ended. */
 	const checkAbandonedCalls = (): void => {
 		for (const call of removeAbandonedCalls()) {
 			void crashWatch.noteLost(call);
@@ -224,8 +229,9 @@
 	};
 
 	/**
-	 * A request that was in work when the server crashed goes to no other server of its own accord: one that crashes whatever runs it
-	 * took as many servers at once as its route allows attempts. One that was answered elsewhere a moment ago goes on as ever.
+	 * Converts the failure of a request whose connection was lost. A request that was running when the server crashed is not
+	 * retried automatically, because a request that crashes every server would crash as many as its route allows attempts.
+	 * A request that was recently answered elsewhere is retried as usual.
 	 */
 	const convertLostConnection = async ({id}: SessionCall, fingerprint: RequestMark, failure: ExchangeFailure): Promise<ForwardFailure> => {
 		const isCrash = await crashWatch.noteLost({id, fingerprint});
@@ -235,24 +241,24 @@
 
 	const convertResponse = (response: ExchangeResponse, fingerprint: RequestMark): ForwardResult => {
 		if (response.status === 421) {
-			// Another server has the address: it is not asked again before it has said who it is.
+			// Another server has the address. It gets no requests until it has announced itself.
 			context.handleMisdirected(lifetime);
-			return {...createNotRun('gone', 'another backend server has the address'), hasArrived: true};
+			return {...createNotRun('gone', 'another backend server responds at the address'), hasArrived: true};
 		}
 
 		if (response.headers[wire.notRun] !== undefined) {
 			recordOutcome(true);
-			return {...createNotRun('shed', `the backend server answered ${response.status} and did not run it`), hasArrived: true};
+			return {...createNotRun('shed', `backend server responded with status ${response.status} and did not execute the request`), hasArrived: true};
 		}
 
 		if (response.status >= 200 && response.status < 300 && response.headers[wire.signature] === undefined) {
 			recordOutcome(true);
-			return createMayHaveRun('wrong-answer', 'a success without the signature of a backend server');
+			return createMayHaveRun('wrong-answer', 'successful response without the signature of a backend server');
 		}
 
 		const hasFailed = response.status >= 500;
 		recordOutcome(hasFailed);
-		// A failure says nothing for a request: a server may give up on one, or a call of its may fail, before it comes to what crashes it.
+		// A failure does not clear a request of suspicion: the server may fail it before it reaches the code that crashes.
 		if (!hasFailed) {
 			context.quarantine.noteAnswered(fingerprint);
 		}
@@ -279,7 +285,7 @@
 		const leftMs = Math.floor(call.scope.endsAt - now - deadlineMarginMs);
 		const ended = call.scope.getEnd();
 		if (ended !== undefined || leftMs <= 0) {
-			return createNotRun(ended ?? 'timeout', 'its time was over before it could be sent');
+			return createNotRun(ended ?? 'timeout', 'deadline passed or call ended before the request could be sent');
 		}
 
 		if (isEnded) {
@@ -288,7 +294,7 @@
 
 		if (halfOpenDetector.areDoubtful(slots.describe().serviceMs, now)) {
 			pool.renew();
-			log.record('info', {kind: 'connections-renewed', server: lifetime.id, reason: 'a request has waited for far longer than requests take'});
+			log.record('info', {kind: 'connections-renewed', server: lifetime.id, reason: 'a request has waited far longer than the average service time'});
 		}
 
 		const admission = context.quarantine.admitRun(fingerprint);
@@ -336,12 +342,12 @@
 		},
 		async run(call) {
 			const startedAt = readAwakeMs();
-			let result: ForwardResult = createNotRun('cancelled', 'the body did not arrive');
+			let result: ForwardResult = createNotRun('cancelled', 'request body did not arrive');
 			try {
 				const body = await call.readBody();
 				result = await send(call, body);
 			} catch (error) {
-				result = createNotRun('cancelled', `the body did not arrive: ${(error as Error).message}`);
+				result = createNotRun('cancelled', `request body did not arrive: ${(error as Error).message}`);
 			} finally {
 				slots.release(result.type === 'answered' && result.status < 500 ? readAwakeMs() - startedAt : undefined);
 			}
--- a/src/lib/forwarding/suspended-gate.test.ts
+++ b/src/lib/forwarding/suspended-gate.test.ts
@@ -1,5 +1,5 @@
 /**
- * A gate whose VM is suspended, in a process of its own: the clocks of other tests must not jump.
+ * Tests a gate on a VM that is suspended. The test has its own file, and so its own process, because it shifts the clocks.
  */
 import assert from 'node:assert/strict';
 import {createServer, type ServerResponse} from 'node:http';
@@ -14,7 +14,7 @@
 import {createCallScope} from './call-scope.js';
 import {createLocalGate} from './local-gate.js';
 
-test('a suspension of this VM is not taken for the speed of its server', async context => {
+test('a suspension of this VM does not count towards the service time of its server', async context => {
 	const [readNow, readUptime] = [Date.now.bind(Date), os.uptime.bind(os)];
 	let suspendedMs = 0;
 	context.mock.method(Date, 'now', () => readNow() + suspendedMs);
@@ -52,7 +52,7 @@
 		id: 'first', server: id, method: 'GET', target: '/logs/1', headers: {host: 'mesh.example'}, readBody: async () => undefined,
 		callerService: 'hall', rank: 1, mayWaitMs: 20_000, hasBody: false, isLargeUpload: false, scope,
 	});
-	await expectSoon('it arrives', () => open.length === 1);
+	await expectSoon('the request arrives', () => open.length === 1);
 	suspendedMs = 2500;
 	open[0]!.end('page');
 	assert.equal((await sent).result.type, 'answered');
--- a/src/lib/forwarding/upload-limit.ts
+++ b/src/lib/forwarding/upload-limit.ts
@@ -1,34 +1,36 @@
 /**
- * Bounds how many large bodies come in over the link of this VM at once. Over a
- * slow link more of them at a time are no faster: all of them are late, and so
- * is every small answer that has to pass between them.
+ * Limits how many large request bodies are received over the link of this VM at once.
+ * More concurrent bodies do not increase the throughput of a slow link: they delay each
+ * other and every small response sent meanwhile.
  *
  * @module
  */
 import {createSlotKeeper, type SlotOutcome, type SlotRequest} from '../admission/slot-keeper.js';
 import {readAwakeMs} from '../common/clock.js';
 
-/** What carries one body. @internal */
+/** A large request body that holds one place of the limit. @internal */
 export type Upload = {
-	/** The body is here, or will not come. */
+	/** Releases the place, when the body is complete or will not arrive. */
 	readonly end: (isWhole: boolean) => void;
 };
 
 /** @internal */
 export type UploadLimit = {
-	/** Waits for a place on the link; the outcome is as that of a slot. */
+	/** Waits for a place on the link. Returns the upload, or why there is none, with the outcomes of a slot request. */
 	readonly acquire: (request: SlotRequest) => Promise<Upload | Exclude<SlotOutcome, {readonly type: 'run'}>>;
 };
 
-/** Megabits a second of the link for each body that comes in at once. Uploads of the users have 60 KB on average: at this rate one takes 140 ms, a part of the shortest latency objective. */
+/** Bandwidth per concurrent upload, in megabits per second. The users' uploads have 60 KB on average; at this rate one takes 140 ms, a part of the shortest latency objective. */
 const mbpsPerUpload = 3.5;
 
-/** Bodies that come in at once over the slowest links: while one waits for its sender the other moves. */
+/** Minimum number of concurrent uploads, for the slowest links: one proceeds while the other waits for its sender. */
 const minUploadCount = 2;
 
 /**
- * @param linkMbps - Megabits a second of a link.
- * @returns Large bodies that it carries at once in one direction.
+ * Computes how many large bodies a link carries at once in one direction.
+ *
+ * @param linkMbps - Bandwidth of the link in megabits per second.
+ * @returns The maximum number of concurrent uploads.
  * @internal
  */
 export function computeMaxUploads(linkMbps: number): number {
@@ -36,8 +38,10 @@
 }
 
 /**
- * @param linkMbps - Megabits a second of the link.
- * @returns The limit; nothing comes in yet.
+ * Creates the limit for a link without uploads.
+ *
+ * @param linkMbps - Bandwidth of the link in megabits per second.
+ * @returns The limit.
  * @internal
  */
 export function createUploadLimit(linkMbps: number): UploadLimit {
