--- a/src/lib/forwarding/byte-budget.ts
+++ b/src/lib/forwarding/byte-budget.ts
@@ -1,28 +1,30 @@
 /**
- * Bounds what bodies may hold of a node's memory together.
+ * Limits the memory that all buffered request bodies of a node use together.
  *
  * @module
  */
 
 /** @internal */
 export type ByteBudget = {
-	/** Takes bytes if they are left. */
-	readonly take: (bytes: number) => boolean;
+	/** Reserves bytes and returns true, or returns false if the limit would be exceeded. */
+	readonly tryAcquire: (bytes: number) => boolean;
 	readonly release: (bytes: number) => void;
 };
 
-/** A budget that never runs out, for bodies whose sender is bounded already. @internal */
-export const boundlessBudget: ByteBudget = {take: () => true, release: () => undefined};
+/** A budget without a limit, for bodies whose sender is already limited. @internal */
+export const unlimitedBudget: ByteBudget = {tryAcquire: () => true, release: () => undefined};
 
 /**
- * @param limit - Bytes that may be held at once.
- * @returns A budget of which nothing is taken.
+ * Creates a budget with nothing reserved.
+ *
+ * @param limit - Maximum bytes reserved at once.
+ * @returns The budget.
  * @internal
  */
 export function createByteBudget(limit: number): ByteBudget {
 	let held = 0;
 	return {
-		take(bytes) {
+		tryAcquire(bytes) {
 			if (held + bytes > limit) {
 				return false;
 			}
--- a/src/lib/forwarding/exchange.ts
+++ b/src/lib/forwarding/exchange.ts
@@ -1,16 +1,16 @@
 /**
- * One request and its whole answer over one connection to the backend server.
+ * Sends one request to the backend server over a pooled connection and reads the complete response.
  *
  * @module
  */
 import {type IncomingHttpHeaders, type OutgoingHttpHeaders} from 'node:http';
-import {createAnswerReader, type WholeAnswer} from './answer-reader.js';
+import {createResponseParser, type CompleteResponse} from './response-parser.js';
 import {type CallScope, type ScopeEnd} from './call-scope.js';
-import {type CarriedCall, type ServerConnection, type ServerConnections} from './server-connections.js';
+import {type AssignedCall, type ServerConnection, type ServerConnectionPool} from './server-connection-pool.js';
 
-/** What is sent. @internal */
+/** A request to the backend server. @internal */
 export type ExchangeRequest = {
-	readonly connections: ServerConnections;
+	readonly pool: ServerConnectionPool;
 	readonly id: string;
 	readonly method: string;
 	/** Path and query. */
@@ -18,14 +18,14 @@
 	readonly headers: OutgoingHttpHeaders;
 	readonly body: Uint8Array | undefined;
 	readonly scope: CallScope;
-	/** Checks whether an answer is to this request; any other one is dropped with its connection, unless it is a second one to the request before. */
-	readonly isOwnAnswer: (headers: IncomingHttpHeaders, status: number) => boolean;
-	/** Which request an answer names. */
+	/** Whether a response belongs to this request. Any other response closes its connection, unless it is a duplicate response to the connection's previous request. */
+	readonly isOwnResponse: (headers: IncomingHttpHeaders, status: number) => boolean;
+	/** Returns the call id that a response carries. */
 	readonly readCallId: (headers: IncomingHttpHeaders) => string | undefined;
 };
 
-/** The whole answer. @internal */
-export type ExchangeAnswer = {
+/** The complete response. @internal */
+export type ExchangeResponse = {
 	readonly type: 'answered';
 	readonly status: number;
 	readonly headers: IncomingHttpHeaders;
@@ -35,36 +35,36 @@
 /** @internal */
 export type ExchangeFailure = {
 	readonly type: 'failed';
-	/** Whether a byte of the request may have arrived. */
+	/** Whether any byte of the request may have reached the server. */
 	readonly isSent: boolean;
 	readonly reason: 'unreachable' | 'connection-lost' | 'wrong-answer' | ScopeEnd;
 	readonly detail: string;
 };
 
 /** @internal */
-export type ExchangeResult = ExchangeAnswer | ExchangeFailure;
+export type ExchangeResult = ExchangeResponse | ExchangeFailure;
 
-/** Share of the idle time that the server allows after which a connection is not used again: a request must not cross its close. */
-const idleShare = 0.6;
+/** Share of the server's keep-alive timeout for which an idle connection is reused. The margin keeps a request from racing with the server's close. */
+const idleTimeoutShare = 0.6;
 
-/** Methods whose requests usually have no body, so that none need be announced as empty. */
+/** Methods whose requests usually have no body, so that they need no `content-length: 0`. */
 const bodilessMethods: ReadonlySet<string> = new Set(['GET', 'HEAD', 'DELETE', 'OPTIONS', 'TRACE']);
 
-/** What would end a line of the head, or the head itself. */
-const lineBreaks = /[\r\n\0]/;
+/** Characters that would end a header line or the head (header injection). */
+const lineBreakPattern = /[\r\n\0]/;
 
-/** What may stand in the first line: anything else would end it, or split it. */
-const targetText = /^[\u0021-\u00FF]+$/;
+/** Characters allowed in the request target. Any other would end or split the request line. */
+const targetPattern = /^[\u0021-\u00FF]+$/;
 
-const methodText = /^[\w!#$%&'*+.^`|~-]+$/;
+const methodPattern = /^[\w!#$%&'*+.^`|~-]+$/;
 
 function encodeField(name: string, value: number | string | readonly string[]): string {
 	if (typeof value === 'object') {
-		return value.map(one => encodeField(name, one)).join('');
+		return value.map(item => encodeField(name, item)).join('');
 	}
 
-	if (lineBreaks.test(name) || lineBreaks.test(String(value))) {
-		throw new Error(`the field ${JSON.stringify(name)} cannot be written as one line`);
+	if (lineBreakPattern.test(name) || lineBreakPattern.test(String(value))) {
+		throw new Error(`request header ${JSON.stringify(name)} contains a line break or NUL`);
 	}
 
 	return `${name}: ${value}\r\n`;
@@ -74,8 +74,8 @@
  * Encodes the head of a request.
  *
  * @param request - The request.
- * @returns Its text, in Latin-1.
- * @throws When a part of it would be read as something else.
+ * @returns The head as text, to be sent as Latin-1.
+ * @throws If the method, the target or a header would change the structure of the head.
  * @internal
  */
 export function encodeRequestHead({method, target, headers, body}: Pick<ExchangeRequest, 'method' | 'target' | 'headers' | 'body'>): string {
@@ -88,37 +88,37 @@
 
 	const isEmpty = body === undefined && !bodilessMethods.has(method) && headers['content-length'] === undefined;
 	const own = `${isEmpty ? 'content-length: 0\r\n' : ''}connection: keep-alive\r\n`;
-	if (!methodText.test(method) || !targetText.test(target)) {
-		throw new Error('the method or the path cannot be written as a part of one line');
+	if (!methodPattern.test(method) || !targetPattern.test(target)) {
+		throw new Error('request method or target contains a character that is not allowed in a request line');
 	}
 
 	return `${method} ${target} HTTP/1.1\r\n${fields}${own}\r\n`;
 }
 
-/** How long the server says that it keeps a connection, in milliseconds. */
-function readIdleHint(headers: IncomingHttpHeaders): number {
+/** Returns the idle time in milliseconds within which a connection may be reused, derived from the server's Keep-Alive header; infinity without that header. */
+function readKeepAliveMs(headers: IncomingHttpHeaders): number {
 	const value = headers['keep-alive'];
 	const seconds = /timeout=(\d+)/.exec(typeof value === 'string' ? value : '')?.[1];
-	return seconds === undefined ? Number.POSITIVE_INFINITY : Number(seconds) * 1000 * idleShare;
+	return seconds === undefined ? Number.POSITIVE_INFINITY : Number(seconds) * 1000 * idleTimeoutShare;
 }
 
 /**
- * Sends a request and reads its answer whole.
+ * Sends a request and reads the complete response.
  *
  * @param exchange - The request.
- * @returns The answer, or how it failed; never rejects.
+ * @returns The response, or the failure; never rejects.
  * @internal
  */
 export async function runExchange(exchange: ExchangeRequest): Promise<ExchangeResult> {
 	return new Promise(resolve => {
-		let reader = createAnswerReader(exchange.method);
+		let parser = createResponseParser(exchange.method);
 		let connection: ServerConnection | undefined;
-		let callBefore: CarriedCall | undefined;
+		let previousCall: AssignedCall | undefined;
 		let isSettled = false;
-		let isChecked = false;
-		/** What is read is a second answer to the request before on the connection. */
-		let isPassedOver = false;
-		// A scope that has ended already calls back before it can be unsubscribed from.
+		let isHeadChecked = false;
+		/** Whether the response being read is a duplicate response to the connection's previous request. */
+		let isDuplicate = false;
+		// A no-op at first: a scope that has already ended calls its handler before subscribe returns.
 		let stopListening = (): void => undefined;
 
 		const settle = (result: ExchangeResult): void => {
@@ -138,70 +138,70 @@
 			connection?.destroy();
 		};
 
-		/** The connection goes on to the next request only if nothing of this one is left on it. */
-		const finish = ({isKept, ...answer}: WholeAnswer): void => {
+		/** Returns the connection to the pool only if no bytes follow the response. */
+		const finish = ({isReusable, ...response}: CompleteResponse): void => {
 			if (isSettled) {
 				return;
 			}
 
-			settle({type: 'answered', ...answer});
-			if (isKept && !reader.hasExtra()) {
-				connection?.release(readIdleHint(answer.headers));
+			settle({type: 'answered', ...response});
+			if (isReusable && !parser.hasExcessBytes()) {
+				connection?.release(readKeepAliveMs(response.headers));
 			} else {
 				connection?.destroy();
 			}
 		};
 
-		/** A server may answer the request before once more, where the answer to this one is due: its end is known, and that to this one still comes. */
-		const isSecondAnswer = (headers: IncomingHttpHeaders): boolean =>
-			callBefore?.method === exchange.method && exchange.readCallId(headers) === callBefore.id && !reader.isUnframed();
+		/** Whether the server answers the previous request again instead of this one. Such a response is skipped if its end is known, since the response to this request still follows. */
+		const isDuplicateResponse = (headers: IncomingHttpHeaders): boolean =>
+			previousCall?.method === exchange.method && exchange.readCallId(headers) === previousCall.id && !parser.isCloseDelimited();
 
-		const checkOwner = (): boolean => {
-			const head = reader.getHead();
-			if (head === undefined || isChecked) {
+		const checkHead = (): boolean => {
+			const head = parser.getHead();
+			if (head === undefined || isHeadChecked) {
 				return true;
 			}
 
-			isChecked = true;
-			if (exchange.isOwnAnswer(head.headers, head.status)) {
+			isHeadChecked = true;
+			if (exchange.isOwnResponse(head.headers, head.status)) {
 				return true;
 			}
 
-			isPassedOver = isSecondAnswer(head.headers);
-			if (isPassedOver) {
+			isDuplicate = isDuplicateResponse(head.headers);
+			if (isDuplicate) {
 				return true;
 			}
 
-			fail('wrong-answer', `an answer with status ${head.status} to another request`);
+			fail('wrong-answer', `response with status ${head.status} belongs to another request`);
 			return false;
 		};
 
-		/** Reads on behind an answer that is passed over; yields the bytes that came behind it. */
-		const dropSecondAnswer = ({isKept}: WholeAnswer): Uint8Array | undefined => {
-			if (!isKept) {
-				fail('connection-lost', 'the connection closes behind a second answer to the request before');
+		/** Skips a duplicate response and resets the parser. Returns the bytes that follow it. */
+		const dropDuplicateResponse = ({isReusable}: CompleteResponse): Uint8Array | undefined => {
+			if (!isReusable) {
+				fail('connection-lost', 'server closes the connection after a duplicate response to the previous request');
 				return undefined;
 			}
 
-			const extra = reader.takeExtra();
-			reader = createAnswerReader(exchange.method);
-			isChecked = false;
-			isPassedOver = false;
-			return extra.length > 0 ? extra : undefined;
+			const excess = parser.takeExcessBytes();
+			parser = createResponseParser(exchange.method);
+			isHeadChecked = false;
+			isDuplicate = false;
+			return excess.length > 0 ? excess : undefined;
 		};
 
-		/** Reads bytes; yields those that are left when an answer was passed over. */
-		const readPart = (bytes: Uint8Array): Uint8Array | undefined => {
-			const answer = reader.read(bytes);
-			if (!checkOwner() || answer === undefined) {
+		/** Parses bytes. Returns the bytes that remain after a skipped duplicate response. */
+		const readNextResponse = (bytes: Uint8Array): Uint8Array | undefined => {
+			const response = parser.read(bytes);
+			if (!checkHead() || response === undefined) {
 				return undefined;
 			}
 
-			if (isPassedOver) {
-				return dropSecondAnswer(answer);
+			if (isDuplicate) {
+				return dropDuplicateResponse(response);
 			}
 
-			finish(answer);
+			finish(response);
 			return undefined;
 		};
 
@@ -209,7 +209,7 @@
 			try {
 				let left: Uint8Array | undefined = bytes;
 				while (left !== undefined && !isSettled) {
-					left = readPart(left);
+					left = readNextResponse(left);
 				}
 			} catch (error) {
 				fail('connection-lost', (error as Error).message);
@@ -217,26 +217,26 @@
 		};
 
 		/**
-		 * Without a length the end of the connection is the end of the answer, but a reset that follows the last bytes at once
-		 * reaches this program as an ordinary end: the event loop reports the hang-up as soon as the bytes are read. Only a
-		 * write tells the two apart.
+		 * A response without a length ends when the connection closes. A reset that directly follows the last bytes looks like
+		 * an orderly close, because the event loop reports the hang-up as soon as the bytes are read. A write fails only after
+		 * a reset, so it tells the two apart.
 		 */
 		const handleEnd = (): void => {
 			if (isSettled) {
 				return;
 			}
 
-			if (!reader.isUnframed()) {
-				fail('connection-lost', reader.getHead() === undefined ? 'the connection closed without an answer' : 'the connection closed within the answer');
+			if (!parser.isCloseDelimited()) {
+				fail('connection-lost', parser.getHead() === undefined ? 'connection closed before the response' : 'connection closed before the end of the response');
 				return;
 			}
 
-			connection?.probeEnd(isOrderly => {
-				const answer = isOrderly ? reader.end() : undefined;
-				if (answer === undefined) {
-					fail('connection-lost', 'the connection was reset within an answer without a length');
+			connection?.checkOrderlyEnd(isOrderly => {
+				const response = isOrderly ? parser.end() : undefined;
+				if (response === undefined) {
+					fail('connection-lost', 'connection reset during a response without a length');
 				} else {
-					finish(answer);
+					finish(response);
 				}
 			});
 		};
@@ -244,7 +244,7 @@
 		const start = async (): Promise<void> => {
 			try {
 				const head = encodeRequestHead(exchange);
-				connection = await exchange.connections.take({
+				connection = await exchange.pool.acquire({
 					handleBytes,
 					handleEnd,
 					handleClosed(reason) {
@@ -256,7 +256,7 @@
 					return;
 				}
 
-				callBefore = connection.begin({id: exchange.id, method: exchange.method});
+				previousCall = connection.startCall({id: exchange.id, method: exchange.method});
 				connection.write(head, exchange.body);
 			} catch (error) {
 				fail('cancelled', (error as Error).message);
@@ -264,7 +264,7 @@
 		};
 
 		stopListening = exchange.scope.subscribe(reason => {
-			fail(reason, reason === 'timeout' ? 'no answer in time' : 'the caller has gone');
+			fail(reason, reason === 'timeout' ? 'no response before the deadline' : 'call was cancelled');
 		});
 		if (!isSettled) {
 			void start();
--- a/src/lib/forwarding/link-writer.ts
+++ b/src/lib/forwarding/link-writer.ts
@@ -1,8 +1,8 @@
 /**
- * Sends frames over the link of this VM, large ones piece by piece and no
- * faster than the link carries them. Handed over all at once they would hold up
- * whatever is sent after them, for as long as all of them take: a new
- * connection, a question for the configuration, a heartbeat, a small answer.
+ * Writes frames to the link of this VM, large ones in pieces and no faster than the
+ * link carries them. Large frames written at once would delay everything sent after
+ * them until all of them are sent: new connections, configuration requests,
+ * heartbeats and small responses (head-of-line blocking).
  *
  * @module
  */
@@ -16,91 +16,93 @@
 
 /** @internal */
 export type LinkWriter = {
-	/** Writes a frame; one with a large body when the link has room. Frames of one connection never mix. Calls back once the connection has taken it. */
+	/** Writes a frame. A frame with a large body waits until the link has capacity. Frames of one connection are never interleaved. Calls back once the socket has accepted the whole frame. */
 	readonly write: (socket: Socket, frame: LinkFrame, handleWritten?: () => void) => void;
-	/** Writes a frame before all that wait for the link, whatever its size. */
-	readonly writeFirst: (socket: Socket, frame: LinkFrame) => void;
-	/** Nobody waits for a frame any more: one that has not begun to leave stays here. */
+	/** Writes a frame of any size before all queued large frames, but never inside one that is already being written on the same connection. */
+	readonly writeUrgent: (socket: Socket, frame: LinkFrame) => void;
+	/** Removes a queued large frame whose receiver no longer needs it. A frame that has been partly written is completed. */
 	readonly cancel: (socket: Socket, id: number) => void;
-	/** Large frames that have not been handed to the system as a whole. */
-	readonly countWaiting: () => number;
-	/** Bytes that wait here, for one connection or for all. */
-	readonly countHeldBytes: (socket?: Socket) => number;
+	/** Returns the number of large frames that are not completely written. */
+	readonly countQueued: () => number;
+	/** Returns the queued bytes of one connection, or of the large frames of all connections. */
+	readonly countQueuedBytes: (socket?: Socket) => number;
 	readonly dispose: () => void;
 };
 
-/** Bodies above this size take part. Bytes: on the slowest links of the users it takes twelve milliseconds, as long as a few small answers. */
-const largeBytes = 16_384;
+/** Bodies above this size are written in pieces. The users' slowest links carry this many bytes in twelve milliseconds, as long as a few small responses. */
+const largeBodyBytes = 16_384;
 
-/** How long the system may take for a piece before another frame goes on. Milliseconds. */
-const leastWaitMs = 5;
+/** How long a socket may take to accept a piece before another frame continues. */
+const minWaitMs = 5;
 
-/** A large frame that waits, or is on its way. */
-type Sending = {
+/** A large frame that is queued or partly written. */
+type LargeFrame = {
 	readonly socket: Socket;
 	readonly frame: LinkFrame;
 	readonly handleWritten: (() => void) | undefined;
 	readonly body: Uint8Array;
-	/** Bytes of the body that were handed over. */
+	/** Bytes of the body that have been written. */
 	sentBytes: number;
-	hasBegun: boolean;
-	/** The system has not taken the last piece yet: whoever should read it does not. */
+	isStarted: boolean;
+	/** Whether the socket has not accepted the last piece yet, because the other node does not read. */
 	isBlocked: boolean;
 };
 
-/** A frame with whoever is told that it was taken. */
-type Written = readonly [frame: LinkFrame, handleWritten: (() => void) | undefined];
+/** A frame with the callback for when it has been written. */
+type QueuedFrame = readonly [frame: LinkFrame, handleWritten: (() => void) | undefined];
 
-/** Frames that came while another one was leaving on the same connection. */
-type Line = {
-	readonly behind: Written[];
+/** Frames queued behind a large frame that is being written on the same connection. */
+type FrameQueue = {
+	readonly frames: QueuedFrame[];
 	bytes: number;
 };
 
 /**
- * @param linkMbps - Megabits a second of the link.
- * @returns What writes frames; none is on its way.
+ * Creates a writer with nothing queued.
+ *
+ * @param linkMbps - Bandwidth of the link in megabits per second; 0 if unknown, so that no frame waits.
+ * @returns The writer.
  * @internal
  */
 export function createLinkWriter(linkMbps: number): LinkWriter {
 	const pacer = createLinkPacer(linkMbps);
-	/** In the order in which they came. The first that is not blocked goes on, so that few are on their way at once. */
-	let sendings: Sending[] = [];
-	/** Connections on which a large frame is on its way. */
-	const lines = new Map<Socket, Line>();
+	/** Large frames in the order of arrival. The first one that is not blocked continues, so that few are partly written at once. */
+	let largeFrames: LargeFrame[] = [];
+	/** Queues of the connections on which a large frame is being written. */
+	const queues = new Map<Socket, FrameQueue>();
 	let timer: NodeJS.Timeout | undefined;
 
 	const writeNow = (socket: Socket, frame: LinkFrame, handleWritten?: () => void): void => {
-		pacer.note(frame.body?.length ?? 0, readSteadyMs());
+		pacer.record(frame.body?.length ?? 0, readSteadyMs());
 		writeFrame(socket, frame, handleWritten);
 	};
 
-	const drop = (sending: Sending): void => {
-		sendings = sendings.filter(one => one !== sending);
+	const remove = (large: LargeFrame): void => {
+		largeFrames = largeFrames.filter(other => other !== large);
 	};
 
-	/** The connection is free again: what came meanwhile follows. */
-	const endLine = (socket: Socket): void => {
-		const line = lines.get(socket);
-		lines.delete(socket);
-		for (const [frame, handleWritten] of line?.behind ?? []) {
+	/** Writes the frames that were queued behind a large frame on a connection. */
+	const flushQueue = (socket: Socket): void => {
+		const queue = queues.get(socket);
+		queues.delete(socket);
+		for (const [frame, handleWritten] of queue?.frames ?? []) {
 			writeNow(socket, frame, handleWritten);
 		}
 	};
 
-	const finish = (sending: Sending): void => {
-		drop(sending);
-		if (sending.hasBegun) {
-			endLine(sending.socket);
+	const finish = (large: LargeFrame): void => {
+		remove(large);
+		if (large.isStarted) {
+			flushQueue(large.socket);
 		}
 
-		sending.handleWritten?.();
+		large.handleWritten?.();
 	};
 
-	const startSending = (sending: Sending): void => {
-		const {socket, frame} = sending;
-		sending.hasBegun = true;
-		lines.set(socket, {behind: [], bytes: 0});
+	const startFrame = (large: LargeFrame): void => {
+		const {socket, frame} = large;
+		large.isStarted = true;
+		queues.set(socket, {frames: [], bytes: 0});
 		socket.cork();
 		socket.write(encodeFrameHead(frame));
 		process.nextTick(() => {
@@ -108,42 +110,42 @@
 		});
 	};
 
-	const writePiece = (sending: Sending): void => {
-		const {socket, body} = sending;
-		if (!sending.hasBegun) {
-			startSending(sending);
+	const writePiece = (large: LargeFrame): void => {
+		const {socket, body} = large;
+		if (!large.isStarted) {
+			startFrame(large);
 		}
 
-		const piece = body.subarray(sending.sentBytes, sending.sentBytes + pacer.pieceBytes);
-		sending.sentBytes += piece.length;
-		sending.isBlocked = true;
-		pacer.note(piece.length, readSteadyMs());
+		const piece = body.subarray(large.sentBytes, large.sentBytes + pacer.pieceBytes);
+		large.sentBytes += piece.length;
+		large.isBlocked = true;
+		pacer.record(piece.length, readSteadyMs());
 		socket.write(piece, () => {
-			sending.isBlocked = false;
-			if (sending.sentBytes >= body.length) {
-				finish(sending);
+			large.isBlocked = false;
+			if (large.sentBytes >= body.length) {
+				finish(large);
 			}
 
-			sendMore();
+			sendNext();
 		});
 	};
 
-	/** One large frame at a time on a connection; one whose connection has closed takes no room. */
-	const mayContinue = ({socket, hasBegun, isBlocked, sentBytes, body}: Sending): boolean =>
-		!isBlocked && sentBytes < body.length && (hasBegun || !lines.has(socket));
+	/** Whether the next piece of a frame may be written. Each connection writes one large frame at a time. */
+	const mayContinue = ({socket, isStarted, isBlocked, sentBytes, body}: LargeFrame): boolean =>
+		!isBlocked && sentBytes < body.length && (isStarted || !queues.has(socket));
 
-	const dropClosed = (): void => {
-		for (const sending of sendings.filter(({socket}) => socket.destroyed)) {
-			drop(sending);
-			lines.delete(sending.socket);
+	const removeClosed = (): void => {
+		for (const large of largeFrames.filter(({socket}) => socket.destroyed)) {
+			remove(large);
+			queues.delete(large.socket);
 		}
 	};
 
-	const sendMore = (): void => {
+	const sendNext = (): void => {
 		clearTimeout(timer);
 		timer = undefined;
-		dropClosed();
-		const next = sendings.find(sending => mayContinue(sending));
+		removeClosed();
+		const next = largeFrames.find(large => mayContinue(large));
 		if (next === undefined) {
 			return;
 		}
@@ -153,51 +155,51 @@
 			writePiece(next);
 		}
 
-		// The system mostly takes a piece at once, and the same frame goes on; if it does not by then, another one does.
-		timer = setTimeout(sendMore, Math.max(waitMs, leastWaitMs));
+		// The socket usually accepts a piece at once and its callback continues with the same frame. Otherwise the timer continues with another frame.
+		timer = setTimeout(sendNext, Math.max(waitMs, minWaitMs));
 	};
 
-	const writeFirst = (socket: Socket, frame: LinkFrame, handleWritten?: () => void): void => {
-		const line = lines.get(socket);
-		if (line === undefined) {
+	const writeUrgent = (socket: Socket, frame: LinkFrame, handleWritten?: () => void): void => {
+		const queue = queues.get(socket);
+		if (queue === undefined) {
 			writeNow(socket, frame, handleWritten);
 			return;
 		}
 
-		line.behind.push([frame, handleWritten]);
-		line.bytes += frame.body?.length ?? 0;
+		queue.frames.push([frame, handleWritten]);
+		queue.bytes += frame.body?.length ?? 0;
 	};
 
 	return {
 		write(socket, frame, handleWritten) {
 			const {body} = frame;
-			if (body === undefined || body.length <= largeBytes) {
-				writeFirst(socket, frame, handleWritten);
+			if (body === undefined || body.length <= largeBodyBytes) {
+				writeUrgent(socket, frame, handleWritten);
 				return;
 			}
 
-			sendings.push({
-				socket, frame, handleWritten, body, sentBytes: 0, hasBegun: false, isBlocked: false,
+			largeFrames.push({
+				socket, frame, handleWritten, body, sentBytes: 0, isStarted: false, isBlocked: false,
 			});
 			if (timer === undefined) {
-				sendMore();
+				sendNext();
 			}
 		},
-		writeFirst,
+		writeUrgent,
 		cancel(socket, id) {
-			const waiting = sendings.find(sending => sending.socket === socket && sending.frame.id === id && !sending.hasBegun);
-			if (waiting !== undefined) {
-				drop(waiting);
+			const queued = largeFrames.find(large => large.socket === socket && large.frame.id === id && !large.isStarted);
+			if (queued !== undefined) {
+				remove(queued);
 			}
 		},
-		countWaiting: () => sendings.length,
-		countHeldBytes(socket) {
+		countQueued: () => largeFrames.length,
+		countQueuedBytes(socket) {
 			let sum = 0;
-			for (const sending of sendings) {
-				sum += socket === undefined || sending.socket === socket ? sending.body.length - sending.sentBytes : 0;
+			for (const large of largeFrames) {
+				sum += socket === undefined || large.socket === socket ? large.body.length - large.sentBytes : 0;
 			}
 
-			return sum + (socket === undefined ? 0 : lines.get(socket)?.bytes ?? 0);
+			return sum + (socket === undefined ? 0 : queues.get(socket)?.bytes ?? 0);
 		},
 		dispose() {
 			clearTimeout(timer);
--- a/src/lib/forwarding/local-gate.ts
+++ b/src/lib/forwarding/local-gate.ts
@@ -1,7 +1,7 @@
 /**
- * The gate before the backend server beside this node: the only way to it.
- * Because every request passes here, the number in work is exact, and what is
- * turned away here has certainly not run.
+ * The gate: admission control for the backend server beside this node. Every request
+ * to that server passes the gate, so its count of running requests is exact, and a
+ * request that it refuses has certainly not been executed.
  *
  * @module
  */
@@ -26,23 +26,23 @@
 	createNotRun, type ForwardFailure, type ForwardResult, type GateLoad, type GateResult,
 } from './forward-result.js';
 import {
-	countPlaces, createCallMark, doubtMs, openServerSession, type ServerSession, type ServerSessionContext, type SessionCall,
+	computeConcurrencyLimit, createCallFingerprint, unreachableBackoffMs, openServerSession, type ServerSession, type ServerSessionContext, type SessionCall,
 } from './server-session.js';
-import {createTransferLimit} from './transfer-limit.js';
+import {createUploadLimit} from './upload-limit.js';
 
 /** A request at the gate. @internal */
 export type GateCall = SessionCall & {
-	/** Which backend server the sender means. Whichever lifetime of it runs takes the request: it was sent to no earlier one. */
+	/** Backend server that the sender chose. Any lifetime of it may execute the request, since the request was not sent to an earlier one. */
 	readonly server: BackendServerId;
-	/** 0 goes first. */
+	/** Priority; 0 is the highest. */
 	readonly rank: number;
-	/** Milliseconds that it may wait for a slot. */
+	/** Maximum expected wait for a slot, in milliseconds. */
 	readonly mayWaitMs: number;
-	/** Whether it has a body, which is there once a slot is held. */
+	/** Whether the request has a body, which is read once it holds a slot. */
 	readonly hasBody: boolean;
-	/** Its body is large and comes from another VM. */
-	readonly isTransfer: boolean;
-	/** Milliseconds that its answer may be expected to wait for the link, if it is large and goes to another VM. */
+	/** Whether the body is large and comes from another VM. */
+	readonly isLargeUpload: boolean;
+	/** Maximum expected wait of the response for the link, in milliseconds; `undefined` unless the response is large and goes to another VM. */
 	readonly answerMayWaitMs?: number | undefined;
 };
 
@@ -50,39 +50,39 @@
 export type LocalGateContext = {
 	readonly wire: WireHeaders;
 	readonly log: MeshLog;
-	/** Told whenever the other nodes should hear of a change at once. */
+	/** Called when a change should be announced to the other nodes at once. */
 	readonly handleChange: () => void;
-	/** Connections that the backend server accepts from this node. */
+	/** Returns the maximum number of connections that the backend server accepts from this node. */
 	readonly getMaxConnections: (service: string) => number;
 	readonly isLeaving: () => boolean;
 	readonly quarantine: ServerSessionContext['quarantine'] & Pick<Quarantine, 'countSuspects'>;
-	/** Megabits a second of this VM's link. */
+	/** Bandwidth of this VM's link, in megabits per second. */
 	readonly linkMbps: number;
-	/** Bytes of answers that wait for the link. */
-	readonly countHeldBytes: () => number;
+	/** Returns the response bytes queued for the link. */
+	readonly countQueuedBytes: () => number;
 };
 
 /** @internal */
 export type LocalGate = {
 	readonly run: (call: GateCall) => Promise<GateResult>;
 	readonly announce: (announcement: ServerAnnouncement) => void;
-	/** The server leaves; from here on it gets no new work. One that may be an earlier start's late word is refused, so that nobody relies on it. */
+	/** Handles a leave of the server, which gets no new requests from then on. Returns a refusal if the leave may be a late message of an earlier lifetime. */
 	readonly leave: (leave: ServerLeave) => Result<undefined, CallRefusal>;
 	readonly describe: () => ServerReport | undefined;
 	readonly countRequests: () => number;
 	readonly dispose: () => void;
 };
 
-/** A server that has been silent for this many milliseconds is named in the log; it goes on being used while it answers. */
-const silentMs = 8000;
+/** Time without an announcement after which a warning is logged. The server stays in use while it responds to requests. */
+const silenceWarningMs = 8000;
 
-/** A refusal leaves this long before the time is over, in milliseconds, so that it arrives as one. */
-const lastRefusalMs = 40;
+/** How long before the deadline a waiting request is refused, so that the refusal arrives before the caller times out. */
+const refusalMarginMs = 40;
 
 /**
- * Creates the gate; it turns everything away until a server announces itself.
+ * Creates the gate. It refuses every request until a server announces itself.
  *
- * @param context - What it works with.
+ * @param context - The dependencies of the gate.
  * @returns The gate.
  * @internal
  */
@@ -90,12 +90,12 @@
 	const {wire, log, handleChange, quarantine} = context;
 	let state: LocalServerState = noLocalServer;
 	let session: ServerSession | undefined;
-	/** Whose session it is, also once the server was forgotten. */
-	let lastServer: LocalServer | undefined;
-	/** Sessions of servers of other ids that are at work still. */
-	let retired: readonly ServerSession[] = [];
-	const transfers = createTransferLimit(context.linkMbps);
-	const demand = createLinkDemand(context.linkMbps);
+	/** The server of the session, kept after the state has forgotten that server. */
+	let sessionServer: LocalServer | undefined;
+	/** Sessions of servers with other ids that may still have running requests. */
+	let retiredSessions: readonly ServerSession[] = [];
+	const uploadLimit = createUploadLimit(context.linkMbps);
+	const linkDemand = createLinkDemand(context.linkMbps);
 	let requests = 0;
 	let isSilent = false;
 
@@ -110,11 +110,14 @@
 		};
 	};
 
-	/** A server that starts again has lost what it was at work on. One of another id may work on: it said that it leaves, or the new one's word was a late one. */
+	/**
+	 * Closes the session of a replaced server. A server that restarted has lost its running requests. One with another id may
+	 * still finish them: it may have left in order, or the announcement of the new server was a late message.
+	 */
 	const closeSession = (closed: ServerSession, before: LocalServer, next: LocalServer): void => {
 		const hasSameId = before.announcement.lifetime.id === next.announcement.lifetime.id;
 		if (!before.isLeaving && (hasSameId || before.announcement.address === next.announcement.address)) {
-			closed.noteCrashed();
+			closed.recordCrash();
 		}
 
 		if (hasSameId) {
@@ -123,7 +126,7 @@
 		}
 
 		closed.retire();
-		retired = [...retired.filter(one => one.describe().running > 0), closed];
+		retiredSessions = [...retiredSessions.filter(retired => retired.describe().running > 0), closed];
 	};
 
 	const openSession = ({announcement}: LocalServer): ServerSession => {
@@ -137,19 +140,19 @@
 			maxConnections: context.getMaxConnections(service),
 			quarantine,
 			isLeaving: () => context.isLeaving() || (state.current?.isLeaving ?? false),
-			handleUnreachable(asked, reason) {
-				state = doubtServer(state, asked, readSteadyMs() + doubtMs);
-				log.record('warn', {kind: 'server-doubted', server: asked.id, reason});
+			handleUnreachable(contacted, reason) {
+				state = doubtServer(state, contacted, readSteadyMs() + unreachableBackoffMs);
+				log.record('warn', {kind: 'server-doubted', server: contacted.id, reason});
 				handleChange();
 			},
-			handleStranger(asked) {
-				state = forgetServer(state, asked, readSteadyMs());
+			handleMisdirected(contacted) {
+				state = forgetServer(state, contacted, readSteadyMs());
 				handleChange();
 			},
 		});
 	};
 
-	const apply = (step: ServerStep, how: string): void => {
+	const applyStep = (step: ServerStep, how: string): void => {
 		const before = state.current;
 		state = step.state;
 		const {current} = state;
@@ -159,14 +162,14 @@
 
 		isSilent = false;
 		if (before === undefined || !isSameLifetime(before.announcement.lifetime, current.announcement.lifetime)) {
-			if (session !== undefined && lastServer !== undefined) {
-				closeSession(session, lastServer, current);
+			if (session !== undefined && sessionServer !== undefined) {
+				closeSession(session, sessionServer, current);
 			}
 
 			session = openSession(current);
 		}
 
-		lastServer = current;
+		sessionServer = current;
 
 		if (step.news === 'draining') {
 			log.record('info', {kind: 'server-draining', server: current.announcement.lifetime.id, how});
@@ -181,19 +184,19 @@
 		}
 	};
 
-	/** Finds what is held for the server that a call means, or why it cannot go there. */
+	/** Returns the session for a call, or the reason why its server accepts no requests. */
 	const findSession = (call: GateCall): ServerSession | ForwardFailure => {
 		const {current} = state;
 		if (session === undefined || current?.announcement.lifetime.id !== call.server) {
-			return createNotRun('gone', `${call.server} is not beside this node`);
+			return createNotRun('gone', `backend server ${call.server} does not run beside this node`);
 		}
 
 		if (current.isLeaving || context.isLeaving()) {
-			return createNotRun('draining', `${call.server} takes no new work`);
+			return createNotRun('draining', `backend server ${call.server} is draining and accepts no new requests`);
 		}
 
 		if (current.doubtedUntil > readSteadyMs()) {
-			return createNotRun('server-unreachable', `${call.server} could not be reached a moment ago`, doubtMs);
+			return createNotRun('server-unreachable', `backend server ${call.server} refused or timed out a recent connection`, unreachableBackoffMs);
 		}
 
 		return session;
@@ -208,73 +211,73 @@
 		return failure;
 	};
 
-	const describeWait = ({rank, mayWaitMs, scope}: GateCall): SlotRequest => ({
-		rank, mayWaitMs, lastAt: scope.endsAt - lastRefusalMs, listenForEnd: scope.subscribe,
+	const createSlotRequest = ({rank, mayWaitMs, scope}: GateCall): SlotRequest => ({
+		rank, mayWaitMs, lastAt: scope.endsAt - refusalMarginMs, listenForEnd: scope.subscribe,
 	});
 
-	const refuseWait = (call: GateCall, outcome: Exclude<SlotOutcome, {readonly type: 'run'}>, reason: string): ForwardFailure => {
+	const handleSlotRefusal = (call: GateCall, outcome: Exclude<SlotOutcome, {readonly type: 'run'}>, reason: string): ForwardFailure => {
 		switch (outcome.type) {
 			case 'full': {
 				return refuse(call, createNotRun('full', reason, outcome.retryAfterMs));
 			}
 
 			case 'gone': {
-				return refuse(call, createNotRun('gone', `${call.server} has started again, or another server is there`));
+				return refuse(call, createNotRun('gone', `backend server ${call.server} has restarted or was replaced`));
 			}
 
 			case 'cancelled': {
-				return createNotRun(call.scope.getEnd() ?? 'cancelled', 'the caller has gone');
+				return createNotRun(call.scope.getEnd() ?? 'cancelled', 'call was cancelled');
 			}
 		}
 	};
 
-	/** What may crash the server takes no slot, and no place among those that wait for one, before it may run. With a body that is known only once it is here. */
-	const admitTrial = async (call: GateCall): Promise<ForwardFailure | undefined> => {
+	/** Refuses a quarantined request before it takes a slot or a place in the wait queue. A request with a body is checked later, since its fingerprint depends on the body. */
+	const checkQuarantine = async (call: GateCall): Promise<ForwardFailure | undefined> => {
 		if (call.hasBody) {
 			return undefined;
 		}
 
-		const mark = createCallMark(call, undefined);
-		await quarantine.waitForTrial(mark);
-		const judgement = quarantine.check(mark);
+		const fingerprint = createCallFingerprint(call, undefined);
+		await quarantine.waitForTrial(fingerprint);
+		const judgement = quarantine.check(fingerprint);
 		return judgement.type === 'refused' ? refuse(call, createNotRun('quarantined', describeQuarantine(judgement), judgement.retryAfterMs)) : undefined;
 	};
 
-	/** Has a call wait for the link first if its body is large, so that no slot is held for bodies that wait. */
-	const admitTransfer = async (call: GateCall): Promise<ForwardResult> => {
+	/** Runs a call with a large body. It waits for the link before it takes a slot, so that no slot is idle while bodies queue for the link. */
+	const runLargeUpload = async (call: GateCall): Promise<ForwardResult> => {
 		const found = findSession(call);
 		if ('type' in found) {
 			return refuse(call, found);
 		}
 
-		const transfer = await transfers.acquire(describeWait(call));
-		if ('type' in transfer) {
-			return refuseWait(call, transfer, 'the link carries as many large bodies as it can');
+		const upload = await uploadLimit.acquire(createSlotRequest(call));
+		if ('type' in upload) {
+			return handleSlotRefusal(call, upload, 'maximum number of concurrent large uploads over the link reached');
 		}
 
 		const readBody = async (): Promise<Uint8Array | undefined> => {
 			const body = await call.readBody();
-			transfer.end(true);
+			upload.end(true);
 			return body;
 		};
 
 		try {
 			return await admitAndRun({...call, readBody});
 		} finally {
-			transfer.end(false);
+			upload.end(false);
 		}
 	};
 
-	/** How long the answer to a call would wait for the link. A small one does not wait. */
-	const computeLinkWait = (at: ServerSession, {answerMayWaitMs}: GateCall): number =>
-		answerMayWaitMs === undefined ? 0 : demand.estimateWaitMs(context.countHeldBytes(), at.describe().serviceMs);
+	/** Estimates how long the response to a call waits for the link, in milliseconds; 0 for a small response. */
+	const computeLinkWaitMs = (target: ServerSession, {answerMayWaitMs}: GateCall): number =>
+		answerMayWaitMs === undefined ? 0 : linkDemand.estimateWaitMs(context.countQueuedBytes(), target.describe().serviceMs);
 
-	/** Counts the answer among those that the link has to carry. */
-	const runForLink = async (at: ServerSession, call: GateCall): Promise<ForwardResult> => {
-		const end = demand.begin();
+	/** Runs a call and counts its large response towards the demand on the link. */
+	const runWithLargeResponse = async (target: ServerSession, call: GateCall): Promise<ForwardResult> => {
+		const end = linkDemand.begin();
 		let bytes = 0;
 		try {
-			const result = await at.run(call);
+			const result = await target.run(call);
 			bytes = result.type === 'answered' ? result.body.length : 0;
 			return result;
 		} finally {
@@ -288,24 +291,24 @@
 			return refuse(call, found);
 		}
 
-		const linkWaitMs = computeLinkWait(found, call);
+		const linkWaitMs = computeLinkWaitMs(found, call);
 		if (linkWaitMs > (call.answerMayWaitMs ?? 0)) {
-			return refuse(call, createNotRun('full', 'the link carries as many large answers as it can in time', linkWaitMs));
+			return refuse(call, createNotRun('full', 'large responses queued for the link exceed the maximum wait of the response', linkWaitMs));
 		}
 
-		const slot = await found.acquire(describeWait(call));
+		const slot = await found.acquire(createSlotRequest(call));
 		if (slot.type !== 'run') {
-			return refuseWait(call, slot, slot.type === 'full' ? slot.reason : '');
+			return handleSlotRefusal(call, slot, slot.type === 'full' ? slot.reason : '');
 		}
 
-		// The server may have begun to leave while the request waited. If it has started again, its earlier session runs nothing.
-		const still = findSession(call);
-		if ('type' in still) {
+		// The server may have started to drain while the request waited. If it has restarted, its old session runs nothing.
+		const current = findSession(call);
+		if ('type' in current) {
 			found.release();
-			return refuse(call, still);
+			return refuse(call, current);
 		}
 
-		return call.answerMayWaitMs === undefined ? found.run(call) : runForLink(found, call);
+		return call.answerMayWaitMs === undefined ? found.run(call) : runWithLargeResponse(found, call);
 	};
 
 	const getServerState = (server: LocalServer): ServerState => {
@@ -316,9 +319,9 @@
 		return server.doubtedUntil > readSteadyMs() ? 'down' : 'ready';
 	};
 
-	const noteSilence = ({announcement, heardAt}: LocalServer): void => {
+	const reportSilence = ({announcement, heardAt}: LocalServer): void => {
 		const heardMsAgo = readSteadyMs() - heardAt;
-		if (heardMsAgo > silentMs && !isSilent) {
+		if (heardMsAgo > silenceWarningMs && !isSilent) {
 			isSilent = true;
 			log.record('warn', {kind: 'server-silent', server: announcement.lifetime.id, heardMsAgo: Math.round(heardMsAgo)});
 		}
@@ -329,23 +332,23 @@
 			const arrivedAt = readSteadyMs();
 			requests++;
 			try {
-				const refusal = quarantine.countSuspects() === 0 ? undefined : await admitTrial(call);
-				const result = refusal ?? await (call.isTransfer ? admitTransfer(call) : admitAndRun(call));
+				const refusal = quarantine.countSuspects() === 0 ? undefined : await checkQuarantine(call);
+				const result = refusal ?? await (call.isLargeUpload ? runLargeUpload(call) : admitAndRun(call));
 				return {result, load: getLoad(arrivedAt)};
 			} finally {
 				requests--;
 			}
 		},
 		announce(announcement) {
-			apply(acceptAnnouncement(state, announcement, readSteadyMs()), 'it said that it drains');
+			applyStep(acceptAnnouncement(state, announcement, readSteadyMs()), 'server announced that it is draining');
 		},
 		leave(leave) {
 			const now = readSteadyMs();
 			if (isAmbiguousLeave(state, leave, now)) {
-				return err({cause: 'start', text: `start: found nothing, must be which start of ${leave.id} leaves, since it started again a moment ago`});
+				return err({cause: 'start', text: `start: found nothing, must be the start time of ${leave.id} that leaves, since it restarted a moment ago`});
 			}
 
-			apply(acceptLeave(state, leave, now), 'it said that it leaves');
+			applyStep(acceptLeave(state, leave, now), 'server announced that it leaves');
 			return ok(undefined);
 		},
 		describe() {
@@ -354,12 +357,12 @@
 				return undefined;
 			}
 
-			noteSilence(current);
+			reportSilence(current);
 			const {announcement, heardAt} = current;
 			return {
 				lifetime: announcement.lifetime,
 				service: announcement.service,
-				slots: countPlaces(announcement.slots),
+				slots: computeConcurrencyLimit(announcement.slots),
 				state: getServerState(current),
 				coldMs: Math.max(0, announcement.coldMs - (readSteadyMs() - heardAt)),
 				...session.describe(),
@@ -367,8 +370,8 @@
 		},
 		countRequests: () => requests,
 		dispose() {
-			for (const one of retired) {
-				one.end();
+			for (const retired of retiredSessions) {
+				retired.end();
 			}
 
 			session?.end();
