--- a/bench/node-cost/simulated-peer.ts
+++ b/bench/node-cost/simulated-peer.ts
@@ -15,7 +15,7 @@
 import {createFrameReader, writeFrame} from '../../src/lib/forwarding/frame.js';
 import {createGateClient} from '../../src/lib/forwarding/gate-client.js';
 import {decodePeerRequest, encodePeerAnswer} from '../../src/lib/forwarding/peer-messages.js';
-import {measurePeriods, planHeartbeats} from '../../src/lib/peers/heartbeat-plan.js';
+import {computePeriods, planHeartbeats} from '../../src/lib/peers/heartbeat-plan.js';
 import {computeRoundDelay} from '../../src/lib/peers/heartbeat-rounds.js';
 import {encodeReport, type PeerReport} from '../../src/lib/peers/peer-report.js';
 import {readNow, readSteadyMs} from '../../src/lib/common/clock.js';
@@ -80,7 +80,7 @@
 		},
 		duties: {
 			linkMbps: options.isFollowing ? 100 : 10, isFollowing: options.isFollowing, storeSeenMs: 50, storeEra: 1,
-		}, periods: measurePeriods(plan, periodMs), isProbe: false, suspects: [],
+		}, periods: computePeriods(plan, periodMs), isProbe: false, suspects: [],
 	});
 
 	const tell = (node: Address): void => {
--- a/bench/peer-slopes.ts
+++ b/bench/peer-slopes.ts
@@ -7,8 +7,8 @@
 import {
 	toAddress, toBackendServerId, toFailureDomain, toNodeId, type BackendServerId,
 } from '../src/lib/common/ids.js';
-import {chooseNewsTargets} from '../src/lib/peers/news-targets.js';
-import {listTurns} from '../src/lib/peers/heartbeat-turns.js';
+import {chooseAnnouncementTargets} from '../src/lib/peers/announcement-targets.js';
+import {listDuePositions} from '../src/lib/peers/heartbeat-rotation.js';
 import {planHeartbeats} from '../src/lib/peers/heartbeat-plan.js';
 import {
 	createPeerTable, isHeard, type Peer, type PeerLimits, type PeerTable,
@@ -63,7 +63,7 @@
 function visitTurns(table: PeerTable, round: number, plan: ReturnType<typeof planHeartbeats>): number {
 	let due = 0;
 	const take = (peers: readonly Peer[], every: number): void => {
-		for (const place of listTurns(peers.length, every, round)) {
+		for (const place of listDuePositions(peers.length, every, round)) {
 			due += isHeard(peers[place]!, limits, now) ? 1 : 0;
 		}
 	};
@@ -112,7 +112,7 @@
 				visitTurns(table, round, getPlan(table));
 			},
 		},
-		{name: 'whom news of a ready server go to', aSecond: 0.1, run: table => chooseNewsTargets(table, Math.random)},
+		{name: 'whom news of a ready server go to', aSecond: 0.1, run: table => chooseAnnouncementTargets(table, Math.random)},
 		{name: 'whether to watch the store', aSecond: 3.3, run: table => isRelay(self, describeHeard(table), table.countDomains())},
 		{name: 'which servers are known (every 30 s)', aSecond: 1 / 30, run: table => listServers(table)},
 	];
@@ -130,7 +130,7 @@
 	});
 	console.log(formatMarkdown(['µs each (ratio to the first)', ...sizes.map(size => `${size} nodes`), 'ms a second at the last'], cells));
 
-	const counts = tables.map(table => [visitTurns(table, 0, getPlan(table)), chooseNewsTargets(table, Math.random).length] as const);
+	const counts = tables.map(table => [visitTurns(table, 0, getPlan(table)), chooseAnnouncementTargets(table, Math.random).length] as const);
 	console.log('');
 	console.log(formatMarkdown(['datagrams', ...sizes.map(size => `${size} nodes`)], [
 		['of a round, the mean of its turns', ...tables.map(table => {
--- a/src/lib/admission/gate-state.ts
+++ b/src/lib/admission/gate-state.ts
@@ -41,9 +41,9 @@
 const initialServiceMs = 10;
 
 /** Weight of the newest observation in the average. */
-const averageWeight = 0.1;
+const newestSampleWeight = 0.1;
 
-const shortestRetryMs = 100;
+const minimumRetryAfterMs = 100;
 
 /**
  * @param slots - Requests that the server works on at once.
@@ -102,10 +102,10 @@
 	}
 
 	const wait = estimateWait(state, workClass);
-	const retryAfterMs = Math.max(shortestRetryMs, Math.ceil(wait));
-	const isLong = state.queue.length >= Math.ceil(state.slots * settings.queuePerSlot);
+	const retryAfterMs = Math.max(minimumRetryAfterMs, Math.ceil(wait));
+	const isQueueFull = state.queue.length >= Math.ceil(state.slots * settings.queuePerSlot);
 	const deadline = Math.min(request.deadline, arrivedAt + settings.maximumWaitMs);
-	if (isLong || arrivedAt + wait > deadline) {
+	if (isQueueFull || arrivedAt + wait > deadline) {
 		return {state, admission: {type: 'shed', retryAfterMs}};
 	}
 
@@ -116,11 +116,11 @@
 function findNext(state: GateState, settings: AdmissionSettings, now: number): WaitingRequest | undefined {
 	const fitting = state.queue.filter(waiting => hasSlot(state, settings, waiting.workClass));
 	const oldest = fitting[0];
-	const isHealthy = oldest === undefined || now - oldest.arrivedAt <= settings.targetWaitMs;
-	return isHealthy ? oldest : fitting.at(-1);
+	const isWaitShort = oldest === undefined || now - oldest.arrivedAt <= settings.targetWaitMs;
+	return isWaitShort ? oldest : fitting.at(-1);
 }
 
-function startWaiting(state: GateState, settings: AdmissionSettings, now: number): ReleaseStep {
+function startQueued(state: GateState, settings: AdmissionSettings, now: number): ReleaseStep {
 	const started: WaitingRequest[] = [];
 	let current = state;
 	for (let next = findNext(current, settings, now); next !== undefined; next = findNext(current, settings, now)) {
@@ -147,9 +147,9 @@
 	const freed: GateState = {
 		...state,
 		inUse: {...state.inUse, [workClass]: Math.max(0, state.inUse[workClass] - 1)},
-		serviceMs: (state.serviceMs * (1 - averageWeight)) + (tookMs * averageWeight),
+		serviceMs: (state.serviceMs * (1 - newestSampleWeight)) + (tookMs * newestSampleWeight),
 	};
-	return startWaiting(freed, settings, now);
+	return startQueued(freed, settings, now);
 }
 
 /**
@@ -175,5 +175,5 @@
  * @internal
  */
 export function resizeGate(state: GateState, settings: AdmissionSettings, slots: number, now: number): ReleaseStep {
-	return startWaiting({...state, slots}, settings, now);
+	return startQueued({...state, slots}, settings, now);
 }
--- a/src/lib/admission/gate.ts
+++ b/src/lib/admission/gate.ts
@@ -43,10 +43,10 @@
 	readonly dispose: () => void;
 };
 
-type Outcome = Result<Slot, GateRefusal>;
+type AcquireResult = Result<Slot, GateRefusal>;
 
 /** When a drained server is likely to have been replaced, in milliseconds. */
-const drainRetryMs = 1000;
+const drainRetryAfterMs = 1000;
 
 /**
  * Creates the gate of a server.
@@ -60,7 +60,7 @@
 	let state: GateState = createGateState(slots);
 	let isDraining = false;
 	let nextId = 1;
-	const waiting = new Map<number, (outcome: Outcome) => void>();
+	const waiting = new Map<number, (outcome: AcquireResult) => void>();
 
 	const createSlot = (workClass: WorkClass, arrivedAt: number): Slot => {
 		const startedAt = readNow();
@@ -76,37 +76,37 @@
 				const now = readNow();
 				const step = releaseSlot(state, settings, {workClass, tookMs: now - startedAt}, now);
 				state = step.state;
-				startAll(step.started);
+				startQueued(step.started);
 			},
 		};
 	};
 
-	const startAll = (started: readonly WaitingRequest[]): void => {
+	const startQueued = (started: readonly WaitingRequest[]): void => {
 		for (const {id, workClass, arrivedAt} of started) {
 			waiting.get(id)?.(ok(createSlot(workClass, arrivedAt)));
 		}
 	};
 
-	const waitForSlot = async (request: WaitingRequest, signal: AbortSignal | undefined): Promise<Outcome> => new Promise(resolve => {
-		const finish = (outcome: Outcome): void => {
+	const waitForSlot = async (request: WaitingRequest, signal: AbortSignal | undefined): Promise<AcquireResult> => new Promise(resolve => {
+		const finish = (outcome: AcquireResult): void => {
 			clearTimeout(timer);
 			signal?.removeEventListener('abort', cancel);
 			waiting.delete(request.id);
 			resolve(outcome);
 		};
 
-		const giveUp = (type: GateRefusal['type']): void => {
+		const refuseQueued = (type: GateRefusal['type']): void => {
 			state = removeWaiting(state, request.id);
 			finish(err({type, retryAfterMs: Math.max(100, Math.ceil(state.serviceMs))}));
 		};
 
 		const cancel = (): void => {
-			giveUp('cancelled');
+			refuseQueued('cancelled');
 		};
 
 		const waitMs = Math.min(request.deadline - request.arrivedAt, settings.maximumWaitMs);
 		const timer = setTimeout(() => {
-			giveUp('shed');
+			refuseQueued('shed');
 		}, waitMs);
 		signal?.addEventListener('abort', cancel);
 		waiting.set(request.id, finish);
@@ -115,7 +115,7 @@
 	return {
 		async acquire({workClass, deadline, signal}) {
 			if (isDraining) {
-				return err({type: 'draining', retryAfterMs: drainRetryMs});
+				return err({type: 'draining', retryAfterMs: drainRetryAfterMs});
 			}
 
 			const request: WaitingRequest = {
@@ -143,14 +143,14 @@
 		setSlots(count) {
 			const step = resizeGate(state, settings, count, readNow());
 			state = step.state;
-			startAll(step.started);
+			startQueued(step.started);
 		},
 		countRequests: () => countRequests(state),
 		dispose() {
 			isDraining = true;
 			for (const [id, finish] of waiting) {
 				state = removeWaiting(state, id);
-				finish(err({type: 'draining', retryAfterMs: drainRetryMs}));
+				finish(err({type: 'draining', retryAfterMs: drainRetryAfterMs}));
 			}
 		},
 	};
--- a/src/lib/admission/slot-keeper.ts
+++ b/src/lib/admission/slot-pool.ts
@@ -20,7 +20,7 @@
 	/** When its wait is over at the latest, in steady milliseconds. */
 	readonly lastAt: number;
 	/** Calls back once when nobody waits for it any more; yields a function that takes that back. */
-	readonly listenForEnd: (handleEnd: () => void) => () => void;
+	readonly listenForCancel: (handleCancel: () => void) => () => void;
 };
 
 /** What became of it. @internal */
@@ -33,43 +33,43 @@
 	| {readonly type: 'gone'};
 
 /** @internal */
-export type SlotKeeper = {
+export type SlotPool = {
 	readonly acquire: (request: SlotRequest) => Promise<SlotOutcome>;
 	/** Gives a slot back; `tookMs` is `undefined` if that tells nothing of the server's speed. */
 	readonly release: (tookMs: number | undefined) => void;
 	readonly resize: (slots: number) => void;
 	/** The server is there no more: nobody has to wait any longer. */
-	readonly end: () => void;
+	readonly close: () => void;
 	readonly describe: () => {readonly running: number; readonly waiting: number; readonly serviceMs: number};
 };
 
 /** A request that was taken waits for so many times the wait that was expected at the most: estimates are rough. */
-const patience = 2;
+const waitToleranceFactor = 2;
 
-type Waiter = (outcome: 'run' | 'late' | 'cancelled' | 'gone') => void;
+type FinishWait = (outcome: 'run' | 'late' | 'cancelled' | 'gone') => void;
 
 /**
  * @param count - Requests that may be at the server at once.
  * @returns The keeper of a server that is idle.
  * @internal
  */
-export function createSlotKeeper(count: number): SlotKeeper {
+export function createSlotPool(count: number): SlotPool {
 	let queue: SlotQueue = createSlotQueue(count);
 	let nextId = 1;
-	const waiters = new Map<number, Waiter>();
+	const finishById = new Map<number, FinishWait>();
 
-	const startAll = (started: readonly QueuedRequest[]): void => {
+	const startQueued = (started: readonly QueuedRequest[]): void => {
 		for (const {id} of started) {
-			waiters.get(id)?.('run');
+			finishById.get(id)?.('run');
 		}
 	};
 
 	const waitForSlot = async (queued: QueuedRequest, request: SlotRequest): Promise<SlotOutcome> => new Promise(resolve => {
 		let stopListening = (): void => undefined;
-		const finish: Waiter = outcome => {
+		const finish: FinishWait = outcome => {
 			clearTimeout(timer);
 			stopListening();
-			waiters.delete(queued.id);
+			finishById.delete(queued.id);
 			if (outcome !== 'run') {
 				queue = removeQueued(queue, queued.id);
 			}
@@ -80,8 +80,8 @@
 		const timer = setTimeout(() => {
 			finish('late');
 		}, trimTimerMs(queued.waitUntil - readSteadyMs()));
-		waiters.set(queued.id, finish);
-		stopListening = request.listenForEnd(() => {
+		finishById.set(queued.id, finish);
+		stopListening = request.listenForCancel(() => {
 			finish('cancelled');
 		});
 	});
@@ -89,7 +89,7 @@
 	const resize = (slots: number): void => {
 		const step = resizeSlots(queue, slots, readSteadyMs());
 		queue = step.queue;
-		startAll(step.started);
+		startQueued(step.started);
 	};
 
 	return {
@@ -99,7 +99,7 @@
 				id: nextId++,
 				rank: request.rank,
 				startBy: now + request.mayWaitMs,
-				waitUntil: Math.min(now + (request.mayWaitMs * patience), request.lastAt),
+				waitUntil: Math.min(now + (request.mayWaitMs * waitToleranceFactor), request.lastAt),
 			};
 			const step = admitToSlot(queue, queued, now);
 			queue = step.queue;
@@ -115,7 +115,7 @@
 				case 'wait': {
 					const {displaced} = step.decision;
 					if (displaced !== undefined) {
-						waiters.get(displaced.id)?.('late');
+						finishById.get(displaced.id)?.('late');
 					}
 
 					return waitForSlot(queued, request);
@@ -125,11 +125,11 @@
 		release(tookMs) {
 			const step = releaseToNext(queue, tookMs, readSteadyMs());
 			queue = step.queue;
-			startAll(step.started);
+			startQueued(step.started);
 		},
 		resize,
-		end() {
-			for (const finish of waiters.values()) {
+		close() {
+			for (const finish of finishById.values()) {
 				finish('gone');
 			}
 		},
--- a/src/lib/forwarding/local-gate.ts
+++ b/src/lib/forwarding/local-gate.ts
@@ -6,16 +6,16 @@
  * @module
  */
 import {err, ok, type Result} from 'neverthrow';
-import {type SlotOutcome, type SlotRequest} from '../admission/slot-keeper.js';
+import {type SlotOutcome, type SlotRequest} from '../admission/slot-pool.js';
 import {readSteadyMs} from '../common/clock.js';
 import {type BackendServerId} from '../common/ids.js';
 import {isSameLifetime} from '../common/server-lifetime.js';
 import {
-	acceptAnnouncement, acceptLeave, doubtServer, forgetServer, isAmbiguousLeave,
-} from '../local-server/accept-word.js';
-import {type CallRefusal} from '../local-server/call-refusal.js';
+	acceptAnnouncement, acceptLeave, noteServerUnreachable, forgetServer, isAmbiguousLeave,
+} from '../local-server/local-server-updates.js';
+import {type AnnouncementRefusal} from '../local-server/announcement-refusal.js';
 import {
-	noLocalServer, type LocalServer, type LocalServerState, type ServerAnnouncement, type ServerLeave, type ServerStep,
+	noLocalServer, type LocalServer, type LocalServerState, type ServerAnnouncement, type ServerLeave, type ServerTransition,
 } from '../local-server/local-server.js';
 import {createLinkDemand} from '../decisions/link-demand.js';
 import {describeRefusal as describeQuarantine, type Quarantine} from '../quarantine/quarantine.js';
@@ -67,7 +67,7 @@
 	readonly run: (call: GateCall) => Promise<GateResult>;
 	readonly announce: (announcement: ServerAnnouncement) => void;
 	/** The server leaves; from here on it gets no new work. One that may be an earlier start's late word is refused, so that nobody relies on it. */
-	readonly leave: (leave: ServerLeave) => Result<undefined, CallRefusal>;
+	readonly leave: (leave: ServerLeave) => Result<undefined, AnnouncementRefusal>;
 	readonly describe: () => ServerReport | undefined;
 	readonly countRequests: () => number;
 	readonly dispose: () => void;
@@ -138,7 +138,7 @@
 			quarantine,
 			isLeaving: () => context.isLeaving() || (state.current?.isLeaving ?? false),
 			handleUnreachable(asked, reason) {
-				state = doubtServer(state, asked, readSteadyMs() + doubtMs);
+				state = noteServerUnreachable(state, asked, readSteadyMs() + doubtMs);
 				log.record('warn', {kind: 'server-doubted', server: asked.id, reason});
 				handleChange();
 			},
@@ -149,7 +149,7 @@
 		});
 	};
 
-	const apply = (step: ServerStep, how: string): void => {
+	const apply = (step: ServerTransition, how: string): void => {
 		const before = state.current;
 		state = step.state;
 		const {current} = state;
@@ -168,15 +168,15 @@
 
 		lastServer = current;
 
-		if (step.news === 'draining') {
+		if (step.change === 'draining') {
 			log.record('info', {kind: 'server-draining', server: current.announcement.lifetime.id, how});
 		}
 
-		if (step.news === 'changed') {
+		if (step.change === 'changed') {
 			session?.resize(current.announcement.slots);
 		}
 
-		if (step.news !== 'none') {
+		if (step.change !== 'none') {
 			handleChange();
 		}
 	};
@@ -192,7 +192,7 @@
 			return createNotRun('draining', `${call.server} takes no new work`);
 		}
 
-		if (current.doubtedUntil > readSteadyMs()) {
+		if (current.avoidUntil > readSteadyMs()) {
 			return createNotRun('server-unreachable', `${call.server} could not be reached a moment ago`, doubtMs);
 		}
 
@@ -209,7 +209,7 @@
 	};
 
 	const describeWait = ({rank, mayWaitMs, scope}: GateCall): SlotRequest => ({
-		rank, mayWaitMs, lastAt: scope.endsAt - lastRefusalMs, listenForEnd: scope.subscribe,
+		rank, mayWaitMs, lastAt: scope.endsAt - lastRefusalMs, listenForCancel: scope.subscribe,
 	});
 
 	const refuseWait = (call: GateCall, outcome: Exclude<SlotOutcome, {readonly type: 'run'}>, reason: string): ForwardFailure => {
@@ -313,7 +313,7 @@
 			return 'draining';
 		}
 
-		return server.doubtedUntil > readSteadyMs() ? 'down' : 'ready';
+		return server.avoidUntil > readSteadyMs() ? 'down' : 'ready';
 	};
 
 	const noteSilence = ({announcement, heardAt}: LocalServer): void => {
--- a/src/lib/forwarding/server-session.ts
+++ b/src/lib/forwarding/server-session.ts
@@ -6,7 +6,7 @@
  * @module
  */
 import {type IncomingHttpHeaders} from 'node:http';
-import {createSlotKeeper, type SlotOutcome, type SlotRequest} from '../admission/slot-keeper.js';
+import {createSlotPool, type SlotOutcome, type SlotRequest} from '../admission/slot-pool.js';
 import {readAwakeMs, readSteadyMs} from '../common/clock.js';
 import {type ServerLifetime} from '../common/server-lifetime.js';
 import {type ServerAnnouncement} from '../local-server/local-server.js';
@@ -147,7 +147,7 @@
 export function openServerSession(announcement: ServerAnnouncement, context: ServerSessionContext): ServerSession {
 	const {wire, log} = context;
 	const {lifetime} = announcement;
-	const slots = createSlotKeeper(countPlaces(announcement.slots));
+	const slots = createSlotPool(countPlaces(announcement.slots));
 	const connections = createServerConnections({
 		address: announcement.address, maxConnections: context.maxConnections, idleMs: idleConnectionMs, connectMs,
 	});
@@ -325,7 +325,7 @@
 
 	const stopTaking = (): void => {
 		isEnded = true;
-		slots.end();
+		slots.close();
 		connections.renew();
 	};
 
--- a/src/lib/forwarding/transfer-limit.ts
+++ b/src/lib/forwarding/transfer-limit.ts
@@ -5,7 +5,7 @@
  *
  * @module
  */
-import {createSlotKeeper, type SlotOutcome, type SlotRequest} from '../admission/slot-keeper.js';
+import {createSlotPool, type SlotOutcome, type SlotRequest} from '../admission/slot-pool.js';
 import {readAwakeMs} from '../common/clock.js';
 
 /** What carries one body. @internal */
@@ -41,7 +41,7 @@
  * @internal
  */
 export function createTransferLimit(linkMbps: number): TransferLimit {
-	const places = createSlotKeeper(countTransfers(linkMbps));
+	const places = createSlotPool(countTransfers(linkMbps));
 	return {
 		async acquire(request) {
 			const outcome = await places.acquire(request);
--- a/src/lib/local-server/call-refusal.ts
+++ b/src/lib/local-server/announcement-refusal.ts
@@ -7,7 +7,7 @@
 import {type AnnouncementCause} from '../timeline/mesh-log.js';
 
 /** @internal */
-export type CallRefusal = {
+export type AnnouncementRefusal = {
 	/** Refusals are counted and told by it. */
 	readonly cause: AnnouncementCause;
 	/** The place, what was found there and what is allowed. */
--- a/src/lib/local-server/check-service.ts
+++ b/src/lib/local-server/check-service.ts
@@ -4,7 +4,7 @@
  * @module
  */
 import {err, ok, type Result} from 'neverthrow';
-import {type CallRefusal} from './call-refusal.js';
+import {type AnnouncementRefusal} from './announcement-refusal.js';
 import {type ServerAnnouncement} from './local-server.js';
 
 /**
@@ -17,7 +17,7 @@
  * @returns The announcement, or why it names no server to use.
  * @internal
  */
-export function checkService(announcement: ServerAnnouncement, service: string): Result<ServerAnnouncement, CallRefusal> {
+export function checkService(announcement: ServerAnnouncement, service: string): Result<ServerAnnouncement, AnnouncementRefusal> {
 	return announcement.service === service
 		? ok(announcement)
 		: err({cause: 'service', text: `info.service: found ${JSON.stringify(announcement.service)}, must be ${JSON.stringify(service)}, the service of this node's settings`});
--- a/src/lib/local-server/take-over.ts
+++ b/src/lib/local-server/lifetime-succession.ts
@@ -13,13 +13,13 @@
 import {type LocalServer, type LocalServerState} from './local-server.js';
 
 /** A lifetime that spoke within this time is there, and another one's words are late ones. Milliseconds: twice the longest time between two announcements that users have. */
-const freshMs = 3000;
+const silenceTimeoutMs = 3000;
 
-type Rival = {readonly lifetime: ServerLifetime; readonly heardAt: number};
+type HeardLifetime = {readonly lifetime: ServerLifetime; readonly heardAt: number};
 
-function listLater({current, others, gone}: LocalServerState, lifetime: ServerLifetime): readonly Rival[] {
-	const heard = [...current === undefined ? [] : [current], ...others].map(({announcement, heardAt}) => ({lifetime: announcement.lifetime, heardAt}));
-	return [...heard, ...gone].filter(rival => compareLifetimes(rival.lifetime, lifetime) === 'later');
+function listLaterStarts({current, inactive, ended}: LocalServerState, lifetime: ServerLifetime): readonly HeardLifetime[] {
+	const heard = [...current === undefined ? [] : [current], ...inactive].map(({announcement, heardAt}) => ({lifetime: announcement.lifetime, heardAt}));
+	return [...heard, ...ended].filter(later => compareLifetimes(later.lifetime, lifetime) === 'later');
 }
 
 /**
@@ -29,7 +29,7 @@
  * @internal
  */
 export function isSuperseded(state: LocalServerState, lifetime: ServerLifetime): boolean {
-	return listLater(state, lifetime).length > 0;
+	return listLaterStarts(state, lifetime).length > 0;
 }
 
 /**
@@ -41,11 +41,11 @@
  * @returns Whether it takes the place of the one in use.
  * @internal
  */
-export function mayTakeOver(state: LocalServerState, before: LocalServer, now: number): boolean {
+export function mayReplaceCurrent(state: LocalServerState, before: LocalServer, now: number): boolean {
 	const {current} = state;
 	const {lifetime} = before.announcement;
 	// Two words, with a count that grows, since the later start spoke last: it goes on, and the other does not.
-	const hasOutlived = (rival: Rival): boolean => now - rival.heardAt > freshMs && before.heardAt > rival.heardAt;
-	const isOtherSilent = current === undefined || current.isLeaving || now - current.heardAt > freshMs;
-	return isOtherSilent && listLater(state, lifetime).every(rival => hasOutlived(rival));
+	const hasFallenSilent = (later: HeardLifetime): boolean => now - later.heardAt > silenceTimeoutMs && before.heardAt > later.heardAt;
+	const isCurrentInactive = current === undefined || current.isLeaving || now - current.heardAt > silenceTimeoutMs;
+	return isCurrentInactive && listLaterStarts(state, lifetime).every(later => hasFallenSilent(later));
 }
--- a/src/lib/local-server/accept-word.test.ts
+++ b/src/lib/local-server/local-server-updates.test.ts
@@ -3,7 +3,7 @@
 import fc from 'fast-check';
 import {toAddress, toBackendServerId} from '../common/ids.js';
 import {type ServerLifetime} from '../common/server-lifetime.js';
-import {acceptAnnouncement, acceptLeave, forgetServer} from './accept-word.js';
+import {acceptAnnouncement, acceptLeave, forgetServer} from './local-server-updates.js';
 import {noLocalServer, type LocalServerState, type ServerAnnouncement} from './local-server.js';
 
 const createLifetime = (id = 'i-1', startedAt = 1000): ServerLifetime => ({id: toBackendServerId(id), startedAt});
@@ -20,35 +20,35 @@
 
 test('a late announcement does not bring a leaving server back', () => {
 	const ready = announce(noLocalServer, {sequence: 4});
-	assert.equal(ready.news, 'announced');
+	assert.equal(ready.change, 'announced');
 	const draining = announce(ready.state, {sequence: 5, isDraining: true});
-	assert.equal(draining.news, 'draining');
+	assert.equal(draining.change, 'draining');
 	const late = announce(draining.state, {sequence: 4});
-	assert.equal(late.news, 'none');
+	assert.equal(late.change, 'none');
 	assert.equal(late.state.current?.isLeaving, true);
 	assert.equal(announce(draining.state, {sequence: 6}).state.current?.isLeaving, true);
 });
 
 test('a late announcement does not bring back what has changed since', () => {
 	const changed = announce(announce(noLocalServer, {sequence: 4, slots: 12}).state, {sequence: 5, slots: 4});
-	assert.equal(changed.news, 'changed');
+	assert.equal(changed.change, 'changed');
 	const late = announce(changed.state, {sequence: 4, slots: 12});
-	assert.equal(late.news, 'none');
+	assert.equal(late.change, 'none');
 	assert.equal(late.state.current?.announcement.slots, 4);
 });
 
 test('a server that leaves without draining first gets no new work', () => {
 	const {state} = announce(noLocalServer, {});
 	const left = leave(state);
-	assert.equal(left.news, 'draining');
+	assert.equal(left.change, 'draining');
 	assert.equal(left.state.current?.isLeaving, true);
-	assert.equal(leave(left.state).news, 'none');
+	assert.equal(leave(left.state).change, 'none');
 });
 
 test('a new server replaces the old one, whose late words count no more', () => {
 	const first = announce(noLocalServer, {id: 'i-1', sequence: 9}).state;
 	const second = announce(first, {id: 'i-2', sequence: 1});
-	assert.equal(second.news, 'announced');
+	assert.equal(second.change, 'announced');
 	assert.equal(announce(second.state, {id: 'i-1', sequence: 10}).state.current?.announcement.lifetime.id, 'i-2');
 });
 
@@ -67,14 +67,14 @@
 
 test('a drain of a server that nothing was heard of does not touch the one that takes work', () => {
 	const there = announce(noLocalServer, {id: 'i-2', sequence: 1}, 0).state;
-	const {state, news} = announce(there, {id: 'i-1', sequence: 7, isDraining: true}, 100);
-	assert.equal(news, 'none');
+	const {state, change} = announce(there, {id: 'i-1', sequence: 7, isDraining: true}, 100);
+	assert.equal(change, 'none');
 	assert.equal(state.current, there.current);
 	// Nor is it taken for a new one later, whatever it still says.
 	assert.equal(announce(state, {id: 'i-1', sequence: 8}, 60_000).state.current?.announcement.lifetime.id, 'i-2');
 	// Where there is none to protect, it is the one that is there.
-	assert.equal(announce(noLocalServer, {id: 'i-1', isDraining: true}).news, 'draining');
-	assert.equal(announce(leave(there, {id: 'i-2'}).state, {id: 'i-1', isDraining: true}, 100).news, 'draining');
+	assert.equal(announce(noLocalServer, {id: 'i-1', isDraining: true}).change, 'draining');
+	assert.equal(announce(leave(there, {id: 'i-2'}).state, {id: 'i-1', isDraining: true}, 100).change, 'draining');
 });
 
 test('a server that was replaced and is heard again is not taken back by a word from before', () => {
@@ -126,10 +126,10 @@
 	const drained = announce(before, {startedAt: earliest, sequence: 91, isDraining: true}, 10).state;
 	const left = leave(before, {startedAt: earliest}, 10).state;
 	for (const state of [before, drained, left]) {
-		const {news, state: {current}} = announce(state, {startedAt: middle, sequence: 1}, 20);
-		assert.equal(news, 'announced');
+		const {change, state: {current}} = announce(state, {startedAt: middle, sequence: 1}, 20);
+		assert.equal(change, 'announced');
 		assert.deepEqual(current, {
-			announcement: createAnnouncement({startedAt: middle}), heardAt: 20, isLeaving: false, doubtedUntil: 0, followsUntil: 5020,
+			announcement: createAnnouncement({startedAt: middle}), heardAt: 20, isLeaving: false, avoidUntil: 0, ambiguousLeaveUntil: 5020,
 		});
 	}
 });
@@ -170,12 +170,12 @@
 
 test('a leave without a start ends the lifetime in use, but not one that has just followed another', () => {
 	const before = announce(noLocalServer, {startedAt: earliest}).state;
-	assert.equal(leave(before, {}, 100).news, 'draining');
+	assert.equal(leave(before, {}, 100).change, 'draining');
 	const after = announce(before, {startedAt: middle}, 100).state;
-	assert.equal(leave(after, {}, 4000).news, 'none');
+	assert.equal(leave(after, {}, 4000).change, 'none');
 	assert.equal(leave(after, {}, 4000).state.current?.isLeaving, false);
-	assert.equal(leave(after, {}, 6000).news, 'draining');
-	assert.equal(leave(after, {startedAt: middle}, 200).news, 'draining');
+	assert.equal(leave(after, {}, 6000).change, 'draining');
+	assert.equal(leave(after, {startedAt: middle}, 200).change, 'draining');
 });
 
 test('a leave without a start that comes before anything else ends the first lifetime that is heard, not a later one', () => {
@@ -191,15 +191,15 @@
 test('a leave of a later start that was not heard yet ends the earlier one', () => {
 	const before = announce(noLocalServer, {startedAt: earliest}).state;
 	const left = leave(before, {startedAt: middle}, 100);
-	assert.equal(left.news, 'draining');
+	assert.equal(left.change, 'draining');
 	assert.equal(announce(left.state, {startedAt: middle, sequence: 3}, 200).state.current?.isLeaving, true);
-	assert.equal(announce(left.state, {startedAt: latest}, 200).news, 'announced');
+	assert.equal(announce(left.state, {startedAt: latest}, 200).change, 'announced');
 });
 
-type Word = {readonly id: string; readonly startedAt: number; readonly sequence: number; readonly isDraining: boolean; readonly leaves: boolean};
+type ServerMessage = {readonly id: string; readonly startedAt: number; readonly sequence: number; readonly isDraining: boolean; readonly leaves: boolean};
 
 test('property: whatever order, loss, delay and repetition do to the words of several lifetimes of few ids, no id goes back, and nobody who left is taken back', () => {
-	const word: fc.Arbitrary<Word> = fc.record({
+	const word: fc.Arbitrary<ServerMessage> = fc.record({
 		id: fc.constantFrom('i-1', 'i-2'), startedAt: fc.constantFrom(earliest, middle, latest), sequence: fc.integer({min: 0, max: 9}), isDraining: fc.boolean(), leaves: fc.boolean(),
 	});
 	// The latest of all words come within the time in which whoever leads is fresh.
--- a/src/lib/local-server/accept-word.ts
+++ b/src/lib/local-server/local-server-updates.ts
@@ -11,108 +11,108 @@
 import {type BackendServerId} from '../common/ids.js';
 import {compareLifetimes, isSameLifetime, type ServerLifetime} from '../common/server-lifetime.js';
 import {
-	addBounded, type LocalServer, type LocalServerState, type ServerAnnouncement, type ServerLeave, type ServerStep,
+	addBounded, type LocalServer, type LocalServerState, type ServerAnnouncement, type ServerLeave, type ServerTransition,
 } from './local-server.js';
-import {isSuperseded, mayTakeOver} from './take-over.js';
+import {isSuperseded, mayReplaceCurrent} from './lifetime-succession.js';
 
 /** A word may arrive so many milliseconds after what was said behind it: users' words are seconds late, and servers start again within one. */
-const lateWordMs = 5000;
+const maximumMessageDelayMs = 5000;
 
 function withoutLifetime(servers: readonly LocalServer[], lifetime: ServerLifetime): readonly LocalServer[] {
 	return servers.filter(({announcement}) => !isSameLifetime(announcement.lifetime, lifetime));
 }
 
-function isGone({gone}: LocalServerState, lifetime: ServerLifetime): boolean {
-	return gone.some(known => isSameLifetime(known.lifetime, lifetime));
+function isEnded({ended}: LocalServerState, lifetime: ServerLifetime): boolean {
+	return ended.some(known => isSameLifetime(known.lifetime, lifetime));
 }
 
-function addGone(state: LocalServerState, lifetime: ServerLifetime, now: number): LocalServerState {
+function addEnded(state: LocalServerState, lifetime: ServerLifetime, now: number): LocalServerState {
 	return {
 		...state,
-		gone: isGone(state, lifetime) ? state.gone : addBounded(state.gone, {lifetime, heardAt: now}),
-		others: withoutLifetime(state.others, lifetime),
+		ended: isEnded(state, lifetime) ? state.ended : addBounded(state.ended, {lifetime, heardAt: now}),
+		inactive: withoutLifetime(state.inactive, lifetime),
 	};
 }
 
-function addAllGone(state: LocalServerState, lifetimes: readonly ServerLifetime[], now: number): LocalServerState {
+function addAllEnded(state: LocalServerState, lifetimes: readonly ServerLifetime[], now: number): LocalServerState {
 	let next = state;
 	for (const lifetime of lifetimes) {
-		next = addGone(next, lifetime, now);
+		next = addEnded(next, lifetime, now);
 	}
 
 	return next;
 }
 
 /** Puts another lifetime in the place of the one that was there. */
-function replaceServer(state: LocalServerState, announcement: ServerAnnouncement, now: number): ServerStep {
+function replaceServer(state: LocalServerState, announcement: ServerAnnouncement, now: number): ServerTransition {
 	const {current: former} = state;
 	const isSameId = former?.announcement.lifetime.id === announcement.lifetime.id;
 	const current: LocalServer = {
-		announcement, heardAt: now, isLeaving: announcement.isDraining, doubtedUntil: 0, followsUntil: isSameId ? now + lateWordMs : 0,
+		announcement, heardAt: now, isLeaving: announcement.isDraining, avoidUntil: 0, ambiguousLeaveUntil: isSameId ? now + maximumMessageDelayMs : 0,
 	};
-	const others = withoutLifetime(state.others, announcement.lifetime);
-	const next = {...state, current, others: former === undefined ? others : addBounded(others, former)};
+	const inactive = withoutLifetime(state.inactive, announcement.lifetime);
+	const next = {...state, current, inactive: former === undefined ? inactive : addBounded(inactive, former)};
 	return {
-		state: former?.isLeaving ? addGone(next, former.announcement.lifetime, former.heardAt) : next,
-		news: announcement.isDraining ? 'draining' : 'announced',
+		state: former?.isLeaving ? addEnded(next, former.announcement.lifetime, former.heardAt) : next,
+		change: announcement.isDraining ? 'draining' : 'announced',
 	};
 }
 
 /** Takes in a word of a lifetime that has given way, or that a later start of its id was heard before. */
-function acceptOther(state: LocalServerState, announcement: ServerAnnouncement, now: number): ServerStep {
+function acceptInactive(state: LocalServerState, announcement: ServerAnnouncement, now: number): ServerTransition {
 	const {lifetime, sequence, isDraining} = announcement;
 	if (isDraining) {
 		// It is not taken back, but a word that it leaves is acknowledged, and binds.
-		return {state: addGone(state, lifetime, now), news: 'none'};
+		return {state: addEnded(state, lifetime, now), change: 'none'};
 	}
 
-	const before = state.others.find(server => isSameLifetime(server.announcement.lifetime, lifetime));
+	const before = state.inactive.find(server => isSameLifetime(server.announcement.lifetime, lifetime));
 	if (before !== undefined && sequence <= before.announcement.sequence) {
-		return {state, news: 'none'};
+		return {state, change: 'none'};
 	}
 
-	if (before !== undefined && mayTakeOver(state, before, now)) {
+	if (before !== undefined && mayReplaceCurrent(state, before, now)) {
 		return replaceServer(state, announcement, now);
 	}
 
 	const heard: LocalServer = {
-		announcement, heardAt: now, isLeaving: false, doubtedUntil: 0, followsUntil: 0,
+		announcement, heardAt: now, isLeaving: false, avoidUntil: 0, ambiguousLeaveUntil: 0,
 	};
-	return {state: {...state, others: addBounded(withoutLifetime(state.others, lifetime), heard)}, news: 'none'};
+	return {state: {...state, inactive: addBounded(withoutLifetime(state.inactive, lifetime), heard)}, change: 'none'};
 }
 
-function leaveCurrent(state: LocalServerState, current: LocalServer): ServerStep {
-	return current.isLeaving ? {state, news: 'none'} : {state: {...state, current: {...current, isLeaving: true}}, news: 'draining'};
+function leaveCurrent(state: LocalServerState, current: LocalServer): ServerTransition {
+	return current.isLeaving ? {state, change: 'none'} : {state: {...state, current: {...current, isLeaving: true}}, change: 'draining'};
 }
 
 /** Takes in a word of the lifetime that is in use. */
-function acceptCurrent(state: LocalServerState, current: LocalServer, announcement: ServerAnnouncement, now: number): ServerStep {
+function acceptCurrent(state: LocalServerState, current: LocalServer, announcement: ServerAnnouncement, now: number): ServerTransition {
 	if (announcement.sequence <= current.announcement.sequence) {
 		// Nothing of a late word counts, but that the server leaves: it is acknowledged, and no later word takes it back.
-		return announcement.isDraining ? leaveCurrent(state, current) : {state, news: 'none'};
+		return announcement.isDraining ? leaveCurrent(state, current) : {state, change: 'none'};
 	}
 
 	const next: LocalServer = {
 		...current, announcement, heardAt: now, isLeaving: current.isLeaving || announcement.isDraining,
 	};
 	if (next.isLeaving && !current.isLeaving) {
-		return {state: {...state, current: next}, news: 'draining'};
+		return {state: {...state, current: next}, change: 'draining'};
 	}
 
 	const isChanged = current.announcement.slots !== announcement.slots;
-	return {state: {...state, current: next}, news: isChanged ? 'changed' : 'none'};
+	return {state: {...state, current: next}, change: isChanged ? 'changed' : 'none'};
 }
 
 /** Finds the lifetime behind a word that a server of this id leaves, which came before anything else was heard of it: the first one that is heard. */
-function applyUnknownLeave(state: LocalServerState, {lifetime}: ServerAnnouncement, now: number): LocalServerState {
+function applyUnmatchedLeave(state: LocalServerState, {lifetime}: ServerAnnouncement, now: number): LocalServerState {
 	const {id} = lifetime;
-	const leave = state.unknownLeaves.find(known => known.id === id);
+	const leave = state.unmatchedLeaves.find(known => known.id === id);
 	if (leave === undefined) {
 		return state;
 	}
 
-	const next = {...state, unknownLeaves: state.unknownLeaves.filter(known => known.id !== id)};
-	return now - leave.heardAt <= lateWordMs ? addGone(next, lifetime, now) : next;
+	const next = {...state, unmatchedLeaves: state.unmatchedLeaves.filter(known => known.id !== id)};
+	return now - leave.heardAt <= maximumMessageDelayMs ? addEnded(next, lifetime, now) : next;
 }
 
 /**
@@ -124,12 +124,12 @@
  * @returns What is known afterwards, and what is new.
  * @internal
  */
-export function acceptAnnouncement(before: LocalServerState, announcement: ServerAnnouncement, now: number): ServerStep {
+export function acceptAnnouncement(before: LocalServerState, announcement: ServerAnnouncement, now: number): ServerTransition {
 	const {lifetime} = announcement;
-	const state = applyUnknownLeave(before, announcement, now);
-	const {current, others} = state;
-	if (isGone(state, lifetime)) {
-		return {state, news: 'none'};
+	const state = applyUnmatchedLeave(before, announcement, now);
+	const {current, inactive} = state;
+	if (isEnded(state, lifetime)) {
+		return {state, change: 'none'};
 	}
 
 	if (current !== undefined && isSameLifetime(current.announcement.lifetime, lifetime)) {
@@ -137,23 +137,23 @@
 	}
 
 	// Of two servers with different ids nothing tells which was first: the one that drains loses least by being the earlier one.
-	const isBesideOther = current !== undefined && !current.isLeaving && compareLifetimes(current.announcement.lifetime, lifetime) === 'unrelated';
-	if (announcement.isDraining && isBesideOther) {
-		return {state: addGone(state, lifetime, now), news: 'none'};
+	const hasUnrelatedCurrent = current !== undefined && !current.isLeaving && compareLifetimes(current.announcement.lifetime, lifetime) === 'unrelated';
+	if (announcement.isDraining && hasUnrelatedCurrent) {
+		return {state: addEnded(state, lifetime, now), change: 'none'};
 	}
 
-	const isKnown = others.some(server => isSameLifetime(server.announcement.lifetime, lifetime));
-	return isKnown || isSuperseded(state, lifetime) ? acceptOther(state, announcement, now) : replaceServer(state, announcement, now);
+	const isKnown = inactive.some(server => isSameLifetime(server.announcement.lifetime, lifetime));
+	return isKnown || isSuperseded(state, lifetime) ? acceptInactive(state, announcement, now) : replaceServer(state, announcement, now);
 }
 
 /** Takes in that a lifetime leaves that is not the one in use. */
-function leaveOther(state: LocalServerState, lifetime: ServerLifetime, now: number): ServerStep {
+function leaveOther(state: LocalServerState, lifetime: ServerLifetime, now: number): ServerTransition {
 	const {current} = state;
-	const isKnown = state.others.some(server => isSameLifetime(server.announcement.lifetime, lifetime));
-	const next = addGone(state, lifetime, now);
+	const isKnown = state.inactive.some(server => isSameLifetime(server.announcement.lifetime, lifetime));
+	const next = addEnded(state, lifetime, now);
 	// A start that nothing was heard of, later than the one in use: that one has ended without a word.
-	const hasEnded = current !== undefined && !isKnown && !isGone(state, lifetime) && compareLifetimes(current.announcement.lifetime, lifetime) === 'earlier';
-	return hasEnded ? leaveCurrent(next, current) : {state: next, news: 'none'};
+	const isCurrentReplaced = current !== undefined && !isKnown && !isEnded(state, lifetime) && compareLifetimes(current.announcement.lifetime, lifetime) === 'earlier';
+	return isCurrentReplaced ? leaveCurrent(next, current) : {state: next, change: 'none'};
 }
 
 /**
@@ -167,23 +167,23 @@
  * @internal
  */
 export function isAmbiguousLeave({current}: LocalServerState, {id, startedAt}: ServerLeave, now: number): boolean {
-	return startedAt === undefined && current?.announcement.lifetime.id === id && now < current.followsUntil;
+	return startedAt === undefined && current?.announcement.lifetime.id === id && now < current.ambiguousLeaveUntil;
 }
 
 /** Takes in that a server leaves which did not say which start of it does: the lifetime in use. */
-function leaveWithoutStart(state: LocalServerState, id: BackendServerId, now: number): ServerStep {
-	const {current, others} = state;
+function leaveWithoutStart(state: LocalServerState, id: BackendServerId, now: number): ServerTransition {
+	const {current, inactive} = state;
 	if (current?.announcement.lifetime.id === id) {
 		return leaveCurrent(state, current);
 	}
 
-	const known = others.map(({announcement}) => announcement.lifetime).filter(lifetime => lifetime.id === id);
-	if (known.length > 0 || state.gone.some(({lifetime}) => lifetime.id === id)) {
-		return {state: addAllGone(state, known, now), news: 'none'};
+	const known = inactive.map(({announcement}) => announcement.lifetime).filter(lifetime => lifetime.id === id);
+	if (known.length > 0 || state.ended.some(({lifetime}) => lifetime.id === id)) {
+		return {state: addAllEnded(state, known, now), change: 'none'};
 	}
 
 	// It may have been served by an earlier run of this node; its late announcements must not bring it back.
-	return {state: {...state, unknownLeaves: addBounded(state.unknownLeaves.filter(leave => leave.id !== id), {id, heardAt: now})}, news: 'none'};
+	return {state: {...state, unmatchedLeaves: addBounded(state.unmatchedLeaves.filter(leave => leave.id !== id), {id, heardAt: now})}, change: 'none'};
 }
 
 /**
@@ -195,10 +195,10 @@
  * @returns What is known afterwards, and what is new.
  * @internal
  */
-export function acceptLeave(state: LocalServerState, leave: ServerLeave, now: number): ServerStep {
+export function acceptLeave(state: LocalServerState, leave: ServerLeave, now: number): ServerTransition {
 	const {id, startedAt} = leave;
 	if (isAmbiguousLeave(state, leave, now)) {
-		return {state, news: 'none'};
+		return {state, change: 'none'};
 	}
 
 	if (startedAt === undefined) {
@@ -221,9 +221,9 @@
  * @returns What is known afterwards.
  * @internal
  */
-export function doubtServer(state: LocalServerState, lifetime: ServerLifetime, until: number): LocalServerState {
+export function noteServerUnreachable(state: LocalServerState, lifetime: ServerLifetime, until: number): LocalServerState {
 	const {current} = state;
-	return current !== undefined && isSameLifetime(current.announcement.lifetime, lifetime) ? {...state, current: {...current, doubtedUntil: until}} : state;
+	return current !== undefined && isSameLifetime(current.announcement.lifetime, lifetime) ? {...state, current: {...current, avoidUntil: until}} : state;
 }
 
 /**
@@ -238,5 +238,5 @@
 export function forgetServer(state: LocalServerState, lifetime: ServerLifetime, now: number): LocalServerState {
 	const {current} = state;
 	const isCurrent = current !== undefined && isSameLifetime(current.announcement.lifetime, lifetime);
-	return addGone({...state, current: isCurrent ? undefined : current}, lifetime, now);
+	return addEnded({...state, current: isCurrent ? undefined : current}, lifetime, now);
 }
--- a/src/lib/local-server/local-server.ts
+++ b/src/lib/local-server/local-server.ts
@@ -34,13 +34,13 @@
 	/** It said that it drains or leaves: final for this lifetime. */
 	readonly isLeaving: boolean;
 	/** It could not be reached; it gets no work before this time. Steady milliseconds. */
-	readonly doubtedUntil: number;
+	readonly avoidUntil: number;
 	/** Until then, in steady milliseconds, a word of its id without a start is taken for an earlier lifetime's; 0 if there was none. */
-	readonly followsUntil: number;
+	readonly ambiguousLeaveUntil: number;
 };
 
 /** A lifetime that has ended for this node. @internal */
-export type GoneLifetime = {
+export type EndedLifetime = {
 	readonly lifetime: ServerLifetime;
 	/** When this node learnt it, in steady milliseconds. */
 	readonly heardAt: number;
@@ -50,25 +50,25 @@
 export type LocalServerState = {
 	readonly current: LocalServer | undefined;
 	/** Lifetimes that said that they leave, or whose address another has: nothing they still say counts. */
-	readonly gone: readonly GoneLifetime[];
+	readonly ended: readonly EndedLifetime[];
 	/** Lifetimes that gave way to another one, or were never taken, without having left. */
-	readonly others: readonly LocalServer[];
+	readonly inactive: readonly LocalServer[];
 	/** Servers that said that they leave, but not which start of them, before this node had heard of any. */
-	readonly unknownLeaves: ReadonlyArray<{readonly id: BackendServerId; readonly heardAt: number}>;
+	readonly unmatchedLeaves: ReadonlyArray<{readonly id: BackendServerId; readonly heardAt: number}>;
 };
 
 /** What a word changed. @internal */
-export type ServerNews = 'none' | 'announced' | 'draining' | 'changed';
+export type ServerChange = 'none' | 'announced' | 'draining' | 'changed';
 
 /** @internal */
-export type ServerStep = {readonly state: LocalServerState; readonly news: ServerNews};
+export type ServerTransition = {readonly state: LocalServerState; readonly change: ServerChange};
 
 /** Lifetimes of each kind that are remembered; late words are seconds late, and a VM does not see this many starts in that time, whatever other writers say. */
-const rememberedLifetimes = 64;
+const rememberedLifetimeCount = 64;
 
 /** @internal */
 export const noLocalServer: LocalServerState = {
-	current: undefined, gone: [], others: [], unknownLeaves: [],
+	current: undefined, ended: [], inactive: [], unmatchedLeaves: [],
 };
 
 /**
@@ -78,5 +78,5 @@
  * @internal
  */
 export function addBounded<Item>(list: readonly Item[], next: Item): readonly Item[] {
-	return [...list, next].slice(-rememberedLifetimes);
+	return [...list, next].slice(-rememberedLifetimeCount);
 }
--- a/src/lib/local-server/start-check.test.ts
+++ b/src/lib/local-server/start-time-check.test.ts
@@ -3,7 +3,7 @@
 import {toAddress, toBackendServerId} from '../common/ids.js';
 import {unknownStart, type ServerLifetime} from '../common/server-lifetime.js';
 import {type ServerAnnouncement} from './local-server.js';
-import {createStartCheck} from './start-check.js';
+import {createStartTimeCheck} from './start-time-check.js';
 
 const createLifetime = (startedAt: number): ServerLifetime => ({id: toBackendServerId('i-1'), startedAt});
 
@@ -15,13 +15,13 @@
 const unknown = createAnnouncement(unknownStart);
 
 test('where no server says when it started, one that does not is used', () => {
-	const {check} = createStartCheck(() => [createLifetime(unknownStart), createLifetime(unknownStart)]);
+	const {check} = createStartTimeCheck(() => [createLifetime(unknownStart), createLifetime(unknownStart)]);
 	assert.ok(check(unknown, 0).isOk());
 	assert.ok(check(unknown, 60_000).isOk());
 });
 
 test('beside a server that says it, a word without it is another writer\'s', () => {
-	const {check} = createStartCheck(() => []);
+	const {check} = createStartTimeCheck(() => []);
 	assert.ok(check(known, 0).isOk());
 	const refused = check(unknown, 1500);
 	assert.equal(refused._unsafeUnwrapErr().cause, 'start');
@@ -29,12 +29,12 @@
 });
 
 test('a node that has just started learns from the others that servers say it', () => {
-	const {check} = createStartCheck(() => [createLifetime(5), createLifetime(6), createLifetime(unknownStart)]);
+	const {check} = createStartTimeCheck(() => [createLifetime(5), createLifetime(6), createLifetime(unknownStart)]);
 	assert.equal(check(unknown, 0)._unsafeUnwrapErr().cause, 'start');
 });
 
 test('one server that says it does not shut out a mesh whose servers do not', () => {
-	const {check} = createStartCheck(() => [createLifetime(unknownStart), createLifetime(5), createLifetime(unknownStart)]);
+	const {check} = createStartTimeCheck(() => [createLifetime(unknownStart), createLifetime(5), createLifetime(unknownStart)]);
 	assert.ok(check(unknown, 0).isOk());
 	check(known, 100);
 	assert.ok(check(unknown, 1000).isErr());
@@ -50,6 +50,6 @@
 		}
 	}
 
-	assert.ok(createStartCheck(listMany).check(unknown, 0).isErr());
+	assert.ok(createStartTimeCheck(listMany).check(unknown, 0).isErr());
 	assert.ok(looks < 20);
 });
--- a/src/lib/local-server/start-check.ts
+++ b/src/lib/local-server/start-time-check.ts
@@ -8,34 +8,34 @@
  */
 import {err, ok, type Result} from 'neverthrow';
 import {isStartKnown, type ServerLifetime} from '../common/server-lifetime.js';
-import {type CallRefusal} from './call-refusal.js';
+import {type AnnouncementRefusal} from './announcement-refusal.js';
 import {type ServerAnnouncement} from './local-server.js';
 
 /** @internal */
-export type StartCheck = {
+export type StartTimeCheck = {
 	/** Checks an announcement; the ones that pass teach what to expect. */
-	readonly check: (announcement: ServerAnnouncement, now: number) => Result<ServerAnnouncement, CallRefusal>;
+	readonly check: (announcement: ServerAnnouncement, now: number) => Result<ServerAnnouncement, AnnouncementRefusal>;
 };
 
 /** A server beside this node that said its start within this time shows that servers say it. Milliseconds: some six announcements; the words of another writer then mislead for no longer. */
-const expectedForMs = 10_000;
+const startTimeExpectedMs = 10_000;
 
 /** Servers beside other nodes that are looked at: enough that one node which was misled decides nothing. */
-const mostLooks = 15;
+const maximumSampleCount = 15;
 
 /** Whether most of the servers that other nodes tell of say when they started. */
-function isUsual(lifetimes: Iterable<ServerLifetime>): boolean {
-	let looked = 0;
-	let known = 0;
+function isStartTimeUsual(lifetimes: Iterable<ServerLifetime>): boolean {
+	let sampled = 0;
+	let withStartTime = 0;
 	for (const lifetime of lifetimes) {
-		looked++;
-		known += isStartKnown(lifetime) ? 1 : 0;
-		if (looked >= mostLooks) {
+		sampled++;
+		withStartTime += isStartKnown(lifetime) ? 1 : 0;
+		if (sampled >= maximumSampleCount) {
 			break;
 		}
 	}
 
-	return known * 2 > looked;
+	return withStartTime * 2 > sampled;
 }
 
 /**
@@ -43,7 +43,7 @@
  * @returns A check that has heard nothing.
  * @internal
  */
-export function createStartCheck(listLifetimes: () => Iterable<ServerLifetime>): StartCheck {
+export function createStartTimeCheck(listLifetimes: () => Iterable<ServerLifetime>): StartTimeCheck {
 	let heardAt = Number.NEGATIVE_INFINITY;
 	return {
 		check(announcement, now) {
@@ -52,7 +52,7 @@
 				return ok(announcement);
 			}
 
-			return now - heardAt <= expectedForMs || isUsual(listLifetimes())
+			return now - heardAt <= startTimeExpectedMs || isStartTimeUsual(listLifetimes())
 				? err({cause: 'start', text: 'start: found nothing, must be when the server started, as the servers of this mesh say it'})
 				: ok(announcement);
 		},
--- a/src/lib/peers/news-targets.ts
+++ b/src/lib/peers/announcement-targets.ts
@@ -13,13 +13,13 @@
 import {type Peer, type PeerTable} from './peer-table.js';
 
 /** Nodes that hear it at once, at the most. The users' meshes of up to 80 nodes are told whole, as before. */
-const mostTold = 80;
+const maximumTargetCount = 80;
 
 /** Of these, nodes of the own failure domain at the most: their requests come here first. The rest are of other domains, so that word is everywhere. */
-const mostTowardsOwnDomain = 60;
+const maximumOwnDomainCount = 60;
 
 /** Draws some of a list, each at most once, in time that does not grow with the list. */
-function pickSome(peers: readonly Peer[], count: number, random: () => number): readonly Peer[] {
+function pickRandomRange(peers: readonly Peer[], count: number, random: () => number): readonly Peer[] {
 	if (peers.length <= count) {
 		return peers;
 	}
@@ -34,7 +34,7 @@
  * @returns Whom to tell at once; the others hear it with their next heartbeat.
  * @internal
  */
-export function chooseNewsTargets(table: Pick<PeerTable, 'listOwnDomain' | 'listOtherDomains'>, random: () => number): readonly Peer[] {
-	const near = pickSome(table.listOwnDomain(), mostTowardsOwnDomain, random);
-	return [...near, ...pickSome(table.listOtherDomains(), mostTold - near.length, random)];
+export function chooseAnnouncementTargets(table: Pick<PeerTable, 'listOwnDomain' | 'listOtherDomains'>, random: () => number): readonly Peer[] {
+	const ownDomain = pickRandomRange(table.listOwnDomain(), maximumOwnDomainCount, random);
+	return [...ownDomain, ...pickRandomRange(table.listOtherDomains(), maximumTargetCount - ownDomain.length, random)];
 }
--- a/src/lib/peers/heartbeat-plan.test.ts
+++ b/src/lib/peers/heartbeat-plan.test.ts
@@ -1,12 +1,12 @@
 import assert from 'node:assert/strict';
 import test from 'node:test';
 import fc from 'fast-check';
-import {measurePeriods, planHeartbeats} from './heartbeat-plan.js';
+import {computePeriods, planHeartbeats} from './heartbeat-plan.js';
 
 test('in a small mesh everybody gets a heartbeat every period', () => {
 	const plan = planHeartbeats({ownDomainNodes: 4, otherDomainNodes: 9, isFollowing: false});
 	assert.deepEqual(plan, {ownDomain: 1, otherDomain: 1});
-	assert.deepEqual(measurePeriods(plan, 400), {ownDomainMs: 400, otherDomainMs: 400});
+	assert.deepEqual(computePeriods(plan, 400), {ownDomainMs: 400, otherDomainMs: 400});
 });
 
 test('those that watch the store are heard every period in a failure domain of many nodes', () => {
--- a/src/lib/peers/heartbeat-turns.ts
+++ b/src/lib/peers/heartbeat-rotation.ts
@@ -7,7 +7,7 @@
  */
 
 /** Silent nodes get a heartbeat once in so many rounds: most of them are gone. @internal */
-export const quietRounds = 4;
+export const silentNodeRounds = 4;
 
 /**
  * @param length - How many nodes the list holds.
@@ -16,22 +16,22 @@
  * @returns Places of those whose turn it is, in order.
  * @internal
  */
-export function listTurns(length: number, every: number, round: number): readonly number[] {
-	const places: number[] = [];
-	for (let place = (every - (round % every)) % every; place < length; place += every) {
-		places.push(place);
+export function listDuePositions(length: number, every: number, round: number): readonly number[] {
+	const positions: number[] = [];
+	for (let position = (every - (round % every)) % every; position < length; position += every) {
+		positions.push(position);
 	}
 
-	return places;
+	return positions;
 }
 
 /**
- * @param place - The place of a silent node whose turn it is.
+ * @param position - The position of a silent node whose turn it is.
  * @param every - Rounds between two turns of one node.
  * @param round - Number of the round.
  * @returns Whether it gets a heartbeat in this turn.
  * @internal
  */
-export function hasQuietTurn(place: number, every: number, round: number): boolean {
-	return (place + round) % (every * Math.ceil(quietRounds / every)) === 0;
+export function isSilentNodeDue(position: number, every: number, round: number): boolean {
+	return (position + round) % (every * Math.ceil(silentNodeRounds / every)) === 0;
 }
--- a/src/lib/peers/heartbeat-rounds.ts
+++ b/src/lib/peers/heartbeat-rounds.ts
@@ -8,7 +8,7 @@
  */
 
 /** A round comes this share of a period after the last one at the earliest: the time of day may jump, and two rounds in succession tell nothing new. */
-const shortestShare = 0.25;
+const minimumDelayShare = 0.25;
 
 /**
  * @param wallMs - The time of day, which may jump and differ between VMs: then rounds of different nodes are apart, which costs wake-ups and nothing else.
@@ -18,5 +18,5 @@
  */
 export function computeRoundDelay(wallMs: number, periodMs: number): number {
 	const leftMs = periodMs - (wallMs % periodMs);
-	return leftMs < periodMs * shortestShare ? leftMs + periodMs : leftMs;
+	return leftMs < periodMs * minimumDelayShare ? leftMs + periodMs : leftMs;
 }
--- a/src/lib/peers/peer-link.test.ts
+++ b/src/lib/peers/peer-link.test.ts
@@ -54,7 +54,7 @@
 test('nodes that meet know one another, and a node that is asked for a report answers at once', async context => {
 	const first = await startLink(context, 'n1');
 	const second = await startLink(context, 'n2');
-	first.addContacts([second.address]);
+	first.addSeedAddresses([second.address]);
 	await expectSoon('they know one another', () => first.table.get(second.node) !== undefined && second.table.get(first.node) !== undefined);
 	const before = first.table.get(second.node)!.report.sequence;
 	first.probe(second.node);
@@ -66,14 +66,14 @@
 test('news that come up while a node ends are not sent, and are no fault', async context => {
 	const first = await startLink(context, 'n1');
 	const second = await startLink(context, 'n2');
-	first.addContacts([second.address]);
+	first.addSeedAddresses([second.address]);
 	await expectSoon('the other is known', () => first.table.get(second.node) !== undefined);
 	first.dispose();
 	assert.doesNotThrow(() => {
 		first.announce();
 		first.announceToDomain();
 		first.probe(second.node);
-		first.addContacts([toAddress('127.0.0.1:1')]);
+		first.addSeedAddresses([toAddress('127.0.0.1:1')]);
 	});
 });
 
@@ -114,7 +114,7 @@
 		},
 	});
 	const second = await startLink(context, 'n2');
-	second.addContacts([first.address]);
+	second.addSeedAddresses([first.address]);
 	await expectSoon('a report was heard', () => heard > 0);
 	second.announce();
 	await expectSoon('another one is heard', () => heard > 1);
--- a/src/lib/peers/peer-link.ts
+++ b/src/lib/peers/peer-link.ts
@@ -11,13 +11,13 @@
 import {createTokenBucket, takeToken} from '../common/token-bucket.js';
 import {type MeshLog} from '../timeline/mesh-log.js';
 import {type Refusal, type Refusals} from '../timeline/refusals.js';
-import {measurePeriods, planHeartbeats, type HeartbeatPlan} from './heartbeat-plan.js';
+import {computePeriods, planHeartbeats, type HeartbeatPlan} from './heartbeat-plan.js';
 import {computeRoundDelay} from './heartbeat-rounds.js';
-import {chooseNewsTargets} from './news-targets.js';
-import {hasQuietTurn, listTurns, quietRounds} from './heartbeat-turns.js';
+import {chooseAnnouncementTargets} from './announcement-targets.js';
+import {isSilentNodeDue, listDuePositions, silentNodeRounds} from './heartbeat-rotation.js';
 import {decodeReport, encodeReport, type PeerReport} from './peer-report.js';
 import {
-	createPeerTable, isHeard, type Peer, type PeerLimits, type PeerNews, type PeerTable,
+	createPeerTable, isHeard, type Peer, type PeerLimits, type PeerChange, type PeerTable,
 } from './peer-table.js';
 
 /** @internal */
@@ -40,20 +40,20 @@
 	readonly refusals: Refusals;
 	readonly random: () => number;
 	/** Told of each report that was heard. */
-	readonly handleReport: (report: PeerReport, news: PeerNews) => void;
+	readonly handleReport: (report: PeerReport, news: PeerChange) => void;
 	/** Told of each round of heartbeats before it is sent, and by how many milliseconds it is late. */
 	readonly handleRound: (lateMs: number) => void;
 };
 
 /** What is known of the other nodes, for others to read. @internal */
-export type PeerTableView = Pick<PeerTable, 'size' | 'get' | 'hasGossip' | 'list' | 'countDomains' | 'listOwnDomain' | 'listService' | 'findGate'>;
+export type PeerTableView = Pick<PeerTable, 'size' | 'get' | 'hasGossipAddress' | 'list' | 'countDomains' | 'listOwnDomain' | 'listService' | 'findByGate'>;
 
 /** @internal */
 export type PeerLink = {
 	readonly start: () => Promise<void>;
 	readonly table: PeerTableView;
 	/** Adds addresses at which other nodes may listen. */
-	readonly addContacts: (addresses: readonly Address[]) => void;
+	readonly addSeedAddresses: (addresses: readonly Address[]) => void;
 	/** Tells everybody at once of a server that takes no work any more; of one that does, a bounded number. */
 	readonly announce: () => void;
 	/** Tells the nodes of the own failure domain at once. */
@@ -67,33 +67,33 @@
 	readonly noteUnreachable: (node: NodeId) => void;
 	readonly noteReached: (node: NodeId) => void;
 	/** This node stood still for so long: the others are given that time. Milliseconds. */
-	readonly forgiveSilence: (pausedMs: number) => void;
+	readonly recordPause: (pausedMs: number) => void;
 	readonly dispose: () => void;
 };
 
 /** Rounds, of those in which mere addresses get a heartbeat as silent nodes do, for which an address that never answered is tried. */
-const contactPeriods = 60;
+const seedAttemptCount = 60;
 
 /** Nodes that are held at the most: several times the largest mesh, some ten megabytes. More come from whoever makes up names. */
-const mostPeers = 4000;
+const maximumPeerCount = 4000;
 
 /** A node that asks again within so many milliseconds is not answered again: nodes ask every 200. */
-const leastProbeMs = 50;
+const minimumProbeIntervalMs = 50;
 
 /** Answers to newcomers and to those who ask, over all nodes: a mesh that starts at once makes one for each node, and later a few a second. */
-const answerLimits = {perSecond: 500, burst: 2000} as const;
+const answerRateLimit = {perSecond: 500, burst: 2000} as const;
 
 type Lookup = NonNullable<SocketOptions['lookup']>;
 
 /**
  * Addresses are IP numbers. The runtime's own lookup yields them in a later turn all the same, which costs several times what a datagram does.
  */
-const takeAsIs: Lookup = (host, _options, handleFound) => {
+const resolveNumericAddress: Lookup = (host, _options, handleFound) => {
 	handleFound(null, host, 4);
 };
 
 /** What is wrong with a datagram. */
-type Problem = Pick<Refusal, 'cause' | 'reason'>;
+type HeartbeatProblem = Pick<Refusal, 'cause' | 'reason'>;
 
 /**
  * Creates the link.
@@ -104,21 +104,21 @@
  */
 export function createPeerLink(context: PeerLinkContext): PeerLink {
 	const {settings, describeSelf, isFollowing, log, refusals, handleReport, handleRound, random} = context;
-	const socket = createSocket({type: 'udp4', lookup: takeAsIs});
-	const contacts = new Map<Address, number>();
+	const socket = createSocket({type: 'udp4', lookup: resolveNumericAddress});
+	const seedAttemptsLeft = new Map<Address, number>();
 	const table = createPeerTable(settings.domain, settings);
 	let sequence = 0;
 	let round = 0;
 	let timer: NodeJS.Timeout | undefined;
 	/** When the next round has to begin, in steady milliseconds. */
-	let dueAt = 0;
-	let answers = createTokenBucket(answerLimits, readSteadyMs());
+	let nextRoundAt = 0;
+	let answers = createTokenBucket(answerRateLimit, readSteadyMs());
 	/** When a question of each node was last answered, in steady milliseconds. */
 	const answeredAt = new WeakMap<Peer, number>();
 	let isClosed = false;
 
 	/** Sends without asking what became of it: a datagram may be lost on its way just as well. */
-	const sendUnasked = (bytes: Uint8Array, address: Address): void => {
+	const sendWithoutCallback = (bytes: Uint8Array, address: Address): void => {
 		if (!isClosed) {
 			const {host, port} = parseAddress(address);
 			socket.send(bytes, port, host);
@@ -140,11 +140,11 @@
 
 	/** Sends to many. A link that is down fails all alike, so the first one tells. */
 	const sendToAll = (bytes: Uint8Array, addresses: readonly Address[]): void => {
-		for (const [place, address] of addresses.entries()) {
-			if (place === 0) {
+		for (const [index, address] of addresses.entries()) {
+			if (index === 0) {
 				send(bytes, address);
 			} else {
-				sendUnasked(bytes, address);
+				sendWithoutCallback(bytes, address);
 			}
 		}
 	};
@@ -156,7 +156,7 @@
 
 	const encodeSelf = (isProbe = false): Uint8Array => {
 		sequence++;
-		return Buffer.from(encodeReport({...describeSelf(sequence), periods: measurePeriods(plan(), settings.periodMs), isProbe}));
+		return Buffer.from(encodeReport({...describeSelf(sequence), periods: computePeriods(plan(), settings.periodMs), isProbe}));
 	};
 
 	const sendToPeers = (peers: Iterable<Peer>): void => {
@@ -173,27 +173,27 @@
 		}
 	};
 
-	const sendToContacts = (): void => {
-		if (contacts.size === 0) {
+	const sendToSeeds = (): void => {
+		if (seedAttemptsLeft.size === 0) {
 			return;
 		}
 
 		const bytes = encodeSelf();
-		for (const [address, left] of contacts) {
-			if (table.hasGossip(address) || left <= 0) {
-				contacts.delete(address);
+		for (const [address, attemptsLeft] of seedAttemptsLeft) {
+			if (table.hasGossipAddress(address) || attemptsLeft <= 0) {
+				seedAttemptsLeft.delete(address);
 			} else {
-				contacts.set(address, left - 1);
+				seedAttemptsLeft.set(address, attemptsLeft - 1);
 				send(bytes, address);
 			}
 		}
 	};
 
-	const silent = new Set<NodeId>();
+	const silentNodes = new Set<NodeId>();
 
-	const noteSilence = ({report: {node}, heardAt}: Peer, now: number): void => {
-		if (!silent.has(node)) {
-			silent.add(node);
+	const recordSilence = ({report: {node}, heardAt}: Peer, now: number): void => {
+		if (!silentNodes.has(node)) {
+			silentNodes.add(node);
 			log.record('warn', {kind: 'peer-lost', peer: node, heardMsAgo: Math.round(now - heardAt)});
 		}
 	};
@@ -205,75 +205,75 @@
 	const sendHeartbeats = (now: number): void => {
 		const {ownDomain, otherDomain} = plan();
 		const addresses: Address[] = [];
-		const quiet: Peer[] = [];
-		const takeTurns = (peers: readonly Peer[], every: number): void => {
-			for (const place of listTurns(peers.length, every, round)) {
-				const peer = peers[place]!;
+		const silentPeers: Peer[] = [];
+		const addDuePeers = (peers: readonly Peer[], every: number): void => {
+			for (const position of listDuePositions(peers.length, every, round)) {
+				const peer = peers[position]!;
 				const isSilent = !isHeard(peer, settings, now);
 				if (isSilent) {
-					quiet.push(peer);
+					silentPeers.push(peer);
 				}
 
-				if (!isSilent || hasQuietTurn(place, every, round)) {
+				if (!isSilent || isSilentNodeDue(position, every, round)) {
 					addresses.push(peer.report.gossip);
 				}
 			}
 		};
 
-		takeTurns(table.listOwnDomain(), ownDomain);
-		takeTurns(table.listOtherDomains(), otherDomain);
-		for (const peer of quiet) {
-			noteSilence(peer, now);
+		addDuePeers(table.listOwnDomain(), ownDomain);
+		addDuePeers(table.listOtherDomains(), otherDomain);
+		for (const peer of silentPeers) {
+			recordSilence(peer, now);
 		}
 
-		dropGone(quiet, now);
+		forgetSilent(silentPeers, now);
 		if (addresses.length > 0) {
 			sendToAll(encodeSelf(), addresses);
 		}
 	};
 
-	const dropGone = (quiet: readonly Peer[], now: number): void => {
-		for (const node of table.dropSilent(now, quiet)) {
-			silent.delete(node);
+	const forgetSilent = (silentPeers: readonly Peer[], now: number): void => {
+		for (const node of table.dropSilent(now, silentPeers)) {
+			silentNodes.delete(node);
 			log.record('info', {kind: 'peer-forgotten', peer: node, silentMs: settings.forgetMs});
 		}
 	};
 
-	const queueRound = (): void => {
+	const scheduleRound = (): void => {
 		const delayMs = computeRoundDelay(readNow(), settings.periodMs);
-		dueAt = readSteadyMs() + delayMs;
+		nextRoundAt = readSteadyMs() + delayMs;
 		timer = setTimeout(runRound, delayMs);
 	};
 
 	const runRound = (): void => {
 		const now = readSteadyMs();
-		handleRound(now - dueAt);
-		queueRound();
+		handleRound(now - nextRoundAt);
+		scheduleRound();
 		round++;
 		sendHeartbeats(now);
-		if (round % quietRounds === 0) {
-			sendToContacts();
+		if (round % silentNodeRounds === 0) {
+			sendToSeeds();
 		}
 	};
 
-	const refuse = ({address, port}: RemoteInfo, problem: Problem): void => {
+	const refuse = ({address, port}: RemoteInfo, problem: HeartbeatProblem): void => {
 		refusals.note({kind: 'heartbeat-refused', place: `${address}:${port}`, ...problem});
 	};
 
 	/** Why a report that can be read is refused. */
-	const checkReport = (report: PeerReport): Problem | undefined => {
+	const checkReport = (report: PeerReport): HeartbeatProblem | undefined => {
 		if (report.node === settings.node) {
 			return {cause: 'own-name', reason: `node: found ${report.node}, which is this node; give each node a name of its own`};
 		}
 
 		const isNew = table.get(report.node) === undefined;
-		return isNew && table.size >= mostPeers ? {cause: 'flood', reason: `node: found a new one beside ${mostPeers} others, more than any mesh has`} : undefined;
+		return isNew && table.size >= maximumPeerCount ? {cause: 'flood', reason: `node: found a new one beside ${maximumPeerCount} others, more than any mesh has`} : undefined;
 	};
 
 	/** Whether a node that asks is answered; one that asks faster than any node does is answered as often as a node would be. */
-	const takeProbe = (node: NodeId, now: number): boolean => {
+	const admitProbe = (node: NodeId, now: number): boolean => {
 		const peer = table.get(node);
-		if (peer === undefined || now - (answeredAt.get(peer) ?? Number.NEGATIVE_INFINITY) < leastProbeMs) {
+		if (peer === undefined || now - (answeredAt.get(peer) ?? Number.NEGATIVE_INFINITY) < minimumProbeIntervalMs) {
 			return false;
 		}
 
@@ -282,14 +282,14 @@
 	};
 
 	/** Whether a report is answered by one of this node at once. */
-	const mayAnswer = ({node, isProbe}: PeerReport, news: PeerNews): boolean => {
+	const mayAnswer = ({node, isProbe}: PeerReport, news: PeerChange): boolean => {
 		const now = readSteadyMs();
 		const isNew = news === 'joined' || news === 'restarted';
-		if (!isNew && !(isProbe && takeProbe(node, now))) {
+		if (!isNew && !(isProbe && admitProbe(node, now))) {
 			return false;
 		}
 
-		const {bucket, isTaken} = takeToken(answers, answerLimits, now);
+		const {bucket, isTaken} = takeToken(answers, answerRateLimit, now);
 		answers = bucket;
 		return isTaken;
 	};
@@ -314,7 +314,7 @@
 
 		const news = table.acceptReport(report, readSteadyMs());
 		if (news !== 'none') {
-			silent.delete(report.node);
+			silentNodes.delete(report.node);
 			// A node that only has another version is one of the many that follow a change.
 			log.record(news === 'version' ? 'debug' : 'info', {
 				kind: 'peer-seen', peer: report.node, news, version: report.version, isLeaving: report.isLeaving,
@@ -351,14 +351,14 @@
 				log.record('error', {kind: 'gossip-failed', reason: error.message});
 			});
 			socket.on('message', handleSafely);
-			queueRound();
+			scheduleRound();
 		},
 		table,
-		addContacts(addresses) {
+		addSeedAddresses(addresses) {
 			let bytes: Uint8Array | undefined;
 			for (const address of addresses) {
-				if (address !== settings.listen && !table.hasGossip(address) && !contacts.has(address)) {
-					contacts.set(address, contactPeriods);
+				if (address !== settings.listen && !table.hasGossipAddress(address) && !seedAttemptsLeft.has(address)) {
+					seedAttemptsLeft.set(address, seedAttemptCount);
 					bytes ??= encodeSelf();
 					send(bytes, address);
 				}
@@ -366,8 +366,8 @@
 		},
 		announce() {
 			const {server, isLeaving} = describeSelf(sequence);
-			const isGood = server?.state === 'ready' && !isLeaving;
-			sendToPeers(isGood ? chooseNewsTargets(table, random) : table.list());
+			const isReadyForWork = server?.state === 'ready' && !isLeaving;
+			sendToPeers(isReadyForWork ? chooseAnnouncementTargets(table, random) : table.list());
 		},
 		announceToDomain() {
 			sendToPeers(table.listOwnDomain());
@@ -382,14 +382,14 @@
 				send(encodeSelf(true), peer.report.gossip);
 			}
 		},
-		countSilent: () => silent.size,
+		countSilent: () => silentNodes.size,
 		noteUnreachable(node) {
 			table.noteUnreachable(node, readSteadyMs());
 		},
 		noteReached(node) {
 			table.noteReached(node, readSteadyMs());
 		},
-		forgiveSilence: table.forgiveSilence,
+		recordPause: table.recordPause,
 		dispose() {
 			if (isClosed) {
 				return;
--- a/src/lib/peers/peer-report.ts
+++ b/src/lib/peers/peer-report.ts
@@ -83,7 +83,7 @@
 const states: readonly ServerState[] = ['ready', 'draining', 'down'];
 
 /** Thousandths are enough for a share, and shorter on the wire. */
-const shareUnit = 1000;
+const unitsPerShare = 1000;
 
 function encodeServer(server: ServerReport): readonly unknown[] {
 	return [
@@ -95,16 +95,16 @@
 		server.running,
 		server.waiting,
 		Math.round(server.serviceMs),
-		Math.round(server.failureShare * shareUnit),
+		Math.round(server.failureShare * unitsPerShare),
 		server.lifetime.startedAt,
 	];
 }
 
 /** Stands for a store whose last call failed. */
-const storeLost = -1;
+const storeUnreachableMark = -1;
 
 function encodeDuties({linkMbps, isFollowing, storeSeenMs, storeEra}: NodeDuties): readonly number[] {
-	return [Math.round(linkMbps), isFollowing ? 1 : 0, storeSeenMs === undefined ? storeLost : Math.round(storeSeenMs), storeEra];
+	return [Math.round(linkMbps), isFollowing ? 1 : 0, storeSeenMs === undefined ? storeUnreachableMark : Math.round(storeSeenMs), storeEra];
 }
 
 /**
@@ -153,15 +153,15 @@
 
 	return {
 		lifetime: {id: toBackendServerId(id), startedAt}, service, slots: slots as number, state, coldMs: coldMs as number,
-		running: running as number, waiting: waiting as number, serviceMs: serviceMs as number, failureShare: (failures as number) / shareUnit,
+		running: running as number, waiting: waiting as number, serviceMs: serviceMs as number, failureShare: (failures as number) / unitsPerShare,
 	};
 }
 
 /** The longest time that a node may name, and the fastest link: more is no measurement. Milliseconds, megabits a second. */
-const mostOfAll = Number.MAX_SAFE_INTEGER;
+const maximumAmount = Number.MAX_SAFE_INTEGER;
 
 /** The longest time between two heartbeats that a node may name. Milliseconds: a node that is silent for as long is forgotten. */
-const longestPeriodMs = 60_000;
+const maximumPeriodMs = 60_000;
 
 /** A node without a server says so by 0. What cannot be read must not make the server that is known of the node disappear. */
 function readServer(value: unknown): ServerReport | undefined {
@@ -180,9 +180,9 @@
 function readDuties(value: unknown): NodeDuties {
 	const [linkMbps, isFollowing, storeSeenMs, storeEra] = readList(value, 'duties');
 	return {
-		linkMbps: readAmount(linkMbps, 'duties.linkMbps', mostOfAll),
+		linkMbps: readAmount(linkMbps, 'duties.linkMbps', maximumAmount),
 		isFollowing: readFlag(isFollowing, 'duties.isFollowing'),
-		storeSeenMs: storeSeenMs === storeLost ? undefined : readAmount(storeSeenMs, 'duties.storeSeenMs', mostOfAll),
+		storeSeenMs: storeSeenMs === storeUnreachableMark ? undefined : readAmount(storeSeenMs, 'duties.storeSeenMs', maximumAmount),
 		storeEra: readCount(storeEra, 'duties.storeEra'),
 	};
 }
@@ -190,12 +190,12 @@
 function readPeriods(value: unknown): HeartbeatPeriods {
 	const [ownDomainMs, otherDomainMs] = readList(value, 'periods');
 	return {
-		ownDomainMs: readAmount(ownDomainMs, 'periods.ownDomainMs', longestPeriodMs), otherDomainMs: readAmount(otherDomainMs, 'periods.otherDomainMs', longestPeriodMs),
+		ownDomainMs: readAmount(ownDomainMs, 'periods.ownDomainMs', maximumPeriodMs), otherDomainMs: readAmount(otherDomainMs, 'periods.otherDomainMs', maximumPeriodMs),
 	};
 }
 
 function readSuspects(value: unknown): readonly SuspectRecord[] {
-	return value === undefined ? [] : readList(value, 'suspects').map((suspect, place) => decodeSuspect(suspect, `suspects.${place}`));
+	return value === undefined ? [] : readList(value, 'suspects').map((suspect, index) => decodeSuspect(suspect, `suspects.${index}`));
 }
 
 function readReport(value: unknown): PeerReport {
--- a/src/lib/peers/peer-table.test.ts
+++ b/src/lib/peers/peer-table.test.ts
@@ -14,35 +14,35 @@
 const n2 = toNodeId('n2');
 
 /** Heartbeats of which two and more fit into the time of silence. */
-const often = {ownDomainMs: 300, otherDomainMs: 300};
+const frequentPeriods = {ownDomainMs: 300, otherDomainMs: 300};
 
 const createTable = (): PeerTable => createPeerTable(toFailureDomain('a'), limits);
 
-const hear = (table: PeerTable, report: PeerReport, now: number) => table.acceptReport({...report, periods: often}, now);
+const acceptReport = (table: PeerTable, report: PeerReport, now: number) => table.acceptReport({...report, periods: frequentPeriods}, now);
 
 test('late and repeated reports change nothing', () => {
 	const table = createTable();
-	hear(table, createSampleReport({sequence: 5, version: 4}), 100);
-	assert.equal(hear(table, createSampleReport({sequence: 4, version: 3}), 900), 'none');
+	acceptReport(table, createSampleReport({sequence: 5, version: 4}), 100);
+	assert.equal(acceptReport(table, createSampleReport({sequence: 4, version: 3}), 900), 'none');
 	assert.equal(table.get(n2)?.heardAt, 100);
 	assert.equal(table.get(n2)?.report.version, 4);
-	assert.equal(hear(table, createSampleReport({sequence: 5}), 900), 'none');
+	assert.equal(acceptReport(table, createSampleReport({sequence: 5}), 900), 'none');
 });
 
 test('a restarted node is told from its earlier run, whose late reports are ignored', () => {
 	const table = createTable();
-	hear(table, createSampleReport({sequence: 50}), 0);
-	assert.equal(hear(table, createSampleReport({run: 'r2', sequence: 1}), 100), 'restarted');
-	assert.equal(hear(table, createSampleReport({run: 'r1', sequence: 51}), 200), 'none');
+	acceptReport(table, createSampleReport({sequence: 50}), 0);
+	assert.equal(acceptReport(table, createSampleReport({run: 'r2', sequence: 1}), 100), 'restarted');
+	assert.equal(acceptReport(table, createSampleReport({run: 'r1', sequence: 51}), 200), 'none');
 	assert.equal(table.get(n2)?.report.run, 'r2');
 });
 
 test('a silent node gets no requests, and gets them again once it is heard', () => {
 	const table = createTable();
-	hear(table, createSampleReport(), 0);
+	acceptReport(table, createSampleReport(), 0);
 	assert.equal(isReachable(table.get(n2)!, limits, 900), true);
 	assert.equal(isReachable(table.get(n2)!, limits, 901), false);
-	assert.equal(hear(table, createSampleReport({sequence: 2}), 5000), 'returned');
+	assert.equal(acceptReport(table, createSampleReport({sequence: 2}), 5000), 'returned');
 	assert.equal(isReachable(table.get(n2)!, limits, 5001), true);
 });
 
@@ -61,21 +61,21 @@
 	assert.equal(isHeard(table.get(n2)!, limits, 7000), true);
 	// A pause of this node is no silence of the other.
 	table.noteProbed(n2, 2300);
-	table.forgiveSilence(3000);
+	table.recordPause(3000);
 	assert.equal(isHeard(table.get(n2)!, limits, 5900), true);
 	assert.equal(isHeard(table.get(n2)!, limits, 5951), false);
 });
 
 test('a report in which only the version differs is told from one in which the server does', () => {
 	const table = createTable();
-	hear(table, createSampleReport(), 0);
-	assert.equal(hear(table, createSampleReport({sequence: 2, version: 9}), 100), 'version');
-	assert.equal(hear(table, createSampleReport({sequence: 3, version: 9, server: undefined}), 100), 'changed');
+	acceptReport(table, createSampleReport(), 0);
+	assert.equal(acceptReport(table, createSampleReport({sequence: 2, version: 9}), 100), 'version');
+	assert.equal(acceptReport(table, createSampleReport({sequence: 3, version: 9, server: undefined}), 100), 'changed');
 });
 
 test('a node that is heard but cannot be reached is avoided for longer each time', () => {
 	const table = createTable();
-	hear(table, createSampleReport(), 0);
+	acceptReport(table, createSampleReport(), 0);
 	table.noteUnreachable(n2, 0);
 	assert.equal(isReachable(table.get(n2)!, limits, 249), false);
 	assert.equal(isReachable(table.get(n2)!, limits, 250), true);
@@ -84,7 +84,7 @@
 	// Several requests fail at once: that is one failure.
 	table.noteUnreachable(n2, 251);
 	assert.equal(table.get(n2)?.avoidUntil, 750);
-	assert.equal(table.get(n2)?.failures, 2);
+	assert.equal(table.get(n2)?.consecutiveFailures, 2);
 	table.noteReached(n2, 260);
 	assert.equal(isReachable(table.get(n2)!, limits, 300), true);
 	table.noteUnreachable(n2, 300);
@@ -93,15 +93,15 @@
 
 test('a node that stood still does not take the others for silent', () => {
 	const table = createTable();
-	hear(table, createSampleReport(), 0);
+	acceptReport(table, createSampleReport(), 0);
 	assert.equal(isReachable(table.get(n2)!, limits, 4100), false);
-	table.forgiveSilence(4000);
+	table.recordPause(4000);
 	assert.equal(isReachable(table.get(n2)!, limits, 4100), true);
 });
 
 test('an answer to a request is a sign of life, also of a node that has left a question unanswered', () => {
 	const table = createTable();
-	hear(table, createSampleReport(), 0);
+	acceptReport(table, createSampleReport(), 0);
 	table.noteProbed(n2, 600);
 	assert.equal(isHeard(table.get(n2)!, limits, 1251), false);
 	table.noteReached(n2, 1300);
@@ -113,22 +113,22 @@
 
 test('a node that leaves gets no requests; one that was silent for long is forgotten', () => {
 	const table = createTable();
-	hear(table, createSampleReport({isLeaving: true}), 0);
+	acceptReport(table, createSampleReport({isLeaving: true}), 0);
 	assert.equal(isReachable(table.get(n2)!, limits, 1), false);
 	assert.deepEqual(table.dropSilent(60_000), []);
 	assert.deepEqual(table.dropSilent(60_001), [n2]);
 	assert.equal(table.size, 0);
-	assert.equal(table.findGate(createSampleReport().gate), undefined);
-	assert.equal(table.hasGossip(createSampleReport().gossip), false);
+	assert.equal(table.findByGate(createSampleReport().gate), undefined);
+	assert.equal(table.hasGossipAddress(createSampleReport().gossip), false);
 });
 
 test('an address that a newer node has taken over stays its own when the older one is forgotten', () => {
 	const table = createTable();
-	hear(table, createSampleReport({node: toNodeId('old')}), 0);
-	hear(table, createSampleReport({node: toNodeId('new')}), 30_000);
+	acceptReport(table, createSampleReport({node: toNodeId('old')}), 0);
+	acceptReport(table, createSampleReport({node: toNodeId('new')}), 30_000);
 	table.dropSilent(60_001);
-	assert.equal(table.findGate(createSampleReport().gate)?.report.node, 'new');
-	assert.equal(table.hasGossip(createSampleReport().gossip), true);
+	assert.equal(table.findByGate(createSampleReport().gate)?.report.node, 'new');
+	assert.equal(table.hasGossipAddress(createSampleReport().gossip), true);
 });
 
 test('property: in whatever order and how often reports arrive, the newest of each run stands', () => {
@@ -138,7 +138,7 @@
 		const seen = new Map<string, number>();
 		for (const [now, changes] of reports.entries()) {
 			const before = table.get(n2)?.report;
-			hear(table, createSampleReport(changes), now);
+			acceptReport(table, createSampleReport(changes), now);
 			const after = table.get(n2)!.report;
 			if (before?.run === after.run) {
 				assert.ok(after.sequence >= before.sequence);
@@ -162,23 +162,23 @@
 
 test('a later lifetime beside another node replaces the earlier one, of which nothing is heard any more', () => {
 	const table = createTable();
-	hear(table, reportServer('n2', 1000), 0);
-	assert.equal(hear(table, reportServer('n3', 2000), 100), 'joined');
+	acceptReport(table, reportServer('n2', 1000), 0);
+	assert.equal(acceptReport(table, reportServer('n3', 2000), 100), 'joined');
 	assert.deepEqual(listStarts(table), ['n3 2000']);
-	hear(table, reportServer('n2', 1000, {sequence: 2}), 200);
+	acceptReport(table, reportServer('n2', 1000, {sequence: 2}), 200);
 	assert.deepEqual(listStarts(table), ['n3 2000']);
 	assert.equal(table.get(n2)?.report.server, undefined);
 	// The node beside the later one falls silent: what the other one goes on saying is all there is.
-	hear(table, reportServer('n2', 1000, {sequence: 3}), 5000);
+	acceptReport(table, reportServer('n2', 1000, {sequence: 3}), 5000);
 	assert.deepEqual(listStarts(table), ['n3 2000', 'n2 1000']);
 });
 
 test('one node tells its own server\'s lifetimes in order, whatever their starts say', () => {
 	const table = createTable();
-	hear(table, reportServer('n2', 2000), 0);
-	assert.equal(hear(table, reportServer('n2', 1000, {sequence: 2}), 100), 'changed');
+	acceptReport(table, reportServer('n2', 2000), 0);
+	assert.equal(acceptReport(table, reportServer('n2', 1000, {sequence: 2}), 100), 'changed');
 	assert.deepEqual(listStarts(table), ['n2 1000']);
-	assert.equal(hear(table, reportServer('n2', 2000), 200), 'none');
+	assert.equal(acceptReport(table, reportServer('n2', 2000), 200), 'none');
 	assert.deepEqual(listStarts(table), ['n2 1000']);
 });
 
@@ -192,7 +192,7 @@
 		let now = 0;
 		for (const [sequence, {node, domain, service, gate, isLate}] of changes.entries()) {
 			now += isLate ? 25_000 : 10;
-			hear(table, createSampleReport({
+			acceptReport(table, createSampleReport({
 				node: toNodeId(`n${node}`), domain: toFailureDomain(domain), sequence: sequence + 1, gate: toAddress(`10.0.0.${gate}:1`),
 				server: service === undefined ? undefined : {...server, service},
 			}), now);
--- a/src/lib/peers/peer-table.ts
+++ b/src/lib/peers/peer-table.ts
@@ -25,9 +25,9 @@
 	/** It could not be reached; not to be chosen before this time. Steady milliseconds. */
 	readonly avoidUntil: number;
 	/** Failures to reach it in a row. */
-	readonly failures: number;
+	readonly consecutiveFailures: number;
 	/** Runs of the same node that a newer one has replaced: their late datagrams are ignored. */
-	readonly oldRuns: readonly string[];
+	readonly previousRuns: readonly string[];
 };
 
 /** Servers of one service beside other nodes, by where they stand. @internal */
@@ -56,11 +56,11 @@
 	/** Nodes beside servers of a service, whatever the state of these; what a choice costs does not grow with the mesh. */
 	readonly listService: (service: string) => ServicePeers;
 	/** The node that takes requests at an address. */
-	readonly findGate: (gate: Address) => Peer | undefined;
+	readonly findByGate: (gate: Address) => Peer | undefined;
 	/** Whether a node takes heartbeats at an address. */
-	readonly hasGossip: (gossip: Address) => boolean;
+	readonly hasGossipAddress: (gossip: Address) => boolean;
 	/** Takes in a report. One that is late, repeated or of an earlier run changes nothing. */
-	readonly acceptReport: (report: PeerReport, now: number) => PeerNews;
+	readonly acceptReport: (report: PeerReport, now: number) => PeerChange;
 	/** Notes that a node was asked for a report. A second question does not give it more time. */
 	readonly noteProbed: (node: NodeId, now: number) => void;
 	/** Notes that a node could not be reached. Several requests that fail at once are one failure. */
@@ -68,13 +68,13 @@
 	/** Notes that a node answered a request, which ends its failures in a row and is a sign of life as good as a report. */
 	readonly noteReached: (node: NodeId, now: number) => void;
 	/** Forgives silence while this node itself stood still for so many milliseconds: nothing could be heard meanwhile. */
-	readonly forgiveSilence: (pausedMs: number) => void;
+	readonly recordPause: (pausedMs: number) => void;
 	/** Drops nodes that have been silent for long, of all or of some; yields who was dropped. */
 	readonly dropSilent: (now: number, some?: Iterable<Peer>) => readonly NodeId[];
 };
 
 /** What a report changed. @internal */
-export type PeerNews = 'none' | 'joined' | 'restarted' | 'returned' | 'changed'
+export type PeerChange = 'none' | 'joined' | 'restarted' | 'returned' | 'changed'
 	/** Nothing but the version of its configuration. */
 	| 'version';
 
@@ -93,13 +93,13 @@
 };
 
 /** The longest time for which an unreachable node is not chosen, as a multiple of the first. */
-const longestAvoidance = 8;
+const maximumBackoffFactor = 8;
 
 /** Old runs remembered for each node; a node that restarts more often within a datagram's life does not exist. */
-const rememberedRuns = 4;
+const rememberedRunCount = 4;
 
 /** Heartbeats of a node that may be lost before it counts as silent, and a part of one for the way. */
-const missedHeartbeats = 2.6;
+const silencePeriodCount = 2.6;
 
 /**
  * @param peer - A node.
@@ -109,7 +109,7 @@
  * @internal
  */
 export function isHeard({heardAt, periodMs, probedAt}: Peer, {silenceMs, probeMs}: PeerLimits, now: number): boolean {
-	return now - heardAt <= Math.max(silenceMs, periodMs * missedHeartbeats) && (probedAt === undefined || now - probedAt <= probeMs);
+	return now - heardAt <= Math.max(silenceMs, periodMs * silencePeriodCount) && (probedAt === undefined || now - probedAt <= probeMs);
 }
 
 /**
@@ -131,7 +131,7 @@
 	return isSameLifetime(left.lifetime, right.lifetime) && left.state === right.state;
 }
 
-function compareReports(known: Peer, report: PeerReport, isSilent: boolean): PeerNews {
+function compareReports(known: Peer, report: PeerReport, isSilent: boolean): PeerChange {
 	if (known.report.run !== report.run) {
 		return 'restarted';
 	}
@@ -151,8 +151,8 @@
 
 type MutablePeer = {-readonly [Key in keyof Peer]: Peer[Key]};
 
-function isOutdated({oldRuns, report: known}: Peer, report: PeerReport): boolean {
-	return oldRuns.includes(report.run) || (known.run === report.run && known.sequence >= report.sequence);
+function isOutdated({previousRuns, report: known}: Peer, report: PeerReport): boolean {
+	return previousRuns.includes(report.run) || (known.run === report.run && known.sequence >= report.sequence);
 }
 
 /** The nodes beside the servers of each service. */
@@ -165,10 +165,10 @@
 const noPeers: ServicePeers = {ownDomain: [], otherDomains: []};
 
 function removeFrom(list: MutablePeer[], peer: MutablePeer): void {
-	const place = list.indexOf(peer);
+	const index = list.indexOf(peer);
 	const last = list.pop();
-	if (last !== undefined && last !== peer && place !== -1) {
-		list[place] = last;
+	if (last !== undefined && last !== peer && index !== -1) {
+		list[index] = last;
 	}
 }
 
@@ -216,11 +216,11 @@
 	const getDomainList = ({report}: MutablePeer): MutablePeer[] => report.domain === domain ? ownDomain : otherDomains;
 	const services = createServiceIndex(domain);
 	/** The node beside the newest lifetime that is known of each backend server. */
-	const holders = new Map<BackendServerId, MutablePeer>();
+	const newestByServer = new Map<BackendServerId, MutablePeer>();
 	/** Nodes of each failure domain, and this one. */
 	const domainSizes = new Map<FailureDomain, number>([[domain, 1]]);
 
-	const countInDomain = (of: FailureDomain, change: number): void => {
+	const changeDomainSize = (of: FailureDomain, change: number): void => {
 		const size = (domainSizes.get(of) ?? 0) + change;
 		if (size === 0) {
 			domainSizes.delete(of);
@@ -229,15 +229,15 @@
 		}
 	};
 
-	const release = (peer: MutablePeer): void => {
+	const removeNewest = (peer: MutablePeer): void => {
 		const id = peer.report.server?.lifetime.id;
-		if (id !== undefined && holders.get(id) === peer) {
-			holders.delete(id);
+		if (id !== undefined && newestByServer.get(id) === peer) {
+			newestByServer.delete(id);
 		}
 	};
 
 	const dropServer = (peer: MutablePeer): void => {
-		release(peer);
+		removeNewest(peer);
 		services.remove(peer);
 		peer.report = {...peer.report, server: undefined};
 	};
@@ -247,22 +247,22 @@
 	 * one when a later one is heard. What one node says in turn is in its own order: it knows whether the clock of its server went
 	 * back. So is what is said while the node beside the newest is silent or leaves.
 	 */
-	const dropEarlier = (report: PeerReport, now: number): PeerReport => {
+	const dropEarlierServer = (report: PeerReport, now: number): PeerReport => {
 		const {server} = report;
-		const holder = server === undefined ? undefined : holders.get(server.lifetime.id);
-		const held = holder?.report.server;
-		if (server === undefined || holder === undefined || held === undefined || holder.report.node === report.node) {
+		const newest = server === undefined ? undefined : newestByServer.get(server.lifetime.id);
+		const newestServer = newest?.report.server;
+		if (server === undefined || newest === undefined || newestServer === undefined || newest.report.node === report.node) {
 			return report;
 		}
 
-		switch (compareLifetimes(server.lifetime, held.lifetime)) {
+		switch (compareLifetimes(server.lifetime, newestServer.lifetime)) {
 			case 'later': {
-				dropServer(holder);
+				dropServer(newest);
 				return report;
 			}
 
 			case 'earlier': {
-				return isHeard(holder, limits, now) && !holder.report.isLeaving ? {...report, server: undefined} : report;
+				return isHeard(newest, limits, now) && !newest.report.isLeaving ? {...report, server: undefined} : report;
 			}
 
 			case 'same':
@@ -272,10 +272,10 @@
 		}
 	};
 
-	const hold = (peer: MutablePeer): void => {
+	const addNewest = (peer: MutablePeer): void => {
 		const id = peer.report.server?.lifetime.id;
 		if (id !== undefined) {
-			holders.set(id, peer);
+			newestByServer.set(id, peer);
 		}
 	};
 
@@ -283,7 +283,7 @@
 		byGate.set(peer.report.gate, peer);
 		byGossip.set(peer.report.gossip, peer);
 		services.add(peer);
-		countInDomain(peer.report.domain, 1);
+		changeDomainSize(peer.report.domain, 1);
 		getDomainList(peer).push(peer);
 	};
 
@@ -299,37 +299,37 @@
 		}
 
 		services.remove(peer);
-		countInDomain(peer.report.domain, -1);
+		changeDomainSize(peer.report.domain, -1);
 		removeFrom(getDomainList(peer), peer);
 	};
 
-	const isElsewhere = (before: PeerReport, after: PeerReport): boolean => before.server?.service !== after.server?.service
+	const hasMoved = (before: PeerReport, after: PeerReport): boolean => before.server?.service !== after.server?.service
 		|| before.gate !== after.gate || before.gossip !== after.gossip || before.domain !== after.domain;
 
-	const join = (report: PeerReport, now: number): void => {
+	const addPeer = (report: PeerReport, now: number): void => {
 		const peer: MutablePeer = {
-			report, reportedAt: now, heardAt: now, oldRuns: [], periodMs: limits.getPeriodMs(report), probedAt: undefined, avoidUntil: 0, failures: 0,
+			report, reportedAt: now, heardAt: now, previousRuns: [], periodMs: limits.getPeriodMs(report), probedAt: undefined, avoidUntil: 0, consecutiveFailures: 0,
 		};
 		peers.set(report.node, peer);
 		addToIndices(peer);
-		hold(peer);
+		addNewest(peer);
 	};
 
-	const update = (peer: MutablePeer, report: PeerReport, now: number): void => {
+	const updatePeer = (peer: MutablePeer, report: PeerReport, now: number): void => {
 		if (peer.report.run !== report.run) {
-			peer.oldRuns = [...peer.oldRuns, peer.report.run].slice(-rememberedRuns);
+			peer.previousRuns = [...peer.previousRuns, peer.report.run].slice(-rememberedRunCount);
 			peer.avoidUntil = 0;
-			peer.failures = 0;
+			peer.consecutiveFailures = 0;
 		}
 
-		const isMoved = isElsewhere(peer.report, report);
+		const isMoved = hasMoved(peer.report, report);
 		if (isMoved) {
 			removeFromIndices(peer);
 		}
 
-		release(peer);
+		removeNewest(peer);
 		peer.report = report;
-		hold(peer);
+		addNewest(peer);
 		peer.reportedAt = now;
 		peer.heardAt = now;
 		peer.periodMs = limits.getPeriodMs(report);
@@ -349,23 +349,23 @@
 		listOwnDomain: () => ownDomain,
 		listOtherDomains: () => otherDomains,
 		listService: services.get,
-		findGate: gate => byGate.get(gate),
-		hasGossip: gossip => byGossip.has(gossip),
-		acceptReport(told, now) {
-			const known = peers.get(told.node);
-			if (known !== undefined && isOutdated(known, told)) {
+		findByGate: gate => byGate.get(gate),
+		hasGossipAddress: gossip => byGossip.has(gossip),
+		acceptReport(received, now) {
+			const known = peers.get(received.node);
+			if (known !== undefined && isOutdated(known, received)) {
 				return 'none';
 			}
 
-			const report = dropEarlier(told, now);
+			const report = dropEarlierServer(received, now);
 			if (known === undefined) {
-				join(report, now);
+				addPeer(report, now);
 				return 'joined';
 			}
 
-			const news = compareReports(known, report, !isHeard(known, limits, now));
-			update(known, report, now);
-			return news;
+			const change = compareReports(known, report, !isHeard(known, limits, now));
+			updatePeer(known, report, now);
+			return change;
 		},
 		noteProbed(node, now) {
 			const peer = peers.get(node);
@@ -379,19 +379,19 @@
 				return;
 			}
 
-			peer.failures++;
-			peer.avoidUntil = now + (limits.avoidMs * Math.min(longestAvoidance, 2 ** (peer.failures - 1)));
+			peer.consecutiveFailures++;
+			peer.avoidUntil = now + (limits.avoidMs * Math.min(maximumBackoffFactor, 2 ** (peer.consecutiveFailures - 1)));
 		},
 		noteReached(node, now) {
 			const peer = peers.get(node);
 			if (peer !== undefined) {
-				peer.failures = 0;
+				peer.consecutiveFailures = 0;
 				peer.avoidUntil = 0;
 				peer.heardAt = Math.max(peer.heardAt, now);
 				peer.probedAt = undefined;
 			}
 		},
-		forgiveSilence(pausedMs) {
+		recordPause(pausedMs) {
 			for (const peer of peers.values()) {
 				peer.reportedAt += pausedMs;
 				peer.heardAt += pausedMs;
@@ -404,7 +404,7 @@
 				const peer = peers.get(node);
 				if (peer !== undefined && now - peer.heardAt > limits.forgetMs) {
 					peers.delete(node);
-					release(peer);
+					removeNewest(peer);
 					removeFromIndices(peer);
 					dropped.push(node);
 				}
--- a/src/lib/sidecar/announcement-server.ts
+++ b/src/lib/sidecar/announcement-server.ts
@@ -9,7 +9,7 @@
 import {Buffer} from 'node:buffer';
 import {ok, type Result} from 'neverthrow';
 import {readBody} from '../forwarding/read-body.js';
-import {type CallRefusal} from '../local-server/call-refusal.js';
+import {type AnnouncementRefusal} from '../local-server/announcement-refusal.js';
 import {type ServerAnnouncement, type ServerLeave} from '../local-server/local-server.js';
 import {type RefusalCause} from '../timeline/mesh-log.js';
 import {type Refusals} from '../timeline/refusals.js';
@@ -22,9 +22,9 @@
 /** @internal */
 export type AnnouncementContext = {
 	/** Decodes a call; `undefined` if there is no such call. */
-	readonly decode: (method: string, target: string, body: string) => Result<ServerCall | undefined, CallRefusal>;
+	readonly decode: (method: string, target: string, body: string) => Result<ServerCall | undefined, AnnouncementRefusal>;
 	/** Takes a call in, or says why it is not. */
-	readonly handleCall: (call: ServerCall) => Result<undefined, CallRefusal>;
+	readonly handleCall: (call: ServerCall) => Result<undefined, AnnouncementRefusal>;
 	readonly refusals: Refusals;
 };
 
@@ -59,7 +59,7 @@
 	const apply = (request: IncomingMessage, body: string): CallOutcome => {
 		try {
 			const outcome = decode(request.method ?? 'GET', request.url ?? '/', body)
-				.andThen((call): Result<CallOutcome, CallRefusal> => call === undefined ? ok({type: 'no-such-call'}) : handleCall(call).map(() => ({type: 'taken'})));
+				.andThen((call): Result<CallOutcome, AnnouncementRefusal> => call === undefined ? ok({type: 'no-such-call'}) : handleCall(call).map(() => ({type: 'taken'})));
 			return outcome.match(taken => taken, ({cause, text}) => ({type: 'refused', cause, reason: text}));
 		} catch (error) {
 			// What nobody foresaw in a call must not end the node, and must not be acknowledged.
--- a/src/lib/sidecar/config-sync.test.ts
+++ b/src/lib/sidecar/config-sync.test.ts
@@ -34,8 +34,8 @@
 	};
 	const link = {
 		table: {
-			size: 0, listOwnDomain: () => [], countDomains: () => 1, hasGossip: () => false,
-		}, addContacts: () => undefined, countSilent: () => 0,
+			size: 0, listOwnDomain: () => [], countDomains: () => 1, hasGossipAddress: () => false,
+		}, addSeedAddresses: () => undefined, countSilent: () => 0,
 	} as unknown as PeerLink;
 	const sync = createConfigSync({
 		store: store as MeshStore, configKey: 'k', decodeConfig: () => err('none'), self: toNodeId('n1'), gossip: toAddress('10.0.0.1:2'), linkMbps: 10, link,
--- a/src/lib/sidecar/config-sync.ts
+++ b/src/lib/sidecar/config-sync.ts
@@ -166,7 +166,7 @@
 	});
 	const registration = createRegistration({
 		store, health, self, gossip: context.gossip, log, random, isFollowing: () => follower.isFollowing(), countPeers: () => link.table.size, countSilent: link.countSilent,
-		isKnown: link.table.hasGossip, refusals: context.refusals, handleAddresses: link.addContacts,
+		isKnown: link.table.hasGossipAddress, refusals: context.refusals, handleAddresses: link.addSeedAddresses,
 		handleOtherItems(items) {
 			crashes.take(items.filter(({key}) => key.startsWith(crashPrefix)));
 			suspects.take(items.filter(({key}) => key.startsWith(suspectPrefix)));
--- a/src/lib/sidecar/list-candidates.test.ts
+++ b/src/lib/sidecar/list-candidates.test.ts
@@ -22,7 +22,7 @@
 	return {
 		report: {
 			...sample, node: toNodeId(name), server: {...server, lifetime: toLifetime(`i-${name}`)}, ...report,
-		}, reportedAt: 5000, heardAt: 5000, periodMs: 380, probedAt: undefined, avoidUntil: 0, failures: 0, oldRuns: [], ...changes,
+		}, reportedAt: 5000, heardAt: 5000, periodMs: 380, probedAt: undefined, avoidUntil: 0, consecutiveFailures: 0, previousRuns: [], ...changes,
 	};
 }
 
--- a/src/lib/sidecar/own-server-calls.ts
+++ b/src/lib/sidecar/own-server-calls.ts
@@ -7,10 +7,10 @@
 import {readSteadyMs} from '../common/clock.js';
 import {type ServerLifetime} from '../common/server-lifetime.js';
 import {type LocalGate} from '../forwarding/local-gate.js';
-import {type CallRefusal} from '../local-server/call-refusal.js';
+import {type AnnouncementRefusal} from '../local-server/announcement-refusal.js';
 import {checkService} from '../local-server/check-service.js';
 import {type ServerAnnouncement} from '../local-server/local-server.js';
-import {createStartCheck} from '../local-server/start-check.js';
+import {createStartTimeCheck} from '../local-server/start-time-check.js';
 import {type Peer} from '../peers/peer-table.js';
 import {type AnnouncementContext, type ServerCall} from './announcement-server.js';
 
@@ -41,14 +41,14 @@
  * @internal
  */
 export function createOwnServerCalls({decode, service, listPeers, gate}: OwnServerContext): OwnServerCalls {
-	const startCheck = createStartCheck(() => listLifetimes(listPeers()));
+	const startCheck = createStartTimeCheck(() => listLifetimes(listPeers()));
 
-	const check = (announcement: ServerAnnouncement): Result<ServerAnnouncement, CallRefusal> => checkService(announcement, service)
+	const check = (announcement: ServerAnnouncement): Result<ServerAnnouncement, AnnouncementRefusal> => checkService(announcement, service)
 		.andThen(own => startCheck.check(own, readSteadyMs()));
 
 	return {
 		decode: (method, target, body) => decode(method, target, body)
-			.andThen((call): Result<ServerCall | undefined, CallRefusal> => call?.type === 'announce' ? check(call.announcement).map(() => call) : ok(call)),
+			.andThen((call): Result<ServerCall | undefined, AnnouncementRefusal> => call?.type === 'announce' ? check(call.announcement).map(() => call) : ok(call)),
 		handleCall(call) {
 			switch (call.type) {
 				case 'announce': {
--- a/src/lib/sidecar/peer-watch.test.ts
+++ b/src/lib/sidecar/peer-watch.test.ts
@@ -63,13 +63,13 @@
 		},
 	};
 	fixture.hear();
-	const link: Pick<PeerLink, 'table' | 'probe' | 'forgiveSilence' | 'noteReached'> = {
+	const link: Pick<PeerLink, 'table' | 'probe' | 'recordPause' | 'noteReached'> = {
 		table,
 		probe(asked: NodeId) {
 			fixture.asked.push(now);
 			table.noteProbed(asked, now);
 		},
-		forgiveSilence: table.forgiveSilence,
+		recordPause: table.recordPause,
 		noteReached(reached) {
 			table.noteReached(reached, now);
 		},
--- a/src/lib/sidecar/peer-watch.ts
+++ b/src/lib/sidecar/peer-watch.ts
@@ -15,7 +15,7 @@
 
 /** @internal */
 export type PeerWatchContext = {
-	readonly link: Pick<PeerLink, 'probe' | 'forgiveSilence' | 'noteReached'> & {readonly table: Pick<PeerTableView, 'get' | 'findGate'>};
+	readonly link: Pick<PeerLink, 'probe' | 'recordPause' | 'noteReached'> & {readonly table: Pick<PeerTableView, 'get' | 'findByGate'>};
 	readonly limits: PeerLimits;
 	readonly silence: SilenceWatchers;
 	readonly gateClient: Pick<GateClient, 'checkSilence' | 'getReceivedAt'>;
@@ -66,7 +66,7 @@
 	/** When nodes were last asked, in steady milliseconds. */
 	const askedAt = new Map<NodeId, number>();
 
-	const getHeardAt = (gate: Address): number | undefined => link.table.findGate(gate)?.heardAt;
+	const getHeardAt = (gate: Address): number | undefined => link.table.findByGate(gate)?.heardAt;
 
 	/** Whether a node that has been asked still has to answer. */
 	const isAsked = ({probedAt}: Peer, now: number): boolean => probedAt !== undefined && now - probedAt < askForMs;
@@ -126,7 +126,7 @@
 		handleDelay(delayMs);
 		if (delayMs > longestMs) {
 			notePause(delayMs);
-			link.forgiveSilence(delayMs);
+			link.recordPause(delayMs);
 		} else {
 			gateClient.checkSilence(now, getHeardAt);
 		}
--- a/src/lib/sidecar/sidecar.ts
+++ b/src/lib/sidecar/sidecar.ts
@@ -23,7 +23,7 @@
 import {createQuarantine} from '../quarantine/quarantine.js';
 import {createPeerLink} from '../peers/peer-link.js';
 import {type PeerReport} from '../peers/peer-report.js';
-import {type PeerLimits, type PeerNews} from '../peers/peer-table.js';
+import {type PeerLimits, type PeerChange} from '../peers/peer-table.js';
 import {type HeldConfig} from '../route-config/config-holder.js';
 import {type RouteConfig} from '../route-config/route-config.js';
 import {createShareSplitter} from '../route-config/share-splitter.js';
@@ -171,7 +171,7 @@
 		duties: sync.describeDuties(), suspects: quarantine.describe(),
 	});
 
-	const handleReport = (report: PeerReport, news: PeerNews): void => {
+	const handleReport = (report: PeerReport, news: PeerChange): void => {
 		if (news === 'restarted' || news === 'returned') {
 			gateClient.renew(report.gate, 'back');
 		}
@@ -339,14 +339,14 @@
 				listenAt(readinessServer, settings.listen.readiness),
 				listenAt(metricsServer, settings.listen.metrics),
 			]);
-			link.addContacts(settings.seeds);
+			link.addSeedAddresses(settings.seeds);
 			watch.start();
 			housekeeping.start();
 			sync.start();
 		},
 		applySettings(changed) {
 			settings = mergeSettings(settings, changed);
-			link.addContacts(settings.seeds);
+			link.addSeedAddresses(settings.seeds);
 			return listFixedChanges(settings, changed);
 		},
 		async drain() {
