--- a/src/lib/admission/gate-state.ts
+++ b/src/lib/admission/gate-state.ts
@@ -1,19 +1,19 @@
 /**
- * Decides which requests a backend server works on, which wait and which are
- * turned away: the decision part of the gate.
+ * Decides which requests a backend server processes, which wait and which are
+ * refused: the pure decisions of the gate.
  *
  * @module
  */
 import {type WorkClass} from '../policy/decision.js';
 import {type AdmissionSettings} from '../settings/settings.js';
 
-/** A request that waits for a slot. @internal */
+/** A request in the queue for a slot. @internal */
 export type WaitingRequest = {
 	readonly id: number;
 	readonly workClass: WorkClass;
 	/** Milliseconds since the epoch. */
 	readonly arrivedAt: number;
-	/** When the wait is over, in milliseconds since the epoch. */
+	/** When its wait ends, in milliseconds since the epoch. */
 	readonly deadline: number;
 };
 
@@ -22,11 +22,11 @@
 	readonly slots: number;
 	readonly inUse: Readonly<Record<WorkClass, number>>;
 	readonly queue: readonly WaitingRequest[];
-	/** Average time that a request keeps a slot, in milliseconds. */
+	/** Moving average of the time that a request holds a slot, in milliseconds. */
 	readonly serviceMs: number;
 };
 
-/** What becomes of a request that arrives. @internal */
+/** The decision on a request that arrives. @internal */
 export type Admission =
 	| {readonly type: 'run'}
 	| {readonly type: 'wait'}
@@ -35,19 +35,21 @@
 /** @internal */
 export type AdmissionStep = {readonly state: GateState; readonly admission: Admission};
 
-/** The state after a slot came free, and who starts now. @internal */
+/** The state after slots became free, and the queued requests that start now. @internal */
 export type ReleaseStep = {readonly state: GateState; readonly started: readonly WaitingRequest[]};
 
 const initialServiceMs = 10;
 
-/** Weight of the newest observation in the average. */
+/** Weight of the newest service time in the moving average, 0 to 1. */
 const newestSampleWeight = 0.1;
 
 const minimumRetryAfterMs = 100;
 
 /**
- * @param slots - Requests that the server works on at once.
- * @returns The state of an idle gate.
+ * Creates the state of an idle gate.
+ *
+ * @param slots - The number of requests that the server processes at once.
+ * @returns The state.
  * @internal
  */
 export function createGateState(slots: number): GateState {
@@ -57,8 +59,10 @@
 }
 
 /**
- * @param state - The gate.
- * @returns Requests in work and waiting.
+ * Counts the requests that run or wait.
+ *
+ * @param state - The state of the gate.
+ * @returns The count.
  * @internal
  */
 export function countRequests(state: GateState): number {
@@ -71,7 +75,7 @@
 		return false;
 	}
 
-	// Bulk work never takes the last slots, so quick requests need not wait for an upload to end.
+	// Bulk requests get only a share of the slots, so that interactive requests need not wait for an upload to end.
 	const bulkSlots = Math.max(1, Math.floor(state.slots * settings.bulkShare));
 	return workClass === 'interactive' || state.inUse.bulk < bulkSlots;
 }
@@ -88,10 +92,10 @@
 /**
  * Admits, queues or sheds a request that arrives.
  *
- * @param state - The gate.
- * @param settings - Its limits.
- * @param request - The request; its deadline is that of the caller.
- * @returns The next state and what becomes of the request.
+ * @param state - The state of the gate.
+ * @param settings - Limits of the queue.
+ * @param request - The request, with the deadline of its caller.
+ * @returns The next state and the decision on the request.
  * @internal
  */
 export function admitRequest(state: GateState, settings: AdmissionSettings, request: WaitingRequest): AdmissionStep {
@@ -112,7 +116,7 @@
 	return {state: {...state, queue: [...state.queue, {...request, deadline}]}, admission: {type: 'wait'}};
 }
 
-/** The oldest first while the queue is short-lived, else the newest: an old one's caller is likely to give up soon. */
+/** Returns the oldest queued request while waits are short, otherwise the newest one (adaptive LIFO): the caller of an old request is likely to time out soon. */
 function findNext(state: GateState, settings: AdmissionSettings, now: number): WaitingRequest | undefined {
 	const fitting = state.queue.filter(waiting => hasSlot(state, settings, waiting.workClass));
 	const oldest = fitting[0];
@@ -133,11 +137,11 @@
 }
 
 /**
- * Takes back the slot of a request that has ended.
+ * Releases the slot of a request that has ended.
  *
- * @param state - The gate.
- * @param settings - Its limits.
- * @param ended - The request's class and how long it kept the slot, in milliseconds.
+ * @param state - The state of the gate.
+ * @param settings - Limits of the queue.
+ * @param ended - The request's work class and how long it held the slot, in milliseconds.
  * @param now - Milliseconds since the epoch.
  * @returns The next state and the requests that start.
  * @internal
@@ -153,10 +157,10 @@
 }
 
 /**
- * Takes a request that gave up out of the queue.
+ * Removes a request that timed out or was cancelled from the queue.
  *
- * @param state - The gate.
- * @param id - The request.
+ * @param state - The state of the gate.
+ * @param id - Id of the request.
  * @returns The next state.
  * @internal
  */
@@ -165,11 +169,11 @@
 }
 
 /**
- * Changes the number of slots, as a server that announces itself anew may.
+ * Changes the number of slots, which a server may change with a new announcement.
  *
- * @param state - The gate.
- * @param settings - Its limits.
- * @param slots - The new number.
+ * @param state - The state of the gate.
+ * @param settings - Limits of the queue.
+ * @param slots - The new number of slots.
  * @param now - Milliseconds since the epoch.
  * @returns The next state and the requests that start.
  * @internal
--- a/src/lib/admission/gate.test.ts
+++ b/src/lib/admission/gate.test.ts
@@ -27,7 +27,7 @@
 	return state;
 }
 
-test('slots are exact, then a short queue, then requests are turned away with a time to come back', () => {
+test('requests fill the slots, then the queue, and further ones are refused with a retry delay', () => {
 	const full = fillGate(2, 'interactive', 6);
 	assert.equal(full.inUse.interactive, 2);
 	assert.equal(full.queue.length, 4);
@@ -35,25 +35,25 @@
 	assert.ok(admission.type === 'shed' && admission.retryAfterMs > 0);
 });
 
-test('bulk work leaves slots to quick requests, and does not stand before them', () => {
+test('bulk requests leave slots free for interactive ones, and do not queue ahead of them', () => {
 	const busy = fillGate(4, 'bulk', 4);
 	assert.deepEqual(busy.inUse, {interactive: 0, bulk: 2});
 	assert.equal(admitRequest(busy, settings, createRequest(9)).admission.type, 'run');
 });
 
-test('the oldest goes first while the queue is healthy, the newest when it is not', () => {
+test('the oldest request starts first while waits are short, the newest when they are long', () => {
 	const full = fillGate(1, 'interactive', 3);
 	assert.equal(releaseSlot(full, settings, {workClass: 'interactive', tookMs: 1}, 10).started[0]?.id, 1);
 	assert.equal(releaseSlot(full, settings, {workClass: 'interactive', tookMs: 1}, 200).started[0]?.id, 2);
 });
 
-test('a request that cannot be worked on before its caller gives up is turned away at once', () => {
+test('a request that cannot start before its deadline is refused at once', () => {
 	const full = {...fillGate(1, 'interactive', 2), serviceMs: 400};
 	const {admission} = admitRequest(full, settings, {...createRequest(5), deadline: 100});
 	assert.equal(admission.type, 'shed');
 });
 
-test('however requests come and go, no more run than there are slots', () => {
+test('property: in any sequence of arrivals and releases, no more requests run than there are slots', () => {
 	const operations = fc.array(fc.record({isArrival: fc.boolean(), workClass: fc.constantFrom<WorkClass>('interactive', 'bulk')}), {maxLength: 80});
 	fc.assert(fc.property(operations, fc.integer({min: 1, max: 5}), (steps, slots) => {
 		let state = createGateState(slots);
@@ -70,7 +70,7 @@
 	}));
 });
 
-test('a request that waits gets the slot of one that ends', async () => {
+test('a queued request gets the slot that another request releases, and a second release has no effect', async () => {
 	const gate = createGate(1, settings);
 	const first = (await gate.acquire({workClass: 'interactive', deadline: Date.now() + 1000}))._unsafeUnwrap();
 	const second = gate.acquire({workClass: 'interactive', deadline: Date.now() + 1000});
@@ -80,7 +80,7 @@
 	assert.equal(gate.countRequests(), 1);
 });
 
-test('the wait ends at its limit, by the caller, or by a drain; each time nothing has run', async t => {
+test('the wait ends at the maximum wait or when the caller cancels, and a draining gate refuses; none of these requests run', async t => {
 	t.mock.timers.enable({apis: ['setTimeout', 'Date']});
 	const gate = createGate(1, settings);
 	await gate.acquire({workClass: 'interactive', deadline: Date.now() + 10_000});
--- a/src/lib/admission/gate.ts
+++ b/src/lib/admission/gate.ts
@@ -1,7 +1,6 @@
 /**
- * The gate before one backend server: holds the slots, lets requests wait, and
- * turns away what cannot be worked on in time. A request that it turned away
- * has not run.
+ * The gate of one backend server: grants slots, queues requests, and refuses
+ * requests that cannot start in time. A refused request was not executed.
  *
  * @module
  */
@@ -14,19 +13,19 @@
 	type GateState, type WaitingRequest,
 } from './gate-state.js';
 
-/** Why a request was turned away. It has not run. @public */
+/** Why a request was refused. It was not executed. @public */
 export type GateRefusal = {
 	readonly type: 'shed' | 'draining' | 'cancelled';
 	readonly retryAfterMs: number;
 };
 
-/** A slot in use; to be given back exactly once, more often is harmless. @public */
+/** A slot in use. Its holder has to release it; further calls of `release` have no effect. @public */
 export type Slot = {readonly release: () => void; readonly waitedMs: number};
 
 /** @public */
 export type SlotRequest = {
 	readonly workClass: WorkClass;
-	/** When the caller gives up, in milliseconds since the epoch. */
+	/** When the caller's timeout ends, in milliseconds since the epoch. */
 	readonly deadline: number;
 	readonly signal?: AbortSignal;
 };
@@ -35,23 +34,23 @@
 export type Gate = {
 	/** Waits for a slot. */
 	readonly acquire: (request: SlotRequest) => Promise<Result<Slot, GateRefusal>>;
-	/** Turns away everything new; what is in work or waiting goes on. */
+	/** Refuses new requests; requests that run or wait continue. */
 	readonly startDraining: () => void;
 	readonly setSlots: (slots: number) => void;
 	readonly countRequests: () => number;
-	/** Turns away everything that waits. */
+	/** Refuses new requests and all queued ones. */
 	readonly dispose: () => void;
 };
 
 type AcquireResult = Result<Slot, GateRefusal>;
 
-/** When a drained server is likely to have been replaced, in milliseconds. */
+/** Retry delay of a draining server, which is likely to have been replaced by then. */
 const drainRetryAfterMs = 1000;
 
 /**
  * Creates the gate of a server.
  *
- * @param slots - Requests that the server works on at once.
+ * @param slots - The number of requests that the server processes at once.
  * @param settings - Limits of the queue.
  * @returns The gate.
  * @public
--- a/src/lib/admission/slot-pool.test.ts
+++ b/src/lib/admission/slot-pool.test.ts
@@ -10,14 +10,14 @@
 	};
 }
 
-/** A server with one slot, which is taken, and a service time of 60 ms. */
+/** Creates a pool with one slot, which is in use, and a service time of 60 ms. */
 async function createBusyPool(): Promise<SlotPool> {
 	const pool = createSlotPool(1);
 	assert.deepEqual(await pool.acquire(createRequest()), {type: 'run'});
 	return pool;
 }
 
-test('a request that waits gets the slot when it is released, the lower rank first', async () => {
+test('a released slot goes to the queued request with the lowest rank', async () => {
 	const pool = await createBusyPool();
 	const order: string[] = [];
 	const ask = async (name: string, rank: number): Promise<void> => {
@@ -35,12 +35,12 @@
 	assert.equal(pool.describe().running, 1);
 });
 
-test('a request that may not wait is refused at once, with when to come back', async () => {
+test('a request that may not wait is refused at once, with a retry delay', async () => {
 	const pool = await createBusyPool();
 	assert.deepEqual(await pool.acquire(createRequest({mayWaitMs: 0})), {type: 'full', reason: 'no slot in time', retryAfterMs: 60});
 });
 
-test('a request whose time is over, or whose caller leaves, takes no slot', async () => {
+test('a request that times out or is cancelled while queued gets no slot', async () => {
 	const pool = await createBusyPool();
 	const late = pool.acquire(createRequest({lastAt: performance.now() + 20}));
 	let leave = (): void => undefined;
@@ -56,7 +56,7 @@
 	assert.deepEqual(pool.describe(), {running: 1, waiting: 0, serviceMs: 60});
 });
 
-test('when a server has more slots than before, requests that wait get them', async () => {
+test('queued requests get the slots that a resize adds', async () => {
 	const pool = await createBusyPool();
 	const waiting = pool.acquire(createRequest());
 	pool.resize(2);
@@ -64,7 +64,7 @@
 	assert.equal(pool.describe().running, 2);
 });
 
-test('when the server is gone, requests that wait are told at once', async () => {
+test('closing the pool ends the wait of queued requests at once', async () => {
 	const pool = await createBusyPool();
 	const waiting = [pool.acquire(createRequest()), pool.acquire(createRequest({rank: 2}))];
 	pool.close();
--- a/src/lib/admission/slot-pool.ts
+++ b/src/lib/admission/slot-pool.ts
@@ -1,7 +1,7 @@
 /**
- * Keeps the slots of one backend server: hands them out, lets requests wait,
- * and ends their wait in time. What becomes of each request is decided in
- * `slot-queue.ts`.
+ * Limits the concurrency of one backend server: grants slots, queues requests,
+ * and ends their wait at its deadline. The pure decisions about each request
+ * are in `slot-queue.ts`.
  *
  * @module
  */
@@ -13,44 +13,46 @@
 
 /** A request that asks for a slot. @internal */
 export type SlotRequest = {
-	/** 0 goes first. */
+	/** Priority; 0 is the highest. */
 	readonly rank: number;
-	/** Milliseconds that it may be expected to wait. */
+	/** The longest expected wait with which the request is queued, in milliseconds. */
 	readonly mayWaitMs: number;
-	/** When its wait is over at the latest, in steady milliseconds. */
+	/** When its wait ends at the latest, in steady milliseconds. */
 	readonly lastAt: number;
-	/** Calls back once when nobody waits for it any more; yields a function that takes that back. */
+	/** Registers a callback that is called once when the request is cancelled; returns a function that unregisters it. */
 	readonly listenForCancel: (handleCancel: () => void) => () => void;
 };
 
-/** What became of it. @internal */
+/** The result of asking for a slot. @internal */
 export type SlotOutcome =
-	/** It holds a slot, which has to be released. */
+	/** The request holds a slot, which the caller has to release. */
 	| {readonly type: 'run'}
 	| {readonly type: 'full'; readonly reason: string; readonly retryAfterMs: number}
 	| {readonly type: 'cancelled'}
-	/** The server is there no more. */
+	/** The server has ended. */
 	| {readonly type: 'gone'};
 
 /** @internal */
 export type SlotPool = {
 	readonly acquire: (request: SlotRequest) => Promise<SlotOutcome>;
-	/** Gives a slot back; `tookMs` is `undefined` if that tells nothing of the server's speed. */
+	/** Releases a slot. `tookMs` is the service time, or `undefined` if it says nothing about the server's speed. */
 	readonly release: (tookMs: number | undefined) => void;
 	readonly resize: (slots: number) => void;
-	/** The server is there no more: nobody has to wait any longer. */
+	/** Ends the wait of all queued requests, because the server has ended. */
 	readonly close: () => void;
 	readonly describe: () => {readonly running: number; readonly waiting: number; readonly serviceMs: number};
 };
 
-/** A request that was taken waits for so many times the wait that was expected at the most: estimates are rough. */
+/** A queued request waits for at most this multiple of `mayWaitMs`, because the estimated wait is rough. */
 const waitToleranceFactor = 2;
 
 type FinishWait = (outcome: 'run' | 'late' | 'cancelled' | 'gone') => void;
 
 /**
- * @param count - Requests that may be at the server at once.
- * @returns The keeper of a server that is idle.
+ * Creates the slot pool of an idle server.
+ *
+ * @param count - The number of requests that may be at the server at once.
+ * @returns The pool.
  * @internal
  */
 export function createSlotPool(count: number): SlotPool {
@@ -74,7 +76,7 @@
 				queue = removeQueued(queue, queued.id);
 			}
 
-			resolve(outcome === 'late' ? {type: 'full', reason: 'no slot came free in time', retryAfterMs: estimateWait(queue, request.rank)} : {type: outcome});
+			resolve(outcome === 'late' ? {type: 'full', reason: 'no slot became free in time', retryAfterMs: estimateWait(queue, request.rank)} : {type: outcome});
 		};
 
 		const timer = setTimeout(() => {
--- a/src/lib/local-server/announcement-refusal.ts
+++ b/src/lib/local-server/announcement-refusal.ts
@@ -1,6 +1,6 @@
 /**
- * Why a call that speaks for the backend server is not taken in. Whoever sent
- * it, it names no server to use, and what is held of servers stays as it is.
+ * The reason why an announcement or leave of a backend server is refused. A
+ * refused call does not change the state of the local server.
  *
  * @module
  */
@@ -8,8 +8,8 @@
 
 /** @internal */
 export type AnnouncementRefusal = {
-	/** Refusals are counted and told by it. */
+	/** The cause by which refusals are counted and logged. */
 	readonly cause: AnnouncementCause;
-	/** The place, what was found there and what is allowed. */
+	/** The field, the value found and the value expected. */
 	readonly text: string;
 };
--- a/src/lib/local-server/check-service.test.ts
+++ b/src/lib/local-server/check-service.test.ts
@@ -8,7 +8,7 @@
 	lifetime: {id: toBackendServerId('i-1'), startedAt: 1}, service: 'hall', address: toAddress('10.0.0.1:80'), slots: 4, isDraining: false, coldMs: 0, sequence: 1,
 };
 
-test('only a server of the service of the settings is the one beside this node', () => {
+test('an announcement of any service other than that of the settings is refused', () => {
 	assert.equal(checkService(announcement, 'hall')._unsafeUnwrap(), announcement);
 	assert.deepEqual(checkService(announcement, 'logview')._unsafeUnwrapErr(), {
 		cause: 'service', text: 'info.service: found "hall", must be "logview", the service of this node\'s settings',
--- a/src/lib/local-server/check-service.ts
+++ b/src/lib/local-server/check-service.ts
@@ -1,5 +1,5 @@
 /**
- * Checks that an announcement is of the backend server beside this node.
+ * Checks that an announcement comes from the backend server beside this node.
  *
  * @module
  */
@@ -8,13 +8,13 @@
 import {type ServerAnnouncement} from './local-server.js';
 
 /**
- * The settings name the one service whose server stands beside a node, so a server of any other service that speaks here
- * was given an address that this VM had before. Whether the configuration knows the service shows nothing: it may name it
- * later, and it names the services of all VMs.
+ * Checks that an announcement names the service of this node's settings. A server of another service sends here because
+ * it was configured with an address that this VM had earlier. The configuration can't decide this: it names the services
+ * of all VMs, and may add a service after its server has started.
  *
  * @param announcement - The announcement.
  * @param service - The service of this node's settings.
- * @returns The announcement, or why it names no server to use.
+ * @returns The announcement, or why it is refused.
  * @internal
  */
 export function checkService(announcement: ServerAnnouncement, service: string): Result<ServerAnnouncement, AnnouncementRefusal> {
--- a/src/lib/local-server/lifetime-succession.ts
+++ b/src/lib/local-server/lifetime-succession.ts
@@ -1,31 +1,37 @@
 /**
- * Decides whether a lifetime of a backend server that is not the one in use
- * shows, by going on to speak, that it is the one that lives.
+ * Decides whether another lifetime of a backend server replaces the one in use,
+ * because it keeps sending announcements while the one in use is silent.
  *
- * The start tells which of two lifetimes of one id is the newer, unless the
- * server's clock went back between them. Then the newer one has the earlier
- * start, and nothing but the silence of the other shows it: words that are late
- * come while the newer one speaks.
+ * Of two lifetimes of one id, the one with the later start time is the newer,
+ * unless the server's clock went back between them. Then the newer lifetime has
+ * the earlier start time, and only the silence of the other one shows this:
+ * late messages of an ended lifetime arrive while the newer one is sending.
  *
  * @module
  */
 import {compareLifetimes, type ServerLifetime} from '../common/server-lifetime.js';
 import {type LocalServer, type LocalServerState} from './local-server.js';
 
-/** A lifetime that spoke within this time is there, and another one's words are late ones. Milliseconds: twice the longest time between two announcements that users have. */
+/**
+ * A lifetime that was heard within this time is alive, and announcements of other lifetimes are late. Twice the longest
+ * interval between two announcements that users configure.
+ */
 const silenceTimeoutMs = 3000;
 
 type HeardLifetime = {readonly lifetime: ServerLifetime; readonly heardAt: number};
 
+/** Lists the known lifetimes of the same id with a later start time, and when each was last heard. */
 function listLaterStarts({current, inactive, ended}: LocalServerState, lifetime: ServerLifetime): readonly HeardLifetime[] {
 	const heard = [...current === undefined ? [] : [current], ...inactive].map(({announcement, heardAt}) => ({lifetime: announcement.lifetime, heardAt}));
 	return [...heard, ...ended].filter(later => compareLifetimes(later.lifetime, lifetime) === 'later');
 }
 
 /**
- * @param state - What is known.
- * @param lifetime - A lifetime that spoke.
- * @returns Whether a later start of the same id is known.
+ * Returns whether a lifetime of the same id with a later start time is known.
+ *
+ * @param state - The state of the local server.
+ * @param lifetime - The lifetime that sent an announcement.
+ * @returns Whether a later start is known.
  * @internal
  */
 export function isSuperseded(state: LocalServerState, lifetime: ServerLifetime): boolean {
@@ -33,18 +39,18 @@
 }
 
 /**
- * Judges a word of a lifetime that is not in use, whose count has grown since the word before.
+ * Decides on an announcement of a lifetime that is not in use, whose sequence number is higher than that of its last one.
  *
- * @param state - What is known.
- * @param before - The lifetime, as it was heard before this word.
+ * @param state - The state of the local server.
+ * @param before - The lifetime with its announcement before this one.
  * @param now - Steady milliseconds.
- * @returns Whether it takes the place of the one in use.
+ * @returns Whether the lifetime replaces the one in use.
  * @internal
  */
 export function mayReplaceCurrent(state: LocalServerState, before: LocalServer, now: number): boolean {
 	const {current} = state;
 	const {lifetime} = before.announcement;
-	// Two words, with a count that grows, since the later start spoke last: it goes on, and the other does not.
+	// Two announcements with increasing sequence numbers since the later start was last heard: this lifetime keeps sending, the other does not.
 	const hasFallenSilent = (later: HeardLifetime): boolean => now - later.heardAt > silenceTimeoutMs && before.heardAt > later.heardAt;
 	const isCurrentInactive = current === undefined || current.isLeaving || now - current.heardAt > silenceTimeoutMs;
 	return isCurrentInactive && listLaterStarts(state, lifetime).every(later => hasFallenSilent(later));
--- a/src/lib/local-server/local-server-updates.test.ts
+++ b/src/lib/local-server/local-server-updates.test.ts
@@ -18,7 +18,7 @@
 
 const leave = (state: LocalServerState, {id = 'i-1', startedAt}: {readonly id?: string; readonly startedAt?: number} = {}, now = 0) => acceptLeave(state, {id: toBackendServerId(id), startedAt}, now);
 
-test('a late announcement does not bring a leaving server back', () => {
+test('a late announcement does not put a draining server back into use', () => {
 	const ready = announce(noLocalServer, {sequence: 4});
 	assert.equal(ready.change, 'announced');
 	const draining = announce(ready.state, {sequence: 5, isDraining: true});
@@ -29,7 +29,7 @@
 	assert.equal(announce(draining.state, {sequence: 6}).state.current?.isLeaving, true);
 });
 
-test('a late announcement does not bring back what has changed since', () => {
+test('a late announcement does not revert a later change', () => {
 	const changed = announce(announce(noLocalServer, {sequence: 4, slots: 12}).state, {sequence: 5, slots: 4});
 	assert.equal(changed.change, 'changed');
 	const late = announce(changed.state, {sequence: 4, slots: 12});
@@ -37,7 +37,7 @@
 	assert.equal(late.state.current?.announcement.slots, 4);
 });
 
-test('a server that leaves without draining first gets no new work', () => {
+test('a server that leaves without draining first gets no new requests', () => {
 	const {state} = announce(noLocalServer, {});
 	const left = leave(state);
 	assert.equal(left.change, 'draining');
@@ -45,39 +45,39 @@
 	assert.equal(leave(left.state).change, 'none');
 });
 
-test('a new server replaces the old one, whose late words count no more', () => {
+test('a new server replaces the old one, whose late announcements are ignored', () => {
 	const first = announce(noLocalServer, {id: 'i-1', sequence: 9}).state;
 	const second = announce(first, {id: 'i-2', sequence: 1});
 	assert.equal(second.change, 'announced');
 	assert.equal(announce(second.state, {id: 'i-1', sequence: 10}).state.current?.announcement.lifetime.id, 'i-2');
 });
 
-test('a late announcement of a server that crashed, heard by a node that has restarted, does not shut out the one that is there', () => {
-	const there = announce(noLocalServer, {id: 'i-2', sequence: 1}, 0).state;
-	// Nobody knows here that i-1 is the older of the two.
-	const late = announce(there, {id: 'i-1', sequence: 7}, 100).state;
+test('after a restart of the node, a late announcement of a crashed server does not exclude the running one', () => {
+	const running = announce(noLocalServer, {id: 'i-2', sequence: 1}, 0).state;
+	// The restarted node can't know that i-1 is the older of the two.
+	const late = announce(running, {id: 'i-1', sequence: 7}, 100).state;
 	assert.equal(late.current?.announcement.lifetime.id, 'i-1');
 	assert.equal(announce(late, {id: 'i-2', sequence: 2}, 900).state.current?.announcement.lifetime.id, 'i-1');
-	// What is sent to i-1 meanwhile is turned away by i-2, which has the address.
+	// A request sent to i-1 is refused by i-2, which has the address.
 	const corrected = forgetServer(late, createLifetime(), 200);
 	assert.equal(announce(corrected, {id: 'i-2', sequence: 2}, 900).state.current?.announcement.lifetime.id, 'i-2');
-	// Without a request that shows it, the silence of i-1 does.
+	// Without such a request, i-2 replaces i-1 once i-1 is silent.
 	assert.equal(announce(late, {id: 'i-2', sequence: 5}, 3200).state.current?.announcement.lifetime.id, 'i-2');
 });
 
-test('a drain of a server that nothing was heard of does not touch the one that takes work', () => {
-	const there = announce(noLocalServer, {id: 'i-2', sequence: 1}, 0).state;
-	const {state, change} = announce(there, {id: 'i-1', sequence: 7, isDraining: true}, 100);
+test('a drain of an unknown server does not affect the one in use', () => {
+	const running = announce(noLocalServer, {id: 'i-2', sequence: 1}, 0).state;
+	const {state, change} = announce(running, {id: 'i-1', sequence: 7, isDraining: true}, 100);
 	assert.equal(change, 'none');
-	assert.equal(state.current, there.current);
-	// Nor is it taken for a new one later, whatever it still says.
+	assert.equal(state.current, running.current);
+	// Later announcements of the drained server do not put it into use.
 	assert.equal(announce(state, {id: 'i-1', sequence: 8}, 60_000).state.current?.announcement.lifetime.id, 'i-2');
-	// Where there is none to protect, it is the one that is there.
+	// If no server is in use, or the one in use leaves, the drain applies to the server that announced it.
 	assert.equal(announce(noLocalServer, {id: 'i-1', isDraining: true}).change, 'draining');
-	assert.equal(announce(leave(there, {id: 'i-2'}).state, {id: 'i-1', isDraining: true}, 100).change, 'draining');
+	assert.equal(announce(leave(running, {id: 'i-2'}).state, {id: 'i-1', isDraining: true}, 100).change, 'draining');
 });
 
-test('a server that was replaced and is heard again is not taken back by a word from before', () => {
+test('a late announcement of a replaced server does not put it back into use', () => {
 	const first = announce(noLocalServer, {id: 'i-1', sequence: 9}, 0).state;
 	const second = announce(first, {id: 'i-2', sequence: 1}, 100).state;
 	assert.equal(announce(second, {id: 'i-1', sequence: 9}, 60_000).state.current?.announcement.lifetime.id, 'i-2');
@@ -85,27 +85,27 @@
 	assert.equal(announce(drained, {id: 'i-1', sequence: 11}, 60_000).state.current?.announcement.lifetime.id, 'i-2');
 });
 
-test('an answer that says another server has the address concerns the server that was asked, not the one that came since', () => {
+test('a response showing that another server has the address ends the lifetime that the request meant, not a later one', () => {
 	const first = announce(noLocalServer, {id: 'i-1'}).state;
 	const second = announce(first, {id: 'i-2'}).state;
-	const told = forgetServer(second, createLifetime(), 200);
-	assert.equal(told.current?.announcement.lifetime.id, 'i-2');
-	assert.equal(announce(told, {id: 'i-2', sequence: 2}).state.current?.announcement.lifetime.id, 'i-2');
+	const next = forgetServer(second, createLifetime(), 200);
+	assert.equal(next.current?.announcement.lifetime.id, 'i-2');
+	assert.equal(announce(next, {id: 'i-2', sequence: 2}).state.current?.announcement.lifetime.id, 'i-2');
 });
 
-test('after a restart of the node, a server that said it leaves is not taken back by a late announcement', () => {
+test('after a restart of the node, a late announcement of a server that left does not put it into use', () => {
 	const left = leave(noLocalServer);
 	assert.equal(announce(left.state, {id: 'i-1', sequence: 3}).state.current, undefined);
 });
 
-test('property: once a server was acknowledged as leaving, no order of its words makes it ready again', () => {
-	const word = fc.record({
+test('property: once a drain or leave of a server was acknowledged, no order of its messages makes it ready again', () => {
+	const message = fc.record({
 		id: fc.constantFrom('i-1', 'i-2'), sequence: fc.integer({min: 0, max: 9}), isDraining: fc.boolean(), leaves: fc.boolean(),
 	});
-	fc.assert(fc.property(fc.array(word, {maxLength: 20}), words => {
+	fc.assert(fc.property(fc.array(message, {maxLength: 20}), messages => {
 		let state = noLocalServer;
 		const leaving = new Set<string>();
-		for (const {id, sequence, isDraining, leaves} of words) {
+		for (const {id, sequence, isDraining, leaves} of messages) {
 			state = leaves ? leave(state, {id}).state : announce(state, {id, sequence, isDraining}).state;
 			const {current} = state;
 			if (current !== undefined && leaving.has(current.announcement.lifetime.id)) {
@@ -121,7 +121,7 @@
 
 const [earliest, middle, latest] = [1000, 2000, 3000] as const;
 
-test('a later start of the same id replaces the earlier one at once, also one that drained, and inherits nothing of it', () => {
+test('a later start of the same id replaces the earlier one at once, also if that one drained, and inherits none of its state', () => {
 	const before = announce(noLocalServer, {startedAt: earliest, sequence: 90, slots: 4}).state;
 	const drained = announce(before, {startedAt: earliest, sequence: 91, isDraining: true}, 10).state;
 	const left = leave(before, {startedAt: earliest}, 10).state;
@@ -134,41 +134,41 @@
 	}
 });
 
-test('what an earlier start still says never replaces a later one that is heard, however late or often', () => {
+test('messages of an earlier start never replace a later one that is heard, however late or often they arrive', () => {
 	let {state} = announce(announce(noLocalServer, {startedAt: earliest, sequence: 9}).state, {startedAt: middle}, 100);
-	for (let word = 1; word < 60; word++) {
-		const now = 100 + (word * 2000);
-		state = announce(state, {startedAt: earliest, sequence: 9 + word, isDraining: word === 50}, now).state;
-		state = announce(state, {startedAt: middle, sequence: 1 + word}, now + 10).state;
+	for (let message = 1; message < 60; message++) {
+		const now = 100 + (message * 2000);
+		state = announce(state, {startedAt: earliest, sequence: 9 + message, isDraining: message === 50}, now).state;
+		state = announce(state, {startedAt: middle, sequence: 1 + message}, now + 10).state;
 		state = leave(state, {startedAt: earliest}, now + 20).state;
 		assert.equal(state.current?.announcement.lifetime.startedAt, middle);
 		assert.equal(state.current?.isLeaving, false);
 	}
 });
 
-test('a start that the clock makes look earlier takes over when it goes on and the other is silent, and not before', () => {
+test('a newer start with an earlier start time replaces the other only once it keeps sending and the other is silent', () => {
 	const before = announce(noLocalServer, {startedAt: middle, sequence: 90}).state;
-	const words = [[1, 500], [2, 1500], [3, 2500], [4, 3500]] as const;
+	const messages = [[1, 500], [2, 1500], [3, 2500], [4, 3500]] as const;
 	let state = before;
-	const taken = words.map(([sequence, now]) => {
+	const usedStarts = messages.map(([sequence, now]) => {
 		state = announce(state, {startedAt: earliest, sequence}, now).state;
 		return state.current?.announcement.lifetime.startedAt;
 	});
-	assert.deepEqual(taken, [middle, middle, middle, earliest]);
-	// One word alone shows nothing: it may be a late one. Nor does one that is repeated.
+	assert.deepEqual(usedStarts, [middle, middle, middle, earliest]);
+	// A single announcement may be a late one, and so may a repeated one: neither replaces the lifetime in use.
 	assert.equal(announce(before, {startedAt: earliest, sequence: 1}, 60_000).state.current?.announcement.lifetime.startedAt, middle);
 	const repeated = announce(announce(before, {startedAt: earliest, sequence: 1}, 500).state, {startedAt: earliest, sequence: 1}, 60_000);
 	assert.equal(repeated.state.current?.announcement.lifetime.startedAt, middle);
-	// A word from before the later start spoke last is none of two that follow one another.
+	// Two announcements are required since the later start was last heard; one before that does not count.
 	const between = announce(announce(before, {startedAt: earliest, sequence: 1}, 500).state, {startedAt: middle, sequence: 91}, 1000).state;
-	const once = announce(between, {startedAt: earliest, sequence: 2}, 5000).state;
-	assert.equal(once.current?.announcement.lifetime.startedAt, middle);
-	assert.equal(announce(once, {startedAt: earliest, sequence: 3}, 5500).state.current?.announcement.lifetime.startedAt, earliest);
-	// The one that has given way is an earlier one now, whatever its start says.
+	const single = announce(between, {startedAt: earliest, sequence: 2}, 5000).state;
+	assert.equal(single.current?.announcement.lifetime.startedAt, middle);
+	assert.equal(announce(single, {startedAt: earliest, sequence: 3}, 5500).state.current?.announcement.lifetime.startedAt, earliest);
+	// The lifetime that was replaced counts as an earlier one, although its start time is later.
 	assert.equal(announce(state, {startedAt: middle, sequence: 91}, 4000).state.current?.announcement.lifetime.startedAt, earliest);
 });
 
-test('a leave without a start ends the lifetime in use, but not one that has just followed another', () => {
+test('a leave without a start time ends the lifetime in use, unless it has just replaced another one', () => {
 	const before = announce(noLocalServer, {startedAt: earliest}).state;
 	assert.equal(leave(before, {}, 100).change, 'draining');
 	const after = announce(before, {startedAt: middle}, 100).state;
@@ -178,17 +178,17 @@
 	assert.equal(leave(after, {startedAt: middle}, 200).change, 'draining');
 });
 
-test('a leave without a start that comes before anything else ends the first lifetime that is heard, not a later one', () => {
+test('a leave without a start time that arrives before any announcement ends the first lifetime that is heard, and no later one', () => {
 	const {state} = leave(noLocalServer);
 	const late = announce(state, {startedAt: earliest, sequence: 7}, 1000).state;
 	assert.equal(late.current, undefined);
 	assert.equal(announce(late, {startedAt: earliest, sequence: 8}, 2000).state.current, undefined);
 	assert.equal(announce(late, {startedAt: middle}, 2000).state.current?.announcement.lifetime.startedAt, middle);
-	// Words are seconds late; whoever speaks for the first time long after that is another.
+	// Messages are seconds late: a server that is first heard long after the leave is another one.
 	assert.equal(announce(state, {startedAt: earliest, sequence: 7}, 60_000).state.current?.isLeaving, false);
 });
 
-test('a leave of a later start that was not heard yet ends the earlier one', () => {
+test('a leave of a later start that has not been heard yet ends the earlier one', () => {
 	const before = announce(noLocalServer, {startedAt: earliest}).state;
 	const left = leave(before, {startedAt: middle}, 100);
 	assert.equal(left.change, 'draining');
@@ -198,17 +198,17 @@
 
 type ServerMessage = {readonly id: string; readonly startedAt: number; readonly sequence: number; readonly isDraining: boolean; readonly leaves: boolean};
 
-test('property: whatever order, loss, delay and repetition do to the words of several lifetimes of few ids, no id goes back, and nobody who left is taken back', () => {
-	const word: fc.Arbitrary<ServerMessage> = fc.record({
+test('property: under reordering, loss, delay and repetition of messages, no id goes back to an earlier start, and no lifetime that left is used again', () => {
+	const message: fc.Arbitrary<ServerMessage> = fc.record({
 		id: fc.constantFrom('i-1', 'i-2'), startedAt: fc.constantFrom(earliest, middle, latest), sequence: fc.integer({min: 0, max: 9}), isDraining: fc.boolean(), leaves: fc.boolean(),
 	});
-	// The latest of all words come within the time in which whoever leads is fresh.
-	fc.assert(fc.property(fc.array(fc.tuple(word, fc.integer({min: 0, max: 60})), {maxLength: 40}), words => {
+	// All messages arrive within the silence timeout of the lifetime in use.
+	fc.assert(fc.property(fc.array(fc.tuple(message, fc.integer({min: 0, max: 60})), {maxLength: 40}), messages => {
 		let state = noLocalServer;
 		let now = 0;
 		const newest = new Map<string, number>();
 		const leaving = new Set<string>();
-		for (const [{leaves, ...announced}, delayMs] of words) {
+		for (const [{leaves, ...announced}, delayMs] of messages) {
 			now += delayMs;
 			state = leaves ? leave(state, announced, now).state : announce(state, announced, now).state;
 			const {current} = state;
@@ -218,21 +218,21 @@
 
 			if (current !== undefined) {
 				const {id, startedAt} = current.announcement.lifetime;
-				assert.ok(startedAt >= (newest.get(id) ?? 0), `${id} went back to ${startedAt}`);
+				assert.ok(startedAt >= (newest.get(id) ?? 0), `${id} went back to the earlier start ${startedAt}`);
 				newest.set(id, startedAt);
-				assert.ok(current.isLeaving || !leaving.has(`${id} ${startedAt}`), `${id} ${startedAt} was taken back`);
+				assert.ok(current.isLeaving || !leaving.has(`${id} ${startedAt}`), `${id} ${startedAt} was used again after it left`);
 			}
 		}
 	}), {numRuns: 2000});
 });
 
-test('property: among all words of one id the newest lifetime leads in the end, and takes work unless it left', () => {
-	const word = fc.record({
+test('property: after all messages of one id, its newest lifetime is in use and takes requests', () => {
+	const message = fc.record({
 		startedAt: fc.constantFrom<number[]>(earliest, middle), sequence: fc.integer({min: 0, max: 9}), isDraining: fc.boolean(), leaves: fc.boolean(),
 	});
-	fc.assert(fc.property(fc.array(word, {maxLength: 30}), fc.nat({max: 30}), (words, place) => {
-		// The newest says nothing but that it is ready, once at least; all else may come before, after and more than once.
-		const inOrder = words.toSpliced(Math.min(place, words.length), 0, {
+	fc.assert(fc.property(fc.array(message, {maxLength: 30}), fc.nat({max: 30}), (messages, position) => {
+		// The newest lifetime announces once that it is ready. Messages of earlier lifetimes arrive before and after it, possibly repeatedly.
+		const inOrder = messages.toSpliced(Math.min(position, messages.length), 0, {
 			startedAt: latest, sequence: 1, isDraining: false, leaves: false,
 		});
 		let state = noLocalServer;
--- a/src/lib/local-server/local-server-updates.ts
+++ b/src/lib/local-server/local-server-updates.ts
@@ -1,10 +1,12 @@
 /**
- * Takes in what backend servers say to the node beside them, in whatever order
- * it arrives. The decision part: time is handed in.
+ * Updates the state of the local server with the announcements and leaves that
+ * it sends, which may arrive in any order. Pure functions: the caller passes the
+ * time.
  *
- * Of one id, a later start replaces an earlier one at once, as if that one had
- * crashed, and inherits nothing of it. What an earlier start still says counts
- * for itself only, and never brings it back while the later one is heard.
+ * A later start of an id replaces an earlier one at once, as if that one had
+ * crashed, and inherits none of its state. Further messages of the earlier start
+ * concern only that start, and never put it back into use while the later one
+ * is heard.
  *
  * @module
  */
@@ -15,7 +17,7 @@
 } from './local-server.js';
 import {isSuperseded, mayReplaceCurrent} from './lifetime-succession.js';
 
-/** A word may arrive so many milliseconds after what was said behind it: users' words are seconds late, and servers start again within one. */
+/** A message may arrive this much later than messages sent after it: messages of users' servers arrive seconds late, and servers restart within a second. */
 const maximumMessageDelayMs = 5000;
 
 function withoutLifetime(servers: readonly LocalServer[], lifetime: ServerLifetime): readonly LocalServer[] {
@@ -43,7 +45,7 @@
 	return next;
 }
 
-/** Puts another lifetime in the place of the one that was there. */
+/** Puts another lifetime into use. */
 function replaceServer(state: LocalServerState, announcement: ServerAnnouncement, now: number): ServerTransition {
 	const {current: former} = state;
 	const isSameId = former?.announcement.lifetime.id === announcement.lifetime.id;
@@ -58,11 +60,11 @@
 	};
 }
 
-/** Takes in a word of a lifetime that has given way, or that a later start of its id was heard before. */
+/** Applies an announcement of a lifetime that was replaced, or for whose id a later start is known. */
 function acceptInactive(state: LocalServerState, announcement: ServerAnnouncement, now: number): ServerTransition {
 	const {lifetime, sequence, isDraining} = announcement;
 	if (isDraining) {
-		// It is not taken back, but a word that it leaves is acknowledged, and binds.
+		// The lifetime is not in use, but its drain is acknowledged, so the node must not use it later.
 		return {state: addEnded(state, lifetime, now), change: 'none'};
 	}
 
@@ -85,10 +87,10 @@
 	return current.isLeaving ? {state, change: 'none'} : {state: {...state, current: {...current, isLeaving: true}}, change: 'draining'};
 }
 
-/** Takes in a word of the lifetime that is in use. */
+/** Applies an announcement of the lifetime that is in use. */
 function acceptCurrent(state: LocalServerState, current: LocalServer, announcement: ServerAnnouncement, now: number): ServerTransition {
 	if (announcement.sequence <= current.announcement.sequence) {
-		// Nothing of a late word counts, but that the server leaves: it is acknowledged, and no later word takes it back.
+		// Of a late announcement only the drain applies: it is acknowledged, and no later announcement revokes it.
 		return announcement.isDraining ? leaveCurrent(state, current) : {state, change: 'none'};
 	}
 
@@ -103,7 +105,7 @@
 	return {state: {...state, current: next}, change: isChanged ? 'changed' : 'none'};
 }
 
-/** Finds the lifetime behind a word that a server of this id leaves, which came before anything else was heard of it: the first one that is heard. */
+/** Applies a leave without a start time that arrived before any announcement of its server: it ends the first lifetime that is heard within `maximumMessageDelayMs`. */
 function applyUnmatchedLeave(state: LocalServerState, {lifetime}: ServerAnnouncement, now: number): LocalServerState {
 	const {id} = lifetime;
 	const leave = state.unmatchedLeaves.find(known => known.id === id);
@@ -116,12 +118,13 @@
 }
 
 /**
- * Takes in an announcement. What is late or comes from an earlier lifetime changes nothing of the one in use.
+ * Applies an announcement. One that is late or comes from an earlier lifetime does not change the lifetime in use, except
+ * that a late drain still applies.
  *
- * @param before - What is known.
+ * @param before - The state of the local server.
  * @param announcement - The announcement.
  * @param now - Steady milliseconds.
- * @returns What is known afterwards, and what is new.
+ * @returns The next state, and what changed.
  * @internal
  */
 export function acceptAnnouncement(before: LocalServerState, announcement: ServerAnnouncement, now: number): ServerTransition {
@@ -136,7 +139,7 @@
 		return acceptCurrent(state, current, announcement, now);
 	}
 
-	// Of two servers with different ids nothing tells which was first: the one that drains loses least by being the earlier one.
+	// The order of two servers with different ids is unknown. The one that drains is taken as the earlier, because it would get no requests anyway.
 	const hasUnrelatedCurrent = current !== undefined && !current.isLeaving && compareLifetimes(current.announcement.lifetime, lifetime) === 'unrelated';
 	if (announcement.isDraining && hasUnrelatedCurrent) {
 		return {state: addEnded(state, lifetime, now), change: 'none'};
@@ -146,31 +149,32 @@
 	return isKnown || isSuperseded(state, lifetime) ? acceptInactive(state, announcement, now) : replaceServer(state, announcement, now);
 }
 
-/** Takes in that a lifetime leaves that is not the one in use. */
+/** Applies the leave of a lifetime that is not in use. */
 function leaveOther(state: LocalServerState, lifetime: ServerLifetime, now: number): ServerTransition {
 	const {current} = state;
 	const isKnown = state.inactive.some(server => isSameLifetime(server.announcement.lifetime, lifetime));
 	const next = addEnded(state, lifetime, now);
-	// A start that nothing was heard of, later than the one in use: that one has ended without a word.
+	// The leave names a later start that has not been heard yet: the lifetime in use has ended without a leave.
 	const isCurrentReplaced = current !== undefined && !isKnown && !isEnded(state, lifetime) && compareLifetimes(current.announcement.lifetime, lifetime) === 'earlier';
 	return isCurrentReplaced ? leaveCurrent(next, current) : {state: next, change: 'none'};
 }
 
 /**
- * Tells whether a word that a server leaves may be a late one of an earlier start: it does not say which start leaves, and the one in use has
- * just followed another. Taken in, it would shut out the new one for as long as it lives; it must not be acknowledged either, since the new one may mean it.
+ * Returns whether a leave may be a late message of an earlier start: it has no start time, and the lifetime in use has just
+ * replaced another one of the same id. Applying it could exclude the new lifetime until that ends. It must not be
+ * acknowledged either, because the new lifetime may have sent it.
  *
- * @param state - What is known.
- * @param leave - The word.
+ * @param state - The state of the local server.
+ * @param leave - The leave.
  * @param now - Steady milliseconds.
- * @returns Whether nobody can tell which start it is of.
+ * @returns Whether the start that leaves cannot be determined.
  * @internal
  */
 export function isAmbiguousLeave({current}: LocalServerState, {id, startedAt}: ServerLeave, now: number): boolean {
 	return startedAt === undefined && current?.announcement.lifetime.id === id && now < current.ambiguousLeaveUntil;
 }
 
-/** Takes in that a server leaves which did not say which start of it does: the lifetime in use. */
+/** Applies a leave without a start time: to the lifetime in use if it has the id, otherwise to all known lifetimes of the id. */
 function leaveWithoutStart(state: LocalServerState, id: BackendServerId, now: number): ServerTransition {
 	const {current, inactive} = state;
 	if (current?.announcement.lifetime.id === id) {
@@ -182,17 +186,17 @@
 		return {state: addAllEnded(state, known, now), change: 'none'};
 	}
 
-	// It may have been served by an earlier run of this node; its late announcements must not bring it back.
+	// An earlier run of this node may have served the server; its late announcements must not put it into use again.
 	return {state: {...state, unmatchedLeaves: addBounded(state.unmatchedLeaves.filter(leave => leave.id !== id), {id, heardAt: now})}, change: 'none'};
 }
 
 /**
- * Takes in that a server leaves, whether or not it said before that it drains.
+ * Applies a leave, whether or not the server announced a drain before.
  *
- * @param state - What is known.
- * @param leave - The server, and which start of it if it said so.
+ * @param state - The state of the local server.
+ * @param leave - The leave.
  * @param now - Steady milliseconds.
- * @returns What is known afterwards, and what is new.
+ * @returns The next state, and what changed.
  * @internal
  */
 export function acceptLeave(state: LocalServerState, leave: ServerLeave, now: number): ServerTransition {
@@ -213,12 +217,12 @@
 }
 
 /**
- * Doubts a server that could not be reached.
+ * Records that a server could not be reached, so that it gets no requests for a while.
  *
- * @param state - What is known.
- * @param lifetime - The one that was asked.
- * @param until - Steady milliseconds.
- * @returns What is known afterwards.
+ * @param state - The state of the local server.
+ * @param lifetime - The lifetime to which a request was sent.
+ * @param until - When it may get requests again, in steady milliseconds.
+ * @returns The next state.
  * @internal
  */
 export function noteServerUnreachable(state: LocalServerState, lifetime: ServerLifetime, until: number): LocalServerState {
@@ -227,12 +231,12 @@
 }
 
 /**
- * Forgets a server, because another has its address: the next announcement tells which.
+ * Ends a lifetime because another server has its address. The next announcement names that server.
  *
- * @param state - What is known.
- * @param lifetime - The one that was asked and is not there.
+ * @param state - The state of the local server.
+ * @param lifetime - The lifetime to which a request was sent, and which did not answer it.
  * @param now - Steady milliseconds.
- * @returns What is known afterwards.
+ * @returns The next state.
  * @internal
  */
 export function forgetServer(state: LocalServerState, lifetime: ServerLifetime, now: number): LocalServerState {
--- a/src/lib/local-server/local-server.ts
+++ b/src/lib/local-server/local-server.ts
@@ -1,5 +1,6 @@
 /**
- * The backend server beside a node, as it announces itself: what is held of it.
+ * The state that a node holds of the backend server beside it, from the server's
+ * announcements. A lifetime is one start of a server.
  *
  * @module
  */
@@ -13,57 +14,61 @@
 	readonly address: Address;
 	readonly slots: number;
 	readonly isDraining: boolean;
-	/** Milliseconds for which it stays slow after its start. */
+	/** Milliseconds after its start for which the server stays slow. */
 	readonly coldMs: number;
-	/** Grows with each announcement of a lifetime, so that a late one is recognised. */
+	/** Increases with each announcement of a lifetime, so that a late announcement is recognised. */
 	readonly sequence: number;
 };
 
-/** A backend server's word that it leaves. @internal */
+/** A backend server's message that it leaves. @internal */
 export type ServerLeave = {
 	readonly id: BackendServerId;
-	/** Which start of it leaves, in milliseconds since the epoch; `undefined` if it did not say. */
+	/** Start time of the lifetime that leaves, in milliseconds since the epoch; `undefined` if the message does not name it. */
 	readonly startedAt: number | undefined;
 };
 
-/** One lifetime, as it was last heard. @internal */
+/** One lifetime, with its latest announcement. @internal */
 export type LocalServer = {
 	readonly announcement: ServerAnnouncement;
-	/** Steady milliseconds. */
+	/** When that announcement arrived, in steady milliseconds. */
 	readonly heardAt: number;
-	/** It said that it drains or leaves: final for this lifetime. */
+	/** Whether it announced that it drains, or left: final for this lifetime. */
 	readonly isLeaving: boolean;
-	/** It could not be reached; it gets no work before this time. Steady milliseconds. */
+	/** When it may get requests again after it could not be reached, in steady milliseconds; 0 if it was reachable. */
 	readonly avoidUntil: number;
-	/** Until then, in steady milliseconds, a word of its id without a start is taken for an earlier lifetime's; 0 if there was none. */
+	/** Until this time, in steady milliseconds, a leave with its id but no start time may come from the lifetime that it replaced; 0 if it replaced none. */
 	readonly ambiguousLeaveUntil: number;
 };
 
-/** A lifetime that has ended for this node. @internal */
+/** A lifetime that this node regards as ended. @internal */
 export type EndedLifetime = {
 	readonly lifetime: ServerLifetime;
-	/** When this node learnt it, in steady milliseconds. */
+	/** When the message that ended it arrived, in steady milliseconds. */
 	readonly heardAt: number;
 };
 
 /** @internal */
 export type LocalServerState = {
+	/** The lifetime that is in use. */
 	readonly current: LocalServer | undefined;
-	/** Lifetimes that said that they leave, or whose address another has: nothing they still say counts. */
+	/** Lifetimes that left, or whose address another server has: their further messages are ignored. */
 	readonly ended: readonly EndedLifetime[];
-	/** Lifetimes that gave way to another one, or were never taken, without having left. */
+	/** Lifetimes that were replaced or never used, and that have not left. */
 	readonly inactive: readonly LocalServer[];
-	/** Servers that said that they leave, but not which start of them, before this node had heard of any. */
+	/** Leaves without a start time that arrived before any announcement of their server. */
 	readonly unmatchedLeaves: ReadonlyArray<{readonly id: BackendServerId; readonly heardAt: number}>;
 };
 
-/** What a word changed. @internal */
+/** What a message changed in the state. @internal */
 export type ServerChange = 'none' | 'announced' | 'draining' | 'changed';
 
 /** @internal */
 export type ServerTransition = {readonly state: LocalServerState; readonly change: ServerChange};
 
-/** Lifetimes of each kind that are remembered; late words are seconds late, and a VM does not see this many starts in that time, whatever other writers say. */
+/**
+ * The number of lifetimes remembered in each list. Messages arrive seconds late, and a VM does not see this many starts in
+ * that time. The bound also holds if other senders announce more lifetimes.
+ */
 const rememberedLifetimeCount = 64;
 
 /** @internal */
@@ -72,9 +77,11 @@
 };
 
 /**
- * @param list - What is remembered.
- * @param next - What is added.
- * @returns Both, without what was remembered longest if that is too much.
+ * Appends to a bounded list, and evicts the oldest item if the list is full.
+ *
+ * @param list - The list.
+ * @param next - The item to append.
+ * @returns The new list.
  * @internal
  */
 export function addBounded<Item>(list: readonly Item[], next: Item): readonly Item[] {
--- a/src/lib/local-server/start-time-check.test.ts
+++ b/src/lib/local-server/start-time-check.test.ts
@@ -14,13 +14,13 @@
 const known = createAnnouncement(1000);
 const unknown = createAnnouncement(unknownStart);
 
-test('where no server says when it started, one that does not is used', () => {
+test('an announcement without a start time is accepted if no server announces one', () => {
 	const {check} = createStartTimeCheck(() => [createLifetime(unknownStart), createLifetime(unknownStart)]);
 	assert.ok(check(unknown, 0).isOk());
 	assert.ok(check(unknown, 60_000).isOk());
 });
 
-test('beside a server that says it, a word without it is another writer\'s', () => {
+test('an announcement without a start time is refused after one with a start time', () => {
 	const {check} = createStartTimeCheck(() => []);
 	assert.ok(check(known, 0).isOk());
 	const refused = check(unknown, 1500);
@@ -28,12 +28,12 @@
 	assert.match(refused._unsafeUnwrapErr().text, /^start: found nothing, must be/);
 });
 
-test('a node that has just started learns from the others that servers say it', () => {
+test('a node that has just started refuses an announcement without a start time if most servers beside other nodes announce one', () => {
 	const {check} = createStartTimeCheck(() => [createLifetime(5), createLifetime(6), createLifetime(unknownStart)]);
 	assert.equal(check(unknown, 0)._unsafeUnwrapErr().cause, 'start');
 });
 
-test('one server that says it does not shut out a mesh whose servers do not', () => {
+test('a single announcement with a start time has no lasting effect in a mesh whose servers announce none', () => {
 	const {check} = createStartTimeCheck(() => [createLifetime(unknownStart), createLifetime(5), createLifetime(unknownStart)]);
 	assert.ok(check(unknown, 0).isOk());
 	check(known, 100);
@@ -41,7 +41,7 @@
 	assert.ok(check(unknown, 10_200).isOk());
 });
 
-test('it looks at a few servers only, however many there are', () => {
+test('the check samples a bounded number of servers', () => {
 	let looks = 0;
 	function * listMany(): Generator<ServerLifetime> {
 		for (;;) {
--- a/src/lib/local-server/start-time-check.ts
+++ b/src/lib/local-server/start-time-check.ts
@@ -1,8 +1,9 @@
 /**
- * Decides whether a backend server that does not say when it started is one to use.
+ * Decides whether to use a backend server whose announcements have no start time.
  *
- * Where servers say it, a word without it comes from another writer. On platforms whose servers do not, each start
- * has an id of its own, and to refuse their words would leave a mesh without any server. What a node hears tells the two apart.
+ * If the servers of a mesh announce their start time, an announcement without one comes from another sender. On platforms
+ * whose servers don't announce it, each start has its own id, and refusing such announcements would leave the mesh without
+ * any server. The node tells the two cases apart by the announcements and peer reports that it receives.
  *
  * @module
  */
@@ -13,17 +14,20 @@
 
 /** @internal */
 export type StartTimeCheck = {
-	/** Checks an announcement; the ones that pass teach what to expect. */
+	/** Checks an announcement. Start times in announcements that pass decide how later ones are checked. */
 	readonly check: (announcement: ServerAnnouncement, now: number) => Result<ServerAnnouncement, AnnouncementRefusal>;
 };
 
-/** A server beside this node that said its start within this time shows that servers say it. Milliseconds: some six announcements; the words of another writer then mislead for no longer. */
+/**
+ * For this time after an announcement with a start time, every announcement is expected to have one. It spans about six
+ * announcements, and bounds how long an announcement of another sender can have an effect.
+ */
 const startTimeExpectedMs = 10_000;
 
-/** Servers beside other nodes that are looked at: enough that one node which was misled decides nothing. */
+/** The number of servers beside other nodes that are sampled: enough that one node with a wrong report does not decide the result. */
 const maximumSampleCount = 15;
 
-/** Whether most of the servers that other nodes tell of say when they started. */
+/** Whether most of the sampled servers announce when they started. */
 function isStartTimeUsual(lifetimes: Iterable<ServerLifetime>): boolean {
 	let sampled = 0;
 	let withStartTime = 0;
@@ -39,8 +43,10 @@
 }
 
 /**
- * @param listLifetimes - Lifetimes of servers beside other nodes, as these tell of them.
- * @returns A check that has heard nothing.
+ * Creates the check, with no announcement received yet.
+ *
+ * @param listLifetimes - Lists the lifetimes of the servers beside other nodes, from their reports.
+ * @returns The check.
  * @internal
  */
 export function createStartTimeCheck(listLifetimes: () => Iterable<ServerLifetime>): StartTimeCheck {
@@ -53,7 +59,7 @@
 			}
 
 			return now - heardAt <= startTimeExpectedMs || isStartTimeUsual(listLifetimes())
-				? err({cause: 'start', text: 'start: found nothing, must be when the server started, as the servers of this mesh say it'})
+				? err({cause: 'start', text: 'start: found nothing, must be the time at which the server started, which the servers of this mesh announce'})
 				: ok(announcement);
 		},
 	};
--- a/src/lib/peers/announcement-targets.test.ts
+++ b/src/lib/peers/announcement-targets.test.ts
@@ -19,11 +19,11 @@
 	return table;
 }
 
-test('in a mesh of up to 80 nodes everybody hears it at once', () => {
+test('in a mesh of up to 80 nodes every other node is notified at once', () => {
 	assert.equal(chooseAnnouncementTargets(fillTable(20, 59), Math.random).length, 79);
 });
 
-test('property: what a node sends does not grow with the mesh, nobody is told twice, and near nodes and far ones are told', () => {
+test('property: the number of targets is bounded, no node is notified twice, and nodes of the own and other failure domains are notified', () => {
 	fc.assert(fc.property(fc.nat(300), fc.nat(700), fc.double({min: 0, max: 0.999, noNaN: true}), (ownDomainCount, otherDomainCount, drawn) => {
 		const names = chooseAnnouncementTargets(fillTable(ownDomainCount, otherDomainCount), () => drawn).map(({report}) => report.node);
 		assert.equal(new Set(names).size, names.length);
--- a/src/lib/peers/announcement-targets.ts
+++ b/src/lib/peers/announcement-targets.ts
@@ -1,24 +1,24 @@
 /**
- * Who hears at once that the backend server beside a node is ready: the
- * decision part.
+ * Chooses the nodes that are notified at once that the backend server beside a
+ * node is ready.
  *
- * The load that it answers: a mesh of hundreds of nodes in which nodes start all
- * day. Each datagram wakes a process, so one word to everybody costs the mesh
- * more the larger it is. News that a server takes no work any more go to all:
- * whoever missed them would lose a refusal. News that it does may be late, at
- * the cost of a server that is not used yet.
+ * Each datagram wakes a process, so in a mesh of hundreds of nodes, in which
+ * nodes start all day, notifying every node would cost more the larger the mesh
+ * is. That a server takes no more requests is sent to all nodes, because a node
+ * that misses it sends requests that are refused. That a server is ready may
+ * arrive late: until then, the server is only not used yet.
  *
  * @module
  */
 import {type Peer, type PeerTable} from './peer-table.js';
 
-/** Nodes that hear it at once, at the most. The users' meshes of up to 80 nodes are told whole, as before. */
+/** The maximum number of nodes that are notified at once. In a mesh of up to 80 nodes, all nodes are. */
 const maximumTargetCount = 80;
 
-/** Of these, nodes of the own failure domain at the most: their requests come here first. The rest are of other domains, so that word is everywhere. */
+/** The maximum number of them in the own failure domain, whose requests go to this server first. The rest are in other failure domains, so that these are notified too. */
 const maximumOwnDomainCount = 60;
 
-/** Draws some of a list, each at most once, in time that does not grow with the list. */
+/** Picks `count` consecutive items from a random position of a list, in time that does not grow with the list. */
 function pickRandomRange(peers: readonly Peer[], count: number, random: () => number): readonly Peer[] {
 	if (peers.length <= count) {
 		return peers;
@@ -29,9 +29,11 @@
 }
 
 /**
+ * Chooses the nodes to notify at once. The other nodes learn of the change from their next heartbeat.
+ *
  * @param table - The other nodes.
- * @param random - Draws a number from 0 to 1.
- * @returns Whom to tell at once; the others hear it with their next heartbeat.
+ * @param random - Returns a random number from 0 to 1, excluding 1.
+ * @returns The nodes to notify.
  * @internal
  */
 export function chooseAnnouncementTargets(table: Pick<PeerTable, 'listOwnDomain' | 'listOtherDomains'>, random: () => number): readonly Peer[] {
--- a/src/lib/peers/heartbeat-plan.test.ts
+++ b/src/lib/peers/heartbeat-plan.test.ts
@@ -3,18 +3,18 @@
 import fc from 'fast-check';
 import {computePeriods, planHeartbeats} from './heartbeat-plan.js';
 
-test('in a small mesh everybody gets a heartbeat every period', () => {
+test('in a small mesh every node gets a heartbeat every period', () => {
 	const plan = planHeartbeats({ownDomainNodes: 4, otherDomainNodes: 9, isFollowing: false});
 	assert.deepEqual(plan, {ownDomain: 1, otherDomain: 1});
 	assert.deepEqual(computePeriods(plan, 400), {ownDomainMs: 400, otherDomainMs: 400});
 });
 
-test('those that watch the store are heard every period in a failure domain of many nodes', () => {
+test('a node that watches the store sends to every node of a large failure domain every period', () => {
 	assert.equal(planHeartbeats({ownDomainNodes: 40, otherDomainNodes: 9, isFollowing: true}).ownDomain, 1);
 	assert.equal(planHeartbeats({ownDomainNodes: 40, otherDomainNodes: 9, isFollowing: false}).ownDomain, 8);
 });
 
-test('property: what a node sends in a period does not grow with the mesh', () => {
+test('property: the number of heartbeats that a node sends per period is bounded in any mesh', () => {
 	fc.assert(fc.property(fc.nat(400), fc.nat(190), fc.boolean(), (ownDomainNodes, otherDomainNodes, isFollowing) => {
 		const {ownDomain, otherDomain} = planHeartbeats({ownDomainNodes, otherDomainNodes, isFollowing});
 		assert.ok((ownDomainNodes / ownDomain) + (otherDomainNodes / otherDomain) <= (isFollowing ? 70 : 22));
--- a/src/lib/peers/heartbeat-plan.ts
+++ b/src/lib/peers/heartbeat-plan.ts
@@ -1,66 +1,82 @@
 /**
- * How often a node sends heartbeats to each other one, so that what it sends
- * does not grow with the mesh: the decision part.
+ * Plans how often a node sends heartbeats to each other node, so that its send
+ * rate does not grow with the mesh. Pure functions.
  *
  * @module
  */
 import {type HeartbeatPeriods} from './peer-report.js';
 
-/** How many periods pass between two heartbeats to one node. @internal */
+/** The number of periods between two heartbeats to one node, by failure domain. @internal */
 export type HeartbeatPlan = {
 	readonly ownDomain: number;
 	readonly otherDomain: number;
 };
 
-/** Heartbeats in a period to nodes of the own failure domain. Those are the nodes that requests go to first: up to this number each gets one every period. */
+/** Up to this number of nodes in the own failure domain, each gets a heartbeat every period: requests go to these nodes first. */
 const ownDomainFullRateCount = 12;
 
 /**
- * Beyond that number, the nodes of the own domain get fewer: answers to requests tell how busy a server is as well, and are a sign of life.
- * Each datagram wakes a process, which is most of what an idle node costs.
+ * Heartbeats per period to the own failure domain if it has more nodes. Responses to requests also carry a server's load and
+ * show that a node is alive. Each datagram wakes a process, which is most of the cost of an idle node.
  */
 const ownDomainReducedCount = 5;
 
-/** The same for a node that watches the store for the others: they wait for its word, and there are few such nodes. */
+/**
+ * Replaces both limits above for a node that watches the store for the others: they rely on its heartbeats, and there are
+ * few such nodes.
+ */
 const storeWatcherHeartbeatCount = 60;
 
-/** Heartbeats in a period to nodes of other failure domains, whose bytes are paid for. Whether one of them is there is asked when requests wait for it. Up to this number each gets one every period. */
+/**
+ * Up to this number of nodes in other failure domains, each gets a heartbeat every period. The limit is low because traffic
+ * between failure domains is charged, and because nodes there are probed when requests wait for them.
+ */
 const otherDomainFullRateCount = 10;
 
-/** Beyond that number, nodes of other failure domains get fewer: these are asked only when the own domain has no room. */
+/** Heartbeats per period to other failure domains if they have more nodes: requests go there only when the own failure domain has no capacity. */
 const otherDomainReducedCount = 3;
 
-/** The longest time between two heartbeats, in periods: a node that restarts while the store is away is found again by them. */
+/**
+ * The longest interval between two heartbeats to one node, in periods. It is bounded because a node that restarts during a
+ * store outage is rediscovered by heartbeats.
+ */
 const maximumPeriodCount = 40;
 
+/** Up to `fullRateCount` nodes each get a heartbeat every period; more nodes share `reducedCount` heartbeats per period. */
 type HeartbeatBudget = {readonly fullRateCount: number; readonly reducedCount: number};
 
 const countPeriods = (nodes: number, {fullRateCount, reducedCount}: HeartbeatBudget): number => nodes <= fullRateCount ? 1 : Math.min(maximumPeriodCount, Math.ceil(nodes / reducedCount));
 
-/** How many other nodes a node knows, and what it does for them. @internal */
+/** The number of other nodes that a node knows, and its role. @internal */
 export type HeartbeatPlanInput = {
 	readonly ownDomainNodes: number;
 	readonly otherDomainNodes: number;
-	/** Whether the others rely on this node to watch the store. */
+	/** Whether other nodes rely on this node to watch the store. */
 	readonly isFollowing: boolean;
 };
 
 /**
- * @param needs - Whom the heartbeats are for.
- * @returns The plan.
+ * Plans the heartbeats of a node.
+ *
+ * @param input - The nodes that get the heartbeats, and the role of this node.
+ * @returns The number of periods between two heartbeats to one node.
  * @internal
  */
 export function planHeartbeats({ownDomainNodes, otherDomainNodes, isFollowing}: HeartbeatPlanInput): HeartbeatPlan {
 	return {
-		ownDomain: countPeriods(ownDomainNodes, isFollowing ? {fullRateCount: storeWatcherHeartbeatCount, reducedCount: storeWatcherHeartbeatCount} : {fullRateCount: ownDomainFullRateCount, reducedCount: ownDomainReducedCount}),
+		ownDomain: countPeriods(ownDomainNodes, isFollowing
+			? {fullRateCount: storeWatcherHeartbeatCount, reducedCount: storeWatcherHeartbeatCount}
+			: {fullRateCount: ownDomainFullRateCount, reducedCount: ownDomainReducedCount}),
 		otherDomain: countPeriods(otherDomainNodes, {fullRateCount: otherDomainFullRateCount, reducedCount: otherDomainReducedCount}),
 	};
 }
 
 /**
- * @param plan - A plan.
+ * Converts a plan to milliseconds, as heartbeats report it to the other nodes.
+ *
+ * @param plan - The plan.
  * @param periodMs - Milliseconds of one period.
- * @returns What the other nodes are told of it.
+ * @returns Milliseconds between two heartbeats to one node.
  * @internal
  */
 export function computePeriods({ownDomain, otherDomain}: HeartbeatPlan, periodMs: number): HeartbeatPeriods {
--- a/src/lib/peers/heartbeat-rotation.ts
+++ b/src/lib/peers/heartbeat-rotation.ts
@@ -1,19 +1,21 @@
 /**
- * Whose turn it is in a round of heartbeats: the decision part. Nodes take
- * turns by their place in a list, so a round visits those that are due and no
- * others, however many there are.
+ * Selects the nodes that get a heartbeat in a round, by round-robin over their
+ * positions in a list. Pure functions. A round visits only the nodes that are
+ * due, so its cost does not depend on the length of the list.
  *
  * @module
  */
 
-/** Silent nodes get a heartbeat once in so many rounds: most of them are gone. @internal */
+/** A silent node gets at most one heartbeat in this number of rounds, because most silent nodes have ended. @internal */
 export const silentNodeRounds = 4;
 
 /**
- * @param length - How many nodes the list holds.
- * @param every - Rounds between two turns of one node.
- * @param round - Number of the round.
- * @returns Places of those whose turn it is, in order.
+ * Lists the positions of the nodes that are due in a round.
+ *
+ * @param length - The number of nodes in the list.
+ * @param every - The number of rounds between two turns of one node.
+ * @param round - The number of the round.
+ * @returns The positions, in ascending order.
  * @internal
  */
 export function listDuePositions(length: number, every: number, round: number): readonly number[] {
@@ -26,10 +28,12 @@
 }
 
 /**
- * @param position - The position of a silent node whose turn it is.
- * @param every - Rounds between two turns of one node.
- * @param round - Number of the round.
- * @returns Whether it gets a heartbeat in this turn.
+ * Returns whether a silent node gets a heartbeat in one of its turns.
+ *
+ * @param position - The position of the silent node, which is due in the round.
+ * @param every - The number of rounds between two turns of one node.
+ * @param round - The number of the round.
+ * @returns Whether it gets a heartbeat.
  * @internal
  */
 export function isSilentNodeDue(position: number, every: number, round: number): boolean {
--- a/src/lib/peers/heartbeat-rounds.test.ts
+++ b/src/lib/peers/heartbeat-rounds.test.ts
@@ -5,14 +5,14 @@
 
 const periodMs = 400;
 
-test('property: whatever the time of day says, the next round is neither at once nor much later than a period', () => {
+test('property: at any wall-clock time, the delay is between a quarter of a period and one and a quarter periods', () => {
 	fc.assert(fc.property(fc.nat(2 ** 41), wallMs => {
 		const delayMs = computeRoundDelay(wallMs, periodMs);
 		assert.ok(delayMs >= periodMs / 4 && delayMs <= periodMs * 1.25, String(delayMs));
 	}));
 });
 
-test('property: nodes that started at any times, with timers that fire late, send in the same moments after two rounds', () => {
+test('property: nodes with any start times and late timers are aligned after two rounds', () => {
 	fc.assert(fc.property(fc.array(fc.record({startedAt: fc.nat(100_000), lateMs: fc.nat(30)}), {minLength: 2, maxLength: 10}), nodes => {
 		const phases = nodes.map(({startedAt, lateMs}) => {
 			let now = startedAt;
--- a/src/lib/peers/heartbeat-rounds.ts
+++ b/src/lib/peers/heartbeat-rounds.ts
@@ -1,19 +1,21 @@
 /**
- * When a node sends its next round of heartbeats: the decision part. All nodes
- * send at the same moments of the time of day, so that what the others send
- * arrives together and wakes this process a few times a round, not once for
- * each datagram.
+ * Computes when a node sends its next round of heartbeats. Pure functions. All
+ * nodes align their rounds to the wall clock, so that the datagrams of the other
+ * nodes arrive together and wake this process a few times per round, not once
+ * per datagram.
  *
  * @module
  */
 
-/** A round comes this share of a period after the last one at the earliest: the time of day may jump, and two rounds in succession tell nothing new. */
+/** The shortest delay between two rounds, as a share of the period. The wall clock may jump, and two rounds in quick succession carry no new information. */
 const minimumDelayShare = 0.25;
 
 /**
- * @param wallMs - The time of day, which may jump and differ between VMs: then rounds of different nodes are apart, which costs wake-ups and nothing else.
+ * Computes the delay until the next round.
+ *
+ * @param wallMs - Wall-clock milliseconds. The clock may jump and differ between VMs; then the rounds of nodes are not aligned, which only costs wake-ups.
  * @param periodMs - Milliseconds between two rounds.
- * @returns Milliseconds until the next round: up to a quarter more than a period, once after a jump.
+ * @returns Milliseconds until the next round: a quarter of a period to one and a quarter periods.
  * @internal
  */
 export function computeRoundDelay(wallMs: number, periodMs: number): number {
--- a/src/lib/peers/peer-link.test.ts
+++ b/src/lib/peers/peer-link.test.ts
@@ -25,7 +25,7 @@
 	readonly handleReport?: () => void;
 };
 
-/** A link whose own heartbeats are so seldom that a test sees none but those it causes. */
+/** A link whose heartbeat period is so long that a test sees only the heartbeats that it triggers. */
 type StartedLink = PeerLink & {readonly node: NodeId; readonly address: ReturnType<typeof toAddress>};
 
 async function startLink(context: TestContext, name: string, {getState = () => 'ready', handleReport = () => undefined}: LinkChanges = {}): Promise<StartedLink> {
@@ -51,23 +51,23 @@
 	return {...link, node, address};
 }
 
-test('nodes that meet know one another, and a node that is asked for a report answers at once', async context => {
+test('nodes discover each other through a seed address, and a node answers a probe at once', async context => {
 	const first = await startLink(context, 'n1');
 	const second = await startLink(context, 'n2');
 	first.addSeedAddresses([second.address]);
-	await expectSoon('they know one another', () => first.table.get(second.node) !== undefined && second.table.get(first.node) !== undefined);
+	await expectSoon('both nodes are in each other\'s tables', () => first.table.get(second.node) !== undefined && second.table.get(first.node) !== undefined);
 	const before = first.table.get(second.node)!.report.sequence;
 	first.probe(second.node);
 	assert.notEqual(first.table.get(second.node)?.probedAt, undefined);
-	await expectSoon('a report comes', () => first.table.get(second.node)!.report.sequence > before);
+	await expectSoon('the probe is answered', () => first.table.get(second.node)!.report.sequence > before);
 	assert.equal(first.table.get(second.node)?.probedAt, undefined);
 });
 
-test('news that come up while a node ends are not sent, and are no fault', async context => {
+test('announcements, probes and seed addresses after dispose are ignored without an error', async context => {
 	const first = await startLink(context, 'n1');
 	const second = await startLink(context, 'n2');
 	first.addSeedAddresses([second.address]);
-	await expectSoon('the other is known', () => first.table.get(second.node) !== undefined);
+	await expectSoon('the other node is in the table', () => first.table.get(second.node) !== undefined);
 	first.dispose();
 	assert.doesNotThrow(() => {
 		first.announce();
@@ -77,11 +77,11 @@
 	});
 });
 
-test('in a large mesh everybody hears at once that a server takes no work any more, and a bounded number that it does', async context => {
+test('in a large mesh all nodes are notified at once that a server drains, and a bounded number that it is ready', async context => {
 	const nodes = 120;
 	let state: ServerState = 'ready';
 	const link = await startLink(context, 'n1', {getState: () => state});
-	// One socket stands for all the others.
+	// One socket receives the datagrams for all other nodes.
 	const others = createSocket('udp4');
 	context.after(() => others.close());
 	let heard = 0;
@@ -93,29 +93,29 @@
 		others.bind(0, host, resolve);
 	});
 	const gossip = toAddress(`${host}:${others.address().port}`);
-	for (let place = 0; place < nodes; place++) {
-		others.send(encodeReport(createSampleReport({node: toNodeId(`o${place}`), domain: toFailureDomain(place < 40 ? 'a' : 'b'), gossip})), parseAddress(link.address).port, host);
+	for (let index = 0; index < nodes; index++) {
+		others.send(encodeReport(createSampleReport({node: toNodeId(`o${index}`), domain: toFailureDomain(index < 40 ? 'a' : 'b'), gossip})), parseAddress(link.address).port, host);
 	}
 
-	await expectSoon('each is answered', () => heard === nodes);
+	await expectSoon('each new node is answered', () => heard === nodes);
 	link.announce();
-	await expectSoon('80 are told that it is ready', () => heard === nodes + 80);
+	await expectSoon('80 nodes are notified that it is ready', () => heard === nodes + 80);
 	state = 'draining';
 	link.announce();
-	await expectSoon('all are told that it drains', () => heard === nodes + 80 + nodes);
+	await expectSoon('all nodes are notified that it drains', () => heard === nodes + 80 + nodes);
 });
 
-test('a fault in what a report leads to does not end the node', async context => {
+test('an error thrown by the handler of a report does not end the node', async context => {
 	let heard = 0;
 	const first = await startLink(context, 'n1', {
 		handleReport() {
 			heard++;
-			throw new Error('a fault');
+			throw new Error('handler failed');
 		},
 	});
 	const second = await startLink(context, 'n2');
 	second.addSeedAddresses([first.address]);
-	await expectSoon('a report was heard', () => heard > 0);
+	await expectSoon('a report is received', () => heard > 0);
 	second.announce();
-	await expectSoon('another one is heard', () => heard > 1);
+	await expectSoon('another report is received', () => heard > 1);
 });
--- a/src/lib/peers/peer-link.ts
+++ b/src/lib/peers/peer-link.ts
@@ -1,5 +1,5 @@
 /**
- * Sends and takes heartbeats over UDP.
+ * Sends and receives heartbeats over UDP.
  *
  * @module
  */
@@ -32,74 +32,77 @@
 /** @internal */
 export type PeerLinkContext = {
 	readonly settings: PeerLinkSettings;
-	/** Describes this node as it is now. */
+	/** Returns the current report of this node. */
 	readonly describeSelf: (sequence: number) => Omit<PeerReport, 'periods' | 'isProbe'>;
-	/** Whether others rely on this node to watch the store. */
+	/** Whether other nodes rely on this node to watch the store. */
 	readonly isFollowing: () => boolean;
 	readonly log: MeshLog;
 	readonly refusals: Refusals;
 	readonly random: () => number;
-	/** Told of each report that was heard. */
+	/** Called with each report that is not refused, also if it changed nothing. */
 	readonly handleReport: (report: PeerReport, news: PeerChange) => void;
-	/** Told of each round of heartbeats before it is sent, and by how many milliseconds it is late. */
+	/** Called before each round of heartbeats, with the delay of its timer in milliseconds. */
 	readonly handleRound: (lateMs: number) => void;
 };
 
-/** What is known of the other nodes, for others to read. @internal */
+/** Read-only view of the table of the other nodes. @internal */
 export type PeerTableView = Pick<PeerTable, 'size' | 'get' | 'hasGossipAddress' | 'list' | 'countDomains' | 'listOwnDomain' | 'listService' | 'findByGate'>;
 
 /** @internal */
 export type PeerLink = {
 	readonly start: () => Promise<void>;
 	readonly table: PeerTableView;
-	/** Adds addresses at which other nodes may listen. */
+	/** Sends heartbeats to addresses at which other nodes may listen, until a node is known there or the attempts are used up. */
 	readonly addSeedAddresses: (addresses: readonly Address[]) => void;
-	/** Tells everybody at once of a server that takes no work any more; of one that does, a bounded number. */
+	/** Sends a report at once: to all nodes if the server takes no more requests, to a bounded number if it is ready. */
 	readonly announce: () => void;
-	/** Tells the nodes of the own failure domain at once. */
+	/** Sends a report at once to the nodes of the own failure domain. */
 	readonly announceToDomain: () => void;
-	/** Tells everybody at once of what must not wait for the next heartbeat. */
+	/** Sends a report at once to all nodes, for changes that must not wait for the next heartbeat. */
 	readonly announceToAll: () => void;
-	/** Asks a node for a report, for requests wait for it. */
+	/** Requests a report from a node, because requests wait for it. */
 	readonly probe: (node: NodeId) => void;
-	/** Nodes that have fallen silent, as far as their turns have come; one that is gone is forgotten after a while. */
+	/** Returns the number of silent nodes. A node counts once its turn in the rotation found it silent, until it is heard or forgotten. */
 	readonly countSilent: () => number;
+	/** Records that a node could not be reached. */
 	readonly noteUnreachable: (node: NodeId) => void;
+	/** Records that a node answered a request. */
 	readonly noteReached: (node: NodeId) => void;
-	/** This node stood still for so long: the others are given that time. Milliseconds. */
+	/** Records that this node was paused for so many milliseconds, so that the pause does not count as silence of the other nodes. */
 	readonly recordPause: (pausedMs: number) => void;
 	readonly dispose: () => void;
 };
 
-/** Rounds, of those in which mere addresses get a heartbeat as silent nodes do, for which an address that never answered is tried. */
+/** The number of heartbeats that a seed address gets if no node answers there; sent every `silentNodeRounds` rounds, as to silent nodes. */
 const seedAttemptCount = 60;
 
-/** Nodes that are held at the most: several times the largest mesh, some ten megabytes. More come from whoever makes up names. */
+/** The maximum number of nodes in the table: several times the largest mesh, about ten megabytes. More node names are invented by a sender. */
 const maximumPeerCount = 4000;
 
-/** A node that asks again within so many milliseconds is not answered again: nodes ask every 200. */
+/** The shortest interval between two answered probes of one node. Nodes probe every 200 milliseconds. */
 const minimumProbeIntervalMs = 50;
 
-/** Answers to newcomers and to those who ask, over all nodes: a mesh that starts at once makes one for each node, and later a few a second. */
+/** Rate limit of answers to new nodes and to probes, over all nodes. A mesh that starts at once needs one answer per node, and later a few per second. */
 const answerRateLimit = {perSecond: 500, burst: 2000} as const;
 
 type Lookup = NonNullable<SocketOptions['lookup']>;
 
 /**
- * Addresses are IP numbers. The runtime's own lookup yields them in a later turn all the same, which costs several times what a datagram does.
+ * Returns an address as it is, since all addresses are numeric. The lookup of Node.js would return it in a later turn of the
+ * event loop, which costs several times as much as sending the datagram.
  */
 const resolveNumericAddress: Lookup = (host, _options, handleFound) => {
 	handleFound(null, host, 4);
 };
 
-/** What is wrong with a datagram. */
+/** Why a datagram is refused. */
 type HeartbeatProblem = Pick<Refusal, 'cause' | 'reason'>;
 
 /**
- * Creates the link.
+ * Creates the link. It sends and receives nothing before `start`.
  *
- * @param context - Settings and what it is told.
- * @returns The link, not listening yet.
+ * @param context - Settings and callbacks.
+ * @returns The link.
  * @internal
  */
 export function createPeerLink(context: PeerLinkContext): PeerLink {
@@ -110,14 +113,14 @@
 	let sequence = 0;
 	let round = 0;
 	let timer: NodeJS.Timeout | undefined;
-	/** When the next round has to begin, in steady milliseconds. */
+	/** When the next round is due, in steady milliseconds. */
 	let nextRoundAt = 0;
 	let answers = createTokenBucket(answerRateLimit, readSteadyMs());
-	/** When a question of each node was last answered, in steady milliseconds. */
+	/** When a probe of each node was last answered, in steady milliseconds. */
 	const answeredAt = new WeakMap<Peer, number>();
 	let isClosed = false;
 
-	/** Sends without asking what became of it: a datagram may be lost on its way just as well. */
+	/** Sends a datagram and ignores errors, since datagrams may be lost in any case. */
 	const sendWithoutCallback = (bytes: Uint8Array, address: Address): void => {
 		if (!isClosed) {
 			const {host, port} = parseAddress(address);
@@ -138,7 +141,7 @@
 		});
 	};
 
-	/** Sends to many. A link that is down fails all alike, so the first one tells. */
+	/** Sends a datagram to several addresses. Errors are logged for the first one only, because a network that is down fails all of them. */
 	const sendToAll = (bytes: Uint8Array, addresses: readonly Address[]): void => {
 		for (const [index, address] of addresses.entries()) {
 			if (index === 0) {
@@ -199,8 +202,8 @@
 	};
 
 	/**
-	 * Sends the heartbeats of a round. A node is looked at for its silence when its turn comes, so that a round costs what it sends
-	 * and not what the mesh holds.
+	 * Sends the heartbeats of a round. Whether a node is silent is checked when its turn comes, so that the cost of a round depends
+	 * on the heartbeats sent, not on the size of the mesh.
 	 */
 	const sendHeartbeats = (now: number): void => {
 		const {ownDomain, otherDomain} = plan();
@@ -260,17 +263,17 @@
 		refusals.note({kind: 'heartbeat-refused', place: `${address}:${port}`, ...problem});
 	};
 
-	/** Why a report that can be read is refused. */
+	/** Returns why a decoded report is refused, or `undefined` if it is accepted. */
 	const checkReport = (report: PeerReport): HeartbeatProblem | undefined => {
 		if (report.node === settings.node) {
-			return {cause: 'own-name', reason: `node: found ${report.node}, which is this node; give each node a name of its own`};
+			return {cause: 'own-name', reason: `node: found ${report.node}, must be a name other than that of this node; node names must be unique`};
 		}
 
 		const isNew = table.get(report.node) === undefined;
-		return isNew && table.size >= maximumPeerCount ? {cause: 'flood', reason: `node: found a new one beside ${maximumPeerCount} others, more than any mesh has`} : undefined;
+		return isNew && table.size >= maximumPeerCount ? {cause: 'flood', reason: `node: found a new name, must be one of the ${maximumPeerCount} known ones: the peer table is full`} : undefined;
 	};
 
-	/** Whether a node that asks is answered; one that asks faster than any node does is answered as often as a node would be. */
+	/** Limits the rate of answers to the probes of one node. Returns whether to answer this one. */
 	const admitProbe = (node: NodeId, now: number): boolean => {
 		const peer = table.get(node);
 		if (peer === undefined || now - (answeredAt.get(peer) ?? Number.NEGATIVE_INFINITY) < minimumProbeIntervalMs) {
@@ -281,7 +284,7 @@
 		return true;
 	};
 
-	/** Whether a report is answered by one of this node at once. */
+	/** Returns whether this node answers a report with its own at once. Takes a token of the rate limit if so. */
 	const mayAnswer = ({node, isProbe}: PeerReport, news: PeerChange): boolean => {
 		const now = readSteadyMs();
 		const isNew = news === 'joined' || news === 'restarted';
@@ -315,7 +318,7 @@
 		const news = table.acceptReport(report, readSteadyMs());
 		if (news !== 'none') {
 			silentNodes.delete(report.node);
-			// A node that only has another version is one of the many that follow a change.
+			// A change of the configuration changes the version on every node, so these lines are logged at debug level only.
 			log.record(news === 'version' ? 'debug' : 'info', {
 				kind: 'peer-seen', peer: report.node, news, version: report.version, isLeaving: report.isLeaving,
 				server: report.server?.lifetime.id, service: report.server?.service, state: report.server?.state,
@@ -323,14 +326,14 @@
 		}
 
 		if (mayAnswer(report, news)) {
-			// A newcomer knows nobody, and whoever asks has requests that wait: neither should have to wait for the next period.
+			// A new node knows no other nodes, and a node that probes has waiting requests: neither should wait for the next period.
 			send(encodeSelf(), report.gossip);
 		}
 
 		handleReport(report, news);
 	};
 
-	/** What nobody foresaw in a datagram must not end the node. */
+	/** Catches unexpected errors, so that a datagram can't end the process. */
 	const handleSafely = (bytes: Uint8Array, sender: RemoteInfo): void => {
 		try {
 			handleMessage(bytes, sender);
--- a/src/lib/peers/peer-report.test.ts
+++ b/src/lib/peers/peer-report.test.ts
@@ -5,16 +5,16 @@
 import {decodeReport, encodeReport} from './peer-report.js';
 import {createSampleReport} from './sample-report.js';
 
-/** The same verdict each run. */
+/** Fixed seed, so that each run tests the same inputs. */
 const seed = 20_260;
 
-const encodeChanged = (place: number, value: unknown): string => {
+const encodeChanged = (position: number, value: unknown): string => {
 	const fields = JSON.parse(encodeReport(createSampleReport())) as unknown[];
-	fields[place] = value;
+	fields[position] = value;
 	return JSON.stringify(fields);
 };
 
-test('a report survives its way over the wire', () => {
+test('a decoded report equals the encoded one', () => {
 	assert.deepEqual(decodeReport(encodeReport(createSampleReport()))._unsafeUnwrap(), createSampleReport());
 	const bare = createSampleReport({
 		server: undefined, isLeaving: true, isProbe: true, duties: {
@@ -24,12 +24,12 @@
 	assert.deepEqual(decodeReport(encodeReport(bare))._unsafeUnwrap(), bare);
 });
 
-test('fields that a later program adds are passed over', () => {
+test('fields that a later program adds are ignored', () => {
 	const later = JSON.stringify([...JSON.parse(encodeReport(createSampleReport())) as unknown[], {more: 1}]);
 	assert.deepEqual(decodeReport(later)._unsafeUnwrap(), createSampleReport());
 });
 
-const places: ReadonlyArray<readonly [number, string, readonly unknown[]]> = [
+const invalidFields: ReadonlyArray<readonly [number, string, readonly unknown[]]> = [
 	[0, 'node', [null, '', 5, [], 'x'.repeat(300)]],
 	[1, 'run', [null, '', 5]],
 	[2, 'sequence', [null, '1', -1, 0.5, 1e300]],
@@ -50,29 +50,29 @@
 	[11, 'isProbe', [null, true]],
 ];
 
-for (const [place, name, values] of places) {
-	test(`a report whose ${name} cannot be used is refused, with what was found and what is allowed`, () => {
+for (const [position, name, values] of invalidFields) {
+	test(`a report with an invalid ${name} is refused, with the value found and the value expected`, () => {
 		for (const value of values) {
-			const decoded = decodeReport(encodeChanged(place, value));
+			const decoded = decodeReport(encodeChanged(position, value));
 			assert.ok(decoded.isErr(), JSON.stringify(value));
 			assert.ok(decoded.error.startsWith(`${name}: found `) && decoded.error.includes(', must be '), decoded.error);
 		}
 	});
 }
 
-test('a report whose server cannot be read is refused whole', () => {
+test('a report with a malformed server is refused as a whole', () => {
 	const encoded = JSON.parse(encodeReport(createSampleReport())) as unknown[];
 	const server = encoded[8] as unknown[];
-	for (const [place, value] of [[0, ''], [0, 1], [3, 7], [3, 'ready'], [3, -1], [9, 1.5], [9, '5'], [9, undefined], [9, -1], [2, '4']] as const) {
-		const changed = encoded.with(8, server.with(place, value));
-		assert.match(decodeReport(JSON.stringify(changed))._unsafeUnwrapErr(), /^server: found/, `${place}: ${value}`);
+	for (const [position, value] of [[0, ''], [0, 1], [3, 7], [3, 'ready'], [3, -1], [9, 1.5], [9, '5'], [9, undefined], [9, -1], [2, '4']] as const) {
+		const changed = encoded.with(8, server.with(position, value));
+		assert.match(decodeReport(JSON.stringify(changed))._unsafeUnwrapErr(), /^server: found/, `${position}: ${value}`);
 	}
 });
 
-test('property: whatever arrives as a datagram is a report with addresses that can be used, or is refused', () => {
-	const sound = encodeReport(createSampleReport());
-	const changed = fc.tuple(fc.nat(sound.length), fc.nat(3), fc.string()).map(([place, length, text]) => sound.slice(0, place) + text + sound.slice(place + length));
-	const swapped = fc.tuple(fc.nat(12), fc.jsonValue()).map(([place, value]) => encodeChanged(place, value));
+test('property: any datagram decodes to a report with reachable addresses, or is refused', () => {
+	const valid = encodeReport(createSampleReport());
+	const changed = fc.tuple(fc.nat(valid.length), fc.nat(3), fc.string()).map(([position, length, text]) => valid.slice(0, position) + text + valid.slice(position + length));
+	const swapped = fc.tuple(fc.nat(12), fc.jsonValue()).map(([position, value]) => encodeChanged(position, value));
 	fc.assert(fc.property(fc.oneof(fc.string(), fc.json(), changed, swapped), text => {
 		const decoded = decodeReport(text);
 		if (decoded.isOk()) {
--- a/src/lib/peers/peer-report.ts
+++ b/src/lib/peers/peer-report.ts
@@ -1,5 +1,6 @@
 /**
- * What a node tells the other nodes of itself, several times a second.
+ * The report that a node sends to the other nodes in each heartbeat, and its
+ * encoding.
  *
  * @module
  */
@@ -16,73 +17,73 @@
 import {type StoreEra} from '../store/store-position.js';
 import {decodeSuspect, encodeSuspect, type SuspectRecord} from '../quarantine/suspect-record.js';
 
-/** Whether a backend server takes work. @internal */
+/** Whether a backend server takes requests. @internal */
 export type ServerState = 'ready' | 'draining' | 'down';
 
-/** A backend server as the node beside it sees it. @internal */
+/** The state of a backend server, reported by the node beside it. @internal */
 export type ServerReport = {
 	readonly lifetime: ServerLifetime;
 	readonly service: string;
 	readonly slots: number;
 	readonly state: ServerState;
-	/** Milliseconds for which it stays slow after its start. */
+	/** Milliseconds after its start for which the server stays slow. */
 	readonly coldMs: number;
 	readonly running: number;
 	readonly waiting: number;
-	/** Average milliseconds that a request takes there; 0 if nothing is known. */
+	/** Average service time of its requests in milliseconds; 0 if unknown. */
 	readonly serviceMs: number;
-	/** Share of the latest requests that failed there, 0 to 1. */
+	/** Share of its latest requests that failed, 0 to 1. */
 	readonly failureShare: number;
 };
 
-/** One heartbeat. @internal */
+/** The content of one heartbeat. @internal */
 export type PeerReport = {
 	readonly node: NodeId;
-	/** Drawn at random at each start, so that a restarted node is told from its earlier run. */
+	/** Random at each start of the node, so that a restarted node is distinguished from its previous run. */
 	readonly run: string;
-	/** Grows within a run; a late datagram is recognised by it. */
+	/** Increases within a run, so that a late datagram is recognised. */
 	readonly sequence: number;
 	readonly domain: FailureDomain;
-	/** Where it takes requests for its backend server. */
+	/** Address at which it accepts requests for its backend server. */
 	readonly gate: Address;
-	/** Where it takes heartbeats. */
+	/** Address at which it receives heartbeats. */
 	readonly gossip: Address;
-	/** The configuration in force there; 0 for none. */
+	/** Version of its active configuration; 0 for none. */
 	readonly version: number;
-	/** It is shutting down and takes no more requests from other nodes. */
+	/** Whether it is shutting down and accepts no more requests from other nodes. */
 	readonly isLeaving: boolean;
 	readonly server: ServerReport | undefined;
 	readonly duties: NodeDuties;
 	readonly periods: HeartbeatPeriods;
-	/** It wants a report in return at once. */
+	/** Whether it requests a report in return at once. */
 	readonly isProbe: boolean;
-	/** Requests that were in work when servers crashed, a bounded part of those that it knows of. */
+	/** Requests that were running when servers crashed; a bounded part of those that it knows. */
 	readonly suspects: readonly SuspectRecord[];
 };
 
-/** What a node can do, and does, for the others of its failure domain. @internal */
+/** What a node can do, and does, for the other nodes of its failure domain. @internal */
 export type NodeDuties = {
-	/** Megabits a second of its VM's link. */
+	/** Megabits per second of the network link of its VM. */
 	readonly linkMbps: number;
-	/** Whether it watches the store for the others. */
+	/** Whether it watches the store for the other nodes. */
 	readonly isFollowing: boolean;
 	/** Milliseconds since the store last answered it; `undefined` if its last call failed. */
 	readonly storeSeenMs: number | undefined;
-	/** How often the store has come back from a copy, as it last said; 0 if nothing is known. */
+	/** How often the store was restored from a backup, as the store last reported; 0 if unknown. */
 	readonly storeEra: StoreEra;
 };
 
-/** Milliseconds between its heartbeats to one node. @internal */
+/** Milliseconds between a node's heartbeats to one other node. @internal */
 export type HeartbeatPeriods = {
 	/** To each node of its own failure domain. */
 	readonly ownDomainMs: number;
-	/** To each node of another one. */
+	/** To each node of another failure domain. */
 	readonly otherDomainMs: number;
 };
 
 const states: readonly ServerState[] = ['ready', 'draining', 'down'];
 
-/** Thousandths are enough for a share, and shorter on the wire. */
+/** Shares are encoded in thousandths, which is precise enough and short on the wire. */
 const unitsPerShare = 1000;
 
 function encodeServer(server: ServerReport): readonly unknown[] {
@@ -100,7 +101,7 @@
 	];
 }
 
-/** Stands for a store whose last call failed. */
+/** Encodes an undefined `storeSeenMs`: the last call to the store failed. */
 const storeUnreachableMark = -1;
 
 function encodeDuties({linkMbps, isFollowing, storeSeenMs, storeEra}: NodeDuties): readonly number[] {
@@ -108,7 +109,7 @@
 }
 
 /**
- * Encodes a report as a JSON list: the names of its fields would be half of a datagram.
+ * Encodes a report as a JSON list without field names, which would take half of the datagram.
  *
  * @param report - The report.
  * @returns The text of one datagram.
@@ -135,10 +136,10 @@
 const isText = (value: unknown): value is string => typeof value === 'string';
 const isCount = (value: unknown): value is number => typeof value === 'number' && Number.isFinite(value) && value >= 0;
 
-/** Whole numbers tell lifetimes apart exactly; any other would be rounded on its way. */
+/** Start times are safe integers, so that lifetimes compare exactly; other numbers could be rounded in transit. */
 const isTime = (value: unknown): value is number => Number.isSafeInteger(value) && (value as number) >= 0;
 
-/** Decodes the server of a report. One that cannot be read names no server to use. */
+/** Decodes the server of a report. Returns `undefined` if it is malformed. */
 function decodeServer(value: unknown): ServerReport | undefined {
 	if (!Array.isArray(value)) {
 		return undefined;
@@ -157,13 +158,13 @@
 	};
 }
 
-/** The longest time that a node may name, and the fastest link: more is no measurement. Milliseconds, megabits a second. */
+/** The highest accepted number for a time in milliseconds or a link speed in megabits per second. */
 const maximumAmount = Number.MAX_SAFE_INTEGER;
 
-/** The longest time between two heartbeats that a node may name. Milliseconds: a node that is silent for as long is forgotten. */
+/** The longest accepted interval between two heartbeats: a node that is silent for this time is forgotten. */
 const maximumPeriodMs = 60_000;
 
-/** A node without a server says so by 0. What cannot be read must not make the server that is known of the node disappear. */
+/** Reads the server of a report; 0 stands for none. A malformed server refuses the whole report, so that it can't remove the known server of the node. */
 function readServer(value: unknown): ServerReport | undefined {
 	if (value === 0) {
 		return undefined;
@@ -171,7 +172,7 @@
 
 	const server = decodeServer(value);
 	if (server === undefined) {
-		throw new FieldError('server', value, '0 for none, or a backend server with each of its fields');
+		throw new FieldError('server', value, '0 for none, or a list of all fields of a backend server');
 	}
 
 	return server;
@@ -218,10 +219,10 @@
 }
 
 /**
- * Decodes a datagram. Fields behind those that are known are passed over.
+ * Decodes a datagram. Additional fields at the end of the list are ignored.
  *
- * @param text - Text that came over the network.
- * @returns The report; or the field that cannot be used, what was found there and what is allowed.
+ * @param text - The text of the datagram.
+ * @returns The report; or an error text with the invalid field, the value found and the value expected.
  * @internal
  */
 export function decodeReport(text: string): Result<PeerReport, string> {
--- a/src/lib/peers/peer-table.test.ts
+++ b/src/lib/peers/peer-table.test.ts
@@ -13,14 +13,14 @@
 };
 const n2 = toNodeId('n2');
 
-/** Heartbeats of which two and more fit into the time of silence. */
+/** Heartbeat periods of which more than two fit into `silenceMs`. */
 const frequentPeriods = {ownDomainMs: 300, otherDomainMs: 300};
 
 const createTable = (): PeerTable => createPeerTable(toFailureDomain('a'), limits);
 
 const acceptReport = (table: PeerTable, report: PeerReport, now: number) => table.acceptReport({...report, periods: frequentPeriods}, now);
 
-test('late and repeated reports change nothing', () => {
+test('late and repeated reports are ignored', () => {
 	const table = createTable();
 	acceptReport(table, createSampleReport({sequence: 5, version: 4}), 100);
 	assert.equal(acceptReport(table, createSampleReport({sequence: 4, version: 3}), 900), 'none');
@@ -29,7 +29,7 @@
 	assert.equal(acceptReport(table, createSampleReport({sequence: 5}), 900), 'none');
 });
 
-test('a restarted node is told from its earlier run, whose late reports are ignored', () => {
+test('a restarted node is distinguished from its earlier run, whose late reports are ignored', () => {
 	const table = createTable();
 	acceptReport(table, createSampleReport({sequence: 50}), 0);
 	assert.equal(acceptReport(table, createSampleReport({run: 'r2', sequence: 1}), 100), 'restarted');
@@ -46,34 +46,34 @@
 	assert.equal(isReachable(table.get(n2)!, limits, 5001), true);
 });
 
-test('a node whose heartbeats come less often is given longer, until it leaves a question unanswered', () => {
+test('a node with a longer heartbeat period counts as silent later, unless it does not answer a probe in time', () => {
 	const seldom = createSampleReport({periods: {ownDomainMs: 400, otherDomainMs: 2000}});
 	const table = createTable();
 	table.acceptReport(seldom, 0);
 	assert.equal(isHeard(table.get(n2)!, limits, 5200), true);
 	assert.equal(isHeard(table.get(n2)!, limits, 5201), false);
 	table.noteProbed(n2, 1500);
-	// A second question does not give it more time.
+	// A second probe does not extend the time to answer.
 	table.noteProbed(n2, 2000);
 	assert.equal(isHeard(table.get(n2)!, limits, 2150), true);
 	assert.equal(isHeard(table.get(n2)!, limits, 2151), false);
 	assert.equal(table.acceptReport({...seldom, sequence: 2}, 2200), 'returned');
 	assert.equal(isHeard(table.get(n2)!, limits, 7000), true);
-	// A pause of this node is no silence of the other.
+	// A pause of this node does not count as silence of the other.
 	table.noteProbed(n2, 2300);
 	table.recordPause(3000);
 	assert.equal(isHeard(table.get(n2)!, limits, 5900), true);
 	assert.equal(isHeard(table.get(n2)!, limits, 5951), false);
 });
 
-test('a report in which only the version differs is told from one in which the server does', () => {
+test('a report that differs only in the version is distinguished from one that differs in the server', () => {
 	const table = createTable();
 	acceptReport(table, createSampleReport(), 0);
 	assert.equal(acceptReport(table, createSampleReport({sequence: 2, version: 9}), 100), 'version');
 	assert.equal(acceptReport(table, createSampleReport({sequence: 3, version: 9, server: undefined}), 100), 'changed');
 });
 
-test('a node that is heard but cannot be reached is avoided for longer each time', () => {
+test('a node that is heard but cannot be reached is avoided with an exponential backoff', () => {
 	const table = createTable();
 	acceptReport(table, createSampleReport(), 0);
 	table.noteUnreachable(n2, 0);
@@ -81,7 +81,7 @@
 	assert.equal(isReachable(table.get(n2)!, limits, 250), true);
 	table.noteUnreachable(n2, 250);
 	assert.equal(table.get(n2)?.avoidUntil, 750);
-	// Several requests fail at once: that is one failure.
+	// Several requests that fail at the same time count as one failure.
 	table.noteUnreachable(n2, 251);
 	assert.equal(table.get(n2)?.avoidUntil, 750);
 	assert.equal(table.get(n2)?.consecutiveFailures, 2);
@@ -91,7 +91,7 @@
 	assert.equal(table.get(n2)?.avoidUntil, 550);
 });
 
-test('a node that stood still does not take the others for silent', () => {
+test('after a pause of this node, other nodes do not count as silent', () => {
 	const table = createTable();
 	acceptReport(table, createSampleReport(), 0);
 	assert.equal(isReachable(table.get(n2)!, limits, 4100), false);
@@ -99,19 +99,19 @@
 	assert.equal(isReachable(table.get(n2)!, limits, 4100), true);
 });
 
-test('an answer to a request is a sign of life, also of a node that has left a question unanswered', () => {
+test('an answer to a request counts as heard, also from a node that did not answer a probe', () => {
 	const table = createTable();
 	acceptReport(table, createSampleReport(), 0);
 	table.noteProbed(n2, 600);
 	assert.equal(isHeard(table.get(n2)!, limits, 1251), false);
 	table.noteReached(n2, 1300);
-	// What it last reported is as old as before.
+	// The answer carries no report, so `reportedAt` stays.
 	assert.equal(table.get(n2)?.reportedAt, 0);
 	assert.equal(isHeard(table.get(n2)!, limits, 2200), true);
 	assert.equal(isHeard(table.get(n2)!, limits, 2201), false);
 });
 
-test('a node that leaves gets no requests; one that was silent for long is forgotten', () => {
+test('a node that leaves gets no requests, and a node that is silent for long is forgotten', () => {
 	const table = createTable();
 	acceptReport(table, createSampleReport({isLeaving: true}), 0);
 	assert.equal(isReachable(table.get(n2)!, limits, 1), false);
@@ -122,7 +122,7 @@
 	assert.equal(table.hasGossipAddress(createSampleReport().gossip), false);
 });
 
-test('an address that a newer node has taken over stays its own when the older one is forgotten', () => {
+test('an address that a newer node reuses still belongs to it after the older node is forgotten', () => {
 	const table = createTable();
 	acceptReport(table, createSampleReport({node: toNodeId('old')}), 0);
 	acceptReport(table, createSampleReport({node: toNodeId('new')}), 30_000);
@@ -131,7 +131,7 @@
 	assert.equal(table.hasGossipAddress(createSampleReport().gossip), true);
 });
 
-test('property: in whatever order and how often reports arrive, the newest of each run stands', () => {
+test('property: in any order and with any repetition of reports, the newest report of each run remains', () => {
 	const report = fc.record({run: fc.constantFrom('r1', 'r2'), sequence: fc.integer({min: 1, max: 9}), version: fc.integer({min: 0, max: 9})});
 	fc.assert(fc.property(fc.array(report, {maxLength: 30}), reports => {
 		const table = createTable();
@@ -160,7 +160,7 @@
 
 const listStarts = (table: PeerTable): readonly unknown[] => table.listService('logview').ownDomain.map(({report}) => `${report.node} ${report.server?.lifetime.startedAt}`);
 
-test('a later lifetime beside another node replaces the earlier one, of which nothing is heard any more', () => {
+test('a later lifetime beside another node replaces the earlier one, whose further reports are ignored', () => {
 	const table = createTable();
 	acceptReport(table, reportServer('n2', 1000), 0);
 	assert.equal(acceptReport(table, reportServer('n3', 2000), 100), 'joined');
@@ -168,12 +168,12 @@
 	acceptReport(table, reportServer('n2', 1000, {sequence: 2}), 200);
 	assert.deepEqual(listStarts(table), ['n3 2000']);
 	assert.equal(table.get(n2)?.report.server, undefined);
-	// The node beside the later one falls silent: what the other one goes on saying is all there is.
+	// The node beside the later lifetime is silent now, so reports of the earlier one are accepted again.
 	acceptReport(table, reportServer('n2', 1000, {sequence: 3}), 5000);
 	assert.deepEqual(listStarts(table), ['n3 2000', 'n2 1000']);
 });
 
-test('one node tells its own server\'s lifetimes in order, whatever their starts say', () => {
+test('lifetimes reported by one node are applied in order, regardless of their start times', () => {
 	const table = createTable();
 	acceptReport(table, reportServer('n2', 2000), 0);
 	assert.equal(acceptReport(table, reportServer('n2', 1000, {sequence: 2}), 100), 'changed');
@@ -182,7 +182,7 @@
 	assert.deepEqual(listStarts(table), ['n2 1000']);
 });
 
-test('property: whatever is heard and forgotten, the lists by service and failure domain hold what a walk over all nodes finds', () => {
+test('property: after any reports and removals, the lists by service and failure domain match a scan over all nodes', () => {
 	const server = createSampleReport().server!;
 	const change = fc.record({
 		node: fc.integer({min: 0, max: 5}), domain: fc.constantFrom('a', 'b'), service: fc.constantFrom('x', 'y', undefined), gate: fc.integer({min: 1, max: 8}), isLate: fc.boolean(),
--- a/src/lib/peers/peer-table.ts
+++ b/src/lib/peers/peer-table.ts
@@ -1,7 +1,7 @@
 /**
- * What a node knows of the others: their newest reports, how long ago each was
- * heard, and which of them could not be reached. The decision part of
- * membership; time is handed in.
+ * The membership table of a node: the newest report of each other node, when it
+ * was last heard, and whether it could be reached. The table has no timers; the
+ * caller passes the time.
  *
  * @module
  */
@@ -16,96 +16,98 @@
 	readonly report: PeerReport;
 	/** When its last report arrived, in steady milliseconds. */
 	readonly reportedAt: number;
-	/** When it last gave a sign of life, a report or an answer to a request. Steady milliseconds. */
+	/** When it last sent a report or answered a request, in steady milliseconds. */
 	readonly heardAt: number;
 	/** Milliseconds between its heartbeats to this node. */
 	readonly periodMs: number;
-	/** When it was first asked for a report that has not come yet, in steady milliseconds. */
+	/** When the first probe that it has not answered yet was sent, in steady milliseconds; `undefined` if there is none. */
 	readonly probedAt: number | undefined;
-	/** It could not be reached; not to be chosen before this time. Steady milliseconds. */
+	/** When it may be chosen again after it could not be reached, in steady milliseconds. */
 	readonly avoidUntil: number;
-	/** Failures to reach it in a row. */
+	/** The number of consecutive failures to reach it. */
 	readonly consecutiveFailures: number;
-	/** Runs of the same node that a newer one has replaced: their late datagrams are ignored. */
+	/** Earlier runs of the node, whose late datagrams are ignored. */
 	readonly previousRuns: readonly string[];
 };
 
-/** Servers of one service beside other nodes, by where they stand. @internal */
+/** Nodes beside the servers of one service, by failure domain. @internal */
 export type ServicePeers = {
 	readonly ownDomain: readonly Peer[];
 	readonly otherDomains: readonly Peer[];
 };
 
 /**
- * The other nodes. One table is changed in place, so that a report costs the same in any mesh.
- * A `Peer` that was handed out shows later changes.
+ * The table of the other nodes. It is changed in place, so that the cost of a report does not depend on the size of the mesh.
+ * A `Peer` that the table returned reflects later changes.
  *
  * @internal
  */
 export type PeerTable = {
 	readonly size: number;
 	readonly get: (node: NodeId) => Peer | undefined;
-	/** All nodes, in the order in which they joined. */
+	/** Lists all nodes, in the order in which they joined. */
 	readonly list: () => Iterable<Peer>;
-	/** Failure domains in which nodes are known, the own one included. */
+	/** Counts the failure domains with known nodes, including the own one. */
 	readonly countDomains: () => number;
-	/** Nodes of the own failure domain. */
+	/** Lists the nodes of the own failure domain. */
 	readonly listOwnDomain: () => readonly Peer[];
-	/** Nodes of all other failure domains. */
+	/** Lists the nodes of all other failure domains. */
 	readonly listOtherDomains: () => readonly Peer[];
-	/** Nodes beside servers of a service, whatever the state of these; what a choice costs does not grow with the mesh. */
+	/** Lists the nodes beside the servers of a service, in any state. The cost does not grow with the mesh. */
 	readonly listService: (service: string) => ServicePeers;
-	/** The node that takes requests at an address. */
+	/** Finds the node that accepts requests at an address. */
 	readonly findByGate: (gate: Address) => Peer | undefined;
-	/** Whether a node takes heartbeats at an address. */
+	/** Returns whether a known node receives heartbeats at an address. */
 	readonly hasGossipAddress: (gossip: Address) => boolean;
-	/** Takes in a report. One that is late, repeated or of an earlier run changes nothing. */
+	/** Applies a report. A report that is late, repeated or from an earlier run is ignored. */
 	readonly acceptReport: (report: PeerReport, now: number) => PeerChange;
-	/** Notes that a node was asked for a report. A second question does not give it more time. */
+	/** Records that a probe was sent to a node. A second probe does not extend the time to answer. */
 	readonly noteProbed: (node: NodeId, now: number) => void;
-	/** Notes that a node could not be reached. Several requests that fail at once are one failure. */
+	/** Records that a node could not be reached. Several requests that fail at the same time count as one failure. */
 	readonly noteUnreachable: (node: NodeId, now: number) => void;
-	/** Notes that a node answered a request, which ends its failures in a row and is a sign of life as good as a report. */
+	/** Records that a node answered a request, which resets its consecutive failures and counts as heard, like a report. */
 	readonly noteReached: (node: NodeId, now: number) => void;
-	/** Forgives silence while this node itself stood still for so many milliseconds: nothing could be heard meanwhile. */
+	/** Records that this node was paused for so many milliseconds and could hear nothing: shifts the timestamps of all nodes by this time. */
 	readonly recordPause: (pausedMs: number) => void;
-	/** Drops nodes that have been silent for long, of all or of some; yields who was dropped. */
+	/** Drops the nodes that have been silent for longer than `forgetMs`, among all or the given ones; returns the dropped nodes. */
 	readonly dropSilent: (now: number, some?: Iterable<Peer>) => readonly NodeId[];
 };
 
-/** What a report changed. @internal */
+/** What a report changed in the table. @internal */
 export type PeerChange = 'none' | 'joined' | 'restarted' | 'returned' | 'changed'
-	/** Nothing but the version of its configuration. */
+	/** Only the version of the node's configuration. */
 	| 'version';
 
 /** @internal */
 export type PeerLimits = {
-	/** Milliseconds without a report after which a node is not chosen; longer for one whose heartbeats come less often. */
+	/** Milliseconds after which a node that is not heard counts as silent and is not chosen; longer for a node that sends heartbeats less often. */
 	readonly silenceMs: number;
-	/** Milliseconds that a node may take to answer when it is asked for a report. */
+	/** Milliseconds within which a node has to answer a probe. */
 	readonly probeMs: number;
-	/** Milliseconds between its heartbeats, as a node says in its report. */
+	/** Returns the milliseconds between a node's heartbeats to this node, from its report. */
 	readonly getPeriodMs: (report: PeerReport) => number;
-	/** Milliseconds without a report after which a node is forgotten. */
+	/** Milliseconds after which a node that is not heard is forgotten. */
 	readonly forgetMs: number;
-	/** Milliseconds for which a node that could not be reached is not chosen; doubles each time in a row. */
+	/** Backoff in milliseconds during which a node that could not be reached is not chosen; doubles with each consecutive failure. */
 	readonly avoidMs: number;
 };
 
-/** The longest time for which an unreachable node is not chosen, as a multiple of the first. */
+/** The longest backoff of an unreachable node, as a multiple of `avoidMs`. */
 const maximumBackoffFactor = 8;
 
-/** Old runs remembered for each node; a node that restarts more often within a datagram's life does not exist. */
+/** The number of earlier runs remembered for each node. No node restarts more often than this while a datagram is in transit. */
 const rememberedRunCount = 4;
 
-/** Heartbeats of a node that may be lost before it counts as silent, and a part of one for the way. */
+/** The number of heartbeat periods after which a node counts as silent: two lost heartbeats, and a part of a period for the transit time. */
 const silencePeriodCount = 2.6;
 
 /**
- * @param peer - A node.
- * @param limits - Limits of silence.
+ * Returns whether a node was heard recently and has no overdue probe.
+ *
+ * @param peer - The node.
+ * @param limits - The time limits of silence.
  * @param now - Steady milliseconds.
- * @returns Whether it was heard lately, and has not left a question unanswered.
+ * @returns Whether the node is heard, that is, not silent.
  * @internal
  */
 export function isHeard({heardAt, periodMs, probedAt}: Peer, {silenceMs, probeMs}: PeerLimits, now: number): boolean {
@@ -113,10 +115,12 @@
 }
 
 /**
- * @param peer - A node.
- * @param limits - Limits of silence.
+ * Returns whether requests may be sent to a node: it is heard, is not avoided after a failure, and is not leaving.
+ *
+ * @param peer - The node.
+ * @param limits - The time limits of silence.
  * @param now - Steady milliseconds.
- * @returns Whether a request may be sent there.
+ * @returns Whether a request may be sent to it.
  * @internal
  */
 export function isReachable(peer: Peer, limits: PeerLimits, now: number): boolean {
@@ -155,7 +159,7 @@
 	return previousRuns.includes(report.run) || (known.run === report.run && known.sequence >= report.sequence);
 }
 
-/** The nodes beside the servers of each service. */
+/** Index of the nodes by the service of their server. */
 type ServiceIndex = {
 	readonly add: (peer: MutablePeer) => void;
 	readonly remove: (peer: MutablePeer) => void;
@@ -200,11 +204,11 @@
 }
 
 /**
- * Creates the table.
+ * Creates an empty table.
  *
- * @param domain - Failure domain of this node.
- * @param limits - Limits of silence, and how long an unreachable node is avoided.
- * @returns A table of nobody.
+ * @param domain - The failure domain of this node.
+ * @param limits - The time limits of silence, and the backoff of unreachable nodes.
+ * @returns The table.
  * @internal
  */
 export function createPeerTable(domain: FailureDomain, limits: PeerLimits): PeerTable {
@@ -215,9 +219,9 @@
 	const otherDomains: MutablePeer[] = [];
 	const getDomainList = ({report}: MutablePeer): MutablePeer[] => report.domain === domain ? ownDomain : otherDomains;
 	const services = createServiceIndex(domain);
-	/** The node beside the newest lifetime that is known of each backend server. */
+	/** For each backend server id, the node beside its newest known lifetime. */
 	const newestByServer = new Map<BackendServerId, MutablePeer>();
-	/** Nodes of each failure domain, and this one. */
+	/** The number of nodes in each failure domain, including this node. */
 	const domainSizes = new Map<FailureDomain, number>([[domain, 1]]);
 
 	const changeDomainSize = (of: FailureDomain, change: number): void => {
@@ -243,9 +247,10 @@
 	};
 
 	/**
-	 * Takes no news of an earlier lifetime of a server from another node than the one beside the newest, and forgets the earlier
-	 * one when a later one is heard. What one node says in turn is in its own order: it knows whether the clock of its server went
-	 * back. So is what is said while the node beside the newest is silent or leaves.
+	 * Resolves reports of two nodes about lifetimes of the same server. Removes the server from a report of an earlier lifetime, and
+	 * drops the known earlier lifetime if a report of a later one arrives. Reports of a single node are applied in their order,
+	 * because the node knows whether the clock of its server went back. An earlier lifetime is also accepted while the node beside
+	 * the newest one is silent or leaving.
 	 */
 	const dropEarlierServer = (report: PeerReport, now: number): PeerReport => {
 		const {server} = report;
@@ -289,7 +294,7 @@
 
 	const removeFromIndices = (peer: MutablePeer): void => {
 		const {gate, gossip} = peer.report;
-		// A node that took over the address of one that is gone stays there.
+		// Another node may use the address by now; its entry stays.
 		if (byGate.get(gate) === peer) {
 			byGate.delete(gate);
 		}
--- a/src/lib/peers/sample-report.ts
+++ b/src/lib/peers/sample-report.ts
@@ -1,5 +1,5 @@
 /**
- * A node's report for tests.
+ * A sample report for tests.
  *
  * @module
  */
@@ -9,8 +9,10 @@
 import {type PeerReport} from './peer-report.js';
 
 /**
- * @param changes - What differs from a usual report.
- * @returns The report of a node `n2` with a server that is ready.
+ * Creates the report of a node `n2` with a server that is ready.
+ *
+ * @param changes - Fields that differ from the sample.
+ * @returns The report.
  * @internal
  */
 export function createSampleReport(changes: Partial<PeerReport> = {}): PeerReport {
