--- a/src/lib/admission/gate.ts
+++ b/src/lib/admission/gate.ts
@@ -1,7 +1,6 @@
 /**
- * The gate before one backend server: holds the slots, lets requests wait, and
- * turns away what cannot be worked on in time. A request that it turned away
- * has not run.
+ * The gate of one backend server: grants slots, queues requests, and refuses
+ * requests that cannot start in time. A refused request was not executed.
  *
  * @module
  */
@@ -14,19 +13,19 @@
 	type GateState, type WaitingRequest,
 } from './gate-state.js';
 
-/** Why a request was turned away. It has not run. @public */
+/** Why a request was refused. It was not executed. @public */
 export type GateRefusal = {
 	readonly type: 'shed' | 'draining' | 'cancelled';
 	readonly retryAfterMs: number;
 };
 
-/** A slot in use; to be given back exactly once, more often is harmless. @public */
+/** A slot in use. Its holder has to release it; further calls of `release` have no effect. @public */
 export type Slot = {readonly release: () => void; readonly waitedMs: number};
 
 /** @public */
 export type SlotRequest = {
 	readonly workClass: WorkClass;
-	/** When the caller gives up, in milliseconds since the epoch. */
+	/** When the caller's timeout ends, in milliseconds since the epoch. */
 	readonly deadline: number;
 	readonly signal?: AbortSignal;
 };
@@ -35,23 +34,23 @@
 export type Gate = {
 	/** Waits for a slot. */
 	readonly acquire: (request: SlotRequest) => Promise<Result<Slot, GateRefusal>>;
-	/** Turns away everything new; what is in work or waiting goes on. */
+	/** Refuses new requests; requests that run or wait continue. */
 	readonly startDraining: () => void;
 	readonly setSlots: (slots: number) => void;
 	readonly countRequests: () => number;
-	/** Turns away everything that waits. */
+	/** Refuses new requests and all queued ones. */
 	readonly dispose: () => void;
 };
 
-type Outcome = Result<Slot, GateRefusal>;
+type AcquireResult = Result<Slot, GateRefusal>;
 
-/** When a drained server is likely to have been replaced, in milliseconds. */
-const drainRetryMs = 1000;
+/** Retry delay of a draining server, which is likely to have been replaced by then. */
+const drainRetryAfterMs = 1000;
 
 /**
  * Creates the gate of a server.
  *
- * @param slots - Requests that the server works on at once.
+ * @param slots - The number of requests that the server processes at once.
  * @param settings - Limits of the queue.
  * @returns The gate.
  * @public
@@ -60,7 +59,7 @@
 	let state: GateState = createGateState(slots);
 	let isDraining = false;
 	let nextId = 1;
-	const waiting = new Map<number, (outcome: Outcome) => void>();
+	const waiting = new Map<number, (outcome: AcquireResult) => void>();
 
 	const createSlot = (workClass: WorkClass, arrivedAt: number): Slot => {
 		const startedAt = readNow();
@@ -76,37 +75,37 @@
 				const now = readNow();
 				const step = releaseSlot(state, settings, {workClass, tookMs: now - startedAt}, now);
 				state = step.state;
-				startAll(step.started);
+				startQueued(step.started);
 			},
 		};
 	};
 
-	const startAll = (started: readonly WaitingRequest[]): void => {
+	const startQueued = (started: readonly WaitingRequest[]): void => {
 		for (const {id, workClass, arrivedAt} of started) {
 			waiting.get(id)?.(ok(createSlot(workClass, arrivedAt)));
 		}
 	};
 
-	const waitForSlot = async (request: WaitingRequest, signal: AbortSignal | undefined): Promise<Outcome> => new Promise(resolve => {
-		const finish = (outcome: Outcome): void => {
+	const waitForSlot = async (request: WaitingRequest, signal: AbortSignal | undefined): Promise<AcquireResult> => new Promise(resolve => {
+		const finish = (outcome: AcquireResult): void => {
 			clearTimeout(timer);
 			signal?.removeEventListener('abort', cancel);
 			waiting.delete(request.id);
 			resolve(outcome);
 		};
 
-		const giveUp = (type: GateRefusal['type']): void => {
+		const refuseQueued = (type: GateRefusal['type']): void => {
 			state = removeWaiting(state, request.id);
 			finish(err({type, retryAfterMs: Math.max(100, Math.ceil(state.serviceMs))}));
 		};
 
 		const cancel = (): void => {
-			giveUp('cancelled');
+			refuseQueued('cancelled');
 		};
 
 		const waitMs = Math.min(request.deadline - request.arrivedAt, settings.maximumWaitMs);
 		const timer = setTimeout(() => {
-			giveUp('shed');
+			refuseQueued('shed');
 		}, waitMs);
 		signal?.addEventListener('abort', cancel);
 		waiting.set(request.id, finish);
@@ -115,7 +114,7 @@
 	return {
 		async acquire({workClass, deadline, signal}) {
 			if (isDraining) {
-				return err({type: 'draining', retryAfterMs: drainRetryMs});
+				return err({type: 'draining', retryAfterMs: drainRetryAfterMs});
 			}
 
 			const request: WaitingRequest = {
@@ -143,14 +142,14 @@
 		setSlots(count) {
 			const step = resizeGate(state, settings, count, readNow());
 			state = step.state;
-			startAll(step.started);
+			startQueued(step.started);
 		},
 		countRequests: () => countRequests(state),
 		dispose() {
 			isDraining = true;
 			for (const [id, finish] of waiting) {
 				state = removeWaiting(state, id);
-				finish(err({type: 'draining', retryAfterMs: drainRetryMs}));
+				finish(err({type: 'draining', retryAfterMs: drainRetryAfterMs}));
 			}
 		},
 	};
--- a/src/lib/admission/slot-keeper.ts
+++ b/src/lib/admission/slot-pool.ts
@@ -1,7 +1,7 @@
 /**
- * Keeps the slots of one backend server: hands them out, lets requests wait,
- * and ends their wait in time. What becomes of each request is decided in
- * `slot-queue.ts`.
+ * Limits the concurrency of one backend server: grants slots, queues requests,
+ * and ends their wait at its deadline. The pure decisions about each request
+ * are in `slot-queue.ts`.
  *
  * @module
  */
@@ -13,75 +13,77 @@
 
 /** A request that asks for a slot. @internal */
 export type SlotRequest = {
-	/** 0 goes first. */
+	/** Priority; 0 is the highest. */
 	readonly rank: number;
-	/** Milliseconds that it may be expected to wait. */
+	/** The longest expected wait with which the request is queued, in milliseconds. */
 	readonly mayWaitMs: number;
-	/** When its wait is over at the latest, in steady milliseconds. */
+	/** When its wait ends at the latest, in steady milliseconds. */
 	readonly lastAt: number;
-	/** Calls back once when nobody waits for it any more; yields a function that takes that back. */
-	readonly listenForEnd: (handleEnd: () => void) => () => void;
+	/** Registers a callback that is called once when the request is cancelled; returns a function that unregisters it. */
+	readonly listenForCancel: (handleCancel: () => void) => () => void;
 };
 
-/** What became of it. @internal */
+/** The result of asking for a slot. @internal */
 export type SlotOutcome =
-	/** It holds a slot, which has to be released. */
+	/** The request holds a slot, which the caller has to release. */
 	| {readonly type: 'run'}
 	| {readonly type: 'full'; readonly reason: string; readonly retryAfterMs: number}
 	| {readonly type: 'cancelled'}
-	/** The server is there no more. */
+	/** The server has ended. */
 	| {readonly type: 'gone'};
 
 /** @internal */
-export type SlotKeeper = {
+export type SlotPool = {
 	readonly acquire: (request: SlotRequest) => Promise<SlotOutcome>;
-	/** Gives a slot back; `tookMs` is `undefined` if that tells nothing of the server's speed. */
+	/** Releases a slot. `tookMs` is the service time, or `undefined` if it says nothing about the server's speed. */
 	readonly release: (tookMs: number | undefined) => void;
 	readonly resize: (slots: number) => void;
-	/** The server is there no more: nobody has to wait any longer. */
-	readonly end: () => void;
+	/** Ends the wait of all queued requests, because the server has ended. */
+	readonly close: () => void;
 	readonly describe: () => {readonly running: number; readonly waiting: number; readonly serviceMs: number};
 };
 
-/** A request that was taken waits for so many times the wait that was expected at the most: estimates are rough. */
-const patience = 2;
+/** A queued request waits for at most this multiple of `mayWaitMs`, because the estimated wait is rough. */
+const waitToleranceFactor = 2;
 
-type Waiter = (outcome: 'run' | 'late' | 'cancelled' | 'gone') => void;
+type FinishWait = (outcome: 'run' | 'late' | 'cancelled' | 'gone') => void;
 
 /**
- * @param count - Requests that may be at the server at once.
- * @returns The keeper of a server that is idle.
+ * Creates the slot pool of an idle server.
+ *
+ * @param count - The number of requests that may be at the server at once.
+ * @returns The pool.
  * @internal
  */
-export function createSlotKeeper(count: number): SlotKeeper {
+export function createSlotPool(count: number): SlotPool {
 	let queue: SlotQueue = createSlotQueue(count);
 	let nextId = 1;
-	const waiters = new Map<number, Waiter>();
+	const finishById = new Map<number, FinishWait>();
 
-	const startAll = (started: readonly QueuedRequest[]): void => {
+	const startQueued = (started: readonly QueuedRequest[]): void => {
 		for (const {id} of started) {
-			waiters.get(id)?.('run');
+			finishById.get(id)?.('run');
 		}
 	};
 
 	const waitForSlot = async (queued: QueuedRequest, request: SlotRequest): Promise<SlotOutcome> => new Promise(resolve => {
 		let stopListening = (): void => undefined;
-		const finish: Waiter = outcome => {
+		const finish: FinishWait = outcome => {
 			clearTimeout(timer);
 			stopListening();
-			waiters.delete(queued.id);
+			finishById.delete(queued.id);
 			if (outcome !== 'run') {
 				queue = removeFromQueue(queue, queued.id);
 			}
 
-			resolve(outcome === 'late' ? {type: 'full', reason: 'no slot came free in time', retryAfterMs: estimateWaitMs(queue, request.rank)} : {type: outcome});
+			resolve(outcome === 'late' ? {type: 'full', reason: 'no slot became free in time', retryAfterMs: estimateWaitMs(queue, request.rank)} : {type: outcome});
 		};
 
 		const timer = setTimeout(() => {
 			finish('late');
 		}, trimTimerMs(queued.waitUntil - readSteadyMs()));
-		waiters.set(queued.id, finish);
-		stopListening = request.listenForEnd(() => {
+		finishById.set(queued.id, finish);
+		stopListening = request.listenForCancel(() => {
 			finish('cancelled');
 		});
 	});
@@ -89,7 +91,7 @@
 	const resize = (slots: number): void => {
 		const step = resizeSlots(queue, slots, readSteadyMs());
 		queue = step.queue;
-		startAll(step.started);
+		startQueued(step.started);
 	};
 
 	return {
@@ -99,7 +101,7 @@
 				id: nextId++,
 				rank: request.rank,
 				startBy: now + request.mayWaitMs,
-				waitUntil: Math.min(now + (request.mayWaitMs * patience), request.lastAt),
+				waitUntil: Math.min(now + (request.mayWaitMs * waitToleranceFactor), request.lastAt),
 			};
 			const step = admitToQueue(queue, queued, now);
 			queue = step.queue;
@@ -115,7 +117,7 @@
 				case 'wait': {
 					const {evicted: displaced} = step.decision;
 					if (displaced !== undefined) {
-						waiters.get(displaced.id)?.('late');
+						finishById.get(displaced.id)?.('late');
 					}
 
 					return waitForSlot(queued, request);
@@ -125,11 +127,11 @@
 		release(tookMs) {
 			const step = finishRequest(queue, tookMs, readSteadyMs());
 			queue = step.queue;
-			startAll(step.started);
+			startQueued(step.started);
 		},
 		resize,
-		end() {
-			for (const finish of waiters.values()) {
+		close() {
+			for (const finish of finishById.values()) {
 				finish('gone');
 			}
 		},
--- a/src/lib/forwarding/local-gate.ts
+++ b/src/lib/forwarding/local-gate.ts
@@ -6,16 +6,16 @@
  * @module
  */
 import {err, ok, type Result} from 'neverthrow';
-import {type SlotOutcome, type SlotRequest} from '../admission/slot-keeper.js';
+import {type SlotOutcome, type SlotRequest} from '../admission/slot-pool.js';
 import {readSteadyMs} from '../common/clock.js';
 import {type BackendServerId} from '../common/ids.js';
 import {isSameLifetime} from '../common/server-lifetime.js';
 import {
-	acceptAnnouncement, acceptLeave, doubtServer, forgetServer, isAmbiguousLeave,
-} from '../local-server/accept-word.js';
-import {type CallRefusal} from '../local-server/call-refusal.js';
+	acceptAnnouncement, acceptLeave, noteServerUnreachable, forgetServer, isAmbiguousLeave,
+} from '../local-server/local-server-updates.js';
+import {type AnnouncementRefusal} from '../local-server/announcement-refusal.js';
 import {
-	noLocalServer, type LocalServer, type LocalServerState, type ServerAnnouncement, type ServerLeave, type ServerStep,
+	noLocalServer, type LocalServer, type LocalServerState, type ServerAnnouncement, type ServerLeave, type ServerTransition,
 } from '../local-server/local-server.js';
 import {createLinkDemand} from '../decisions/link-demand.js';
 import {describeRefusal as describeQuarantine, type Quarantine} from '../quarantine/quarantine.js';
@@ -67,7 +67,7 @@
 	readonly run: (call: GateCall) => Promise<GateResult>;
 	readonly announce: (announcement: ServerAnnouncement) => void;
 	/** Handles a leave of the server, which gets no new requests from then on. Returns a refusal if the leave may be a late message of an earlier lifetime. */
-	readonly leave: (leave: ServerLeave) => Result<undefined, CallRefusal>;
+	readonly leave: (leave: ServerLeave) => Result<undefined, AnnouncementRefusal>;
 	readonly describe: () => ServerReport | undefined;
 	readonly countRequests: () => number;
 	readonly dispose: () => void;
@@ -141,7 +141,7 @@
 			quarantine,
 			isLeaving: () => context.isLeaving() || (state.current?.isLeaving ?? false),
 			handleUnreachable(contacted, reason) {
-				state = doubtServer(state, contacted, readSteadyMs() + unreachableBackoffMs);
+				state = noteServerUnreachable(state, contacted, readSteadyMs() + unreachableBackoffMs);
 				log.record('warn', {kind: 'server-doubted', server: contacted.id, reason});
 				handleChange();
 			},
@@ -152,7 +152,7 @@
 		});
 	};
 
-	const applyStep = (step: ServerStep, how: string): void => {
+	const applyStep = (step: ServerTransition, how: string): void => {
 		const before = state.current;
 		state = step.state;
 		const {current} = state;
@@ -171,15 +171,15 @@
 
 		sessionServer = current;
 
-		if (step.news === 'draining') {
+		if (step.change === 'draining') {
 			log.record('info', {kind: 'server-draining', server: current.announcement.lifetime.id, how});
 		}
 
-		if (step.news === 'changed') {
+		if (step.change === 'changed') {
 			session?.resize(current.announcement.slots);
 		}
 
-		if (step.news !== 'none') {
+		if (step.change !== 'none') {
 			handleChange();
 		}
 	};
@@ -195,7 +195,7 @@
 			return createNotRun('draining', `backend server ${call.server} is draining and accepts no new requests`);
 		}
 
-		if (current.doubtedUntil > readSteadyMs()) {
+		if (current.avoidUntil > readSteadyMs()) {
 			return createNotRun('server-unreachable', `backend server ${call.server} refused or timed out a recent connection`, unreachableBackoffMs);
 		}
 
@@ -212,7 +212,7 @@
 	};
 
 	const createSlotRequest = ({rank, mayWaitMs, scope}: GateCall): SlotRequest => ({
-		rank, mayWaitMs, lastAt: scope.endsAt - refusalMarginMs, listenForEnd: scope.subscribe,
+		rank, mayWaitMs, lastAt: scope.endsAt - refusalMarginMs, listenForCancel: scope.subscribe,
 	});
 
 	const handleSlotRefusal = (call: GateCall, outcome: Exclude<SlotOutcome, {readonly type: 'run'}>, reason: string): ForwardFailure => {
@@ -316,7 +316,7 @@
 			return 'draining';
 		}
 
-		return server.doubtedUntil > readSteadyMs() ? 'down' : 'ready';
+		return server.avoidUntil > readSteadyMs() ? 'down' : 'ready';
 	};
 
 	const reportSilence = ({announcement, heardAt}: LocalServer): void => {
--- a/src/lib/forwarding/server-session.ts
+++ b/src/lib/forwarding/server-session.ts
@@ -6,7 +6,7 @@
  * @module
  */
 import {type IncomingHttpHeaders} from 'node:http';
-import {createSlotKeeper, type SlotOutcome, type SlotRequest} from '../admission/slot-keeper.js';
+import {createSlotPool, type SlotOutcome, type SlotRequest} from '../admission/slot-pool.js';
 import {readAwakeMs, readSteadyMs} from '../common/clock.js';
 import {type ServerLifetime} from '../common/server-lifetime.js';
 import {type ServerAnnouncement} from '../local-server/local-server.js';
@@ -152,7 +152,7 @@
 export function openServerSession(announcement: ServerAnnouncement, context: ServerSessionContext): ServerSession {
 	const {wire, log} = context;
 	const {lifetime} = announcement;
-	const slots = createSlotKeeper(computeConcurrencyLimit(announcement.slots));
+	const slots = createSlotPool(computeConcurrencyLimit(announcement.slots));
 	const pool = createServerConnectionPool({
 		address: announcement.address, maxConnections: context.maxConnections, idleMs: idleConnectionMs, connectTimeoutMs,
 	});
@@ -331,7 +331,7 @@
 
 	const stopAccepting = (): void => {
 		isEnded = true;
-		slots.end();
+		slots.close();
 		pool.renew();
 	};
 
--- a/src/lib/forwarding/upload-limit.ts
+++ b/src/lib/forwarding/upload-limit.ts
@@ -5,7 +5,7 @@
  *
  * @module
  */
-import {createSlotKeeper, type SlotOutcome, type SlotRequest} from '../admission/slot-keeper.js';
+import {createSlotPool, type SlotOutcome, type SlotRequest} from '../admission/slot-pool.js';
 import {readAwakeMs} from '../common/clock.js';
 
 /** A large request body that holds one place of the limit. @internal */
@@ -45,7 +45,7 @@
  * @internal
  */
 export function createUploadLimit(linkMbps: number): UploadLimit {
-	const slots = createSlotKeeper(computeMaxUploads(linkMbps));
+	const slots = createSlotPool(computeMaxUploads(linkMbps));
 	return {
 		async acquire(request) {
 			const outcome = await slots.acquire(request);
--- a/src/lib/peers/peer-link.ts
+++ b/src/lib/peers/peer-link.ts
@@ -1,5 +1,5 @@
 /**
- * Sends and takes heartbeats over UDP.
+ * Sends and receives heartbeats over UDP.
  *
  * @module
  */
@@ -11,13 +11,13 @@
 import {createTokenBucket, takeToken} from '../common/token-bucket.js';
 import {type MeshLog} from '../timeline/mesh-log.js';
 import {type Refusal, type Refusals} from '../timeline/refusals.js';
-import {measurePeriods, planHeartbeats, type HeartbeatPlan} from './heartbeat-plan.js';
+import {computePeriods, planHeartbeats, type HeartbeatPlan} from './heartbeat-plan.js';
 import {computeRoundDelay} from './heartbeat-rounds.js';
-import {chooseNewsTargets} from './news-targets.js';
-import {hasQuietTurn, listTurns, quietRounds} from './heartbeat-turns.js';
+import {chooseAnnouncementTargets} from './announcement-targets.js';
+import {isSilentNodeDue, listDuePositions, silentNodeRounds} from './heartbeat-rotation.js';
 import {decodeReport, encodeReport, type PeerReport} from './peer-report.js';
 import {
-	createPeerTable, isHeard, type Peer, type PeerLimits, type PeerNews, type PeerTable,
+	createPeerTable, isHeard, type Peer, type PeerLimits, type PeerChange, type PeerTable,
 } from './peer-table.js';
 
 /** @internal */
@@ -32,93 +32,96 @@
 /** @internal */
 export type PeerLinkContext = {
 	readonly settings: PeerLinkSettings;
-	/** Describes this node as it is now. */
+	/** Returns the current report of this node. */
 	readonly describeSelf: (sequence: number) => Omit<PeerReport, 'periods' | 'isProbe'>;
-	/** Whether others rely on this node to watch the store. */
+	/** Whether other nodes rely on this node to watch the store. */
 	readonly isFollowing: () => boolean;
 	readonly log: MeshLog;
 	readonly refusals: Refusals;
 	readonly random: () => number;
-	/** Told of each report that was heard. */
-	readonly handleReport: (report: PeerReport, news: PeerNews) => void;
-	/** Told of each round of heartbeats before it is sent, and by how many milliseconds it is late. */
+	/** Called with each report that is not refused, also if it changed nothing. */
+	readonly handleReport: (report: PeerReport, news: PeerChange) => void;
+	/** Called before each round of heartbeats, with the delay of its timer in milliseconds. */
 	readonly handleRound: (lateMs: number) => void;
 };
 
-/** What is known of the other nodes, for others to read. @internal */
-export type PeerTableView = Pick<PeerTable, 'size' | 'get' | 'hasGossip' | 'list' | 'countDomains' | 'listOwnDomain' | 'listService' | 'findGate'>;
+/** Read-only view of the table of the other nodes. @internal */
+export type PeerTableView = Pick<PeerTable, 'size' | 'get' | 'hasGossipAddress' | 'list' | 'countDomains' | 'listOwnDomain' | 'listService' | 'findByGate'>;
 
 /** @internal */
 export type PeerLink = {
 	readonly start: () => Promise<void>;
 	readonly table: PeerTableView;
-	/** Adds addresses at which other nodes may listen. */
-	readonly addContacts: (addresses: readonly Address[]) => void;
-	/** Tells everybody at once of a server that takes no work any more; of one that does, a bounded number. */
+	/** Sends heartbeats to addresses at which other nodes may listen, until a node is known there or the attempts are used up. */
+	readonly addSeedAddresses: (addresses: readonly Address[]) => void;
+	/** Sends a report at once: to all nodes if the server takes no more requests, to a bounded number if it is ready. */
 	readonly announce: () => void;
-	/** Tells the nodes of the own failure domain at once. */
+	/** Sends a report at once to the nodes of the own failure domain. */
 	readonly announceToDomain: () => void;
-	/** Tells everybody at once of what must not wait for the next heartbeat. */
+	/** Sends a report at once to all nodes, for changes that must not wait for the next heartbeat. */
 	readonly announceToAll: () => void;
-	/** Asks a node for a report, for requests wait for it. */
+	/** Requests a report from a node, because requests wait for it. */
 	readonly probe: (node: NodeId) => void;
-	/** Nodes that have fallen silent, as far as their turns have come; one that is gone is forgotten after a while. */
+	/** Returns the number of silent nodes. A node counts once its turn in the rotation found it silent, until it is heard or forgotten. */
 	readonly countSilent: () => number;
+	/** Records that a node could not be reached. */
 	readonly noteUnreachable: (node: NodeId) => void;
+	/** Records that a node answered a request. */
 	readonly noteReached: (node: NodeId) => void;
-	/** This node stood still for so long: the others are given that time. Milliseconds. */
-	readonly forgiveSilence: (pausedMs: number) => void;
+	/** Records that this node was paused for so many milliseconds, so that the pause does not count as silence of the other nodes. */
+	readonly recordPause: (pausedMs: number) => void;
 	readonly dispose: () => void;
 };
 
-/** Rounds, of those in which mere addresses get a heartbeat as silent nodes do, for which an address that never answered is tried. */
-const contactPeriods = 60;
+/** The number of heartbeats that a seed address gets if no node answers there; sent every `silentNodeRounds` rounds, as to silent nodes. */
+const seedAttemptCount = 60;
 
-/** Nodes that are held at the most: several times the largest mesh, some ten megabytes. More come from whoever makes up names. */
-const mostPeers = 4000;
+/** The maximum number of nodes in the table: several times the largest mesh, about ten megabytes. More node names are invented by a sender. */
+const maximumPeerCount = 4000;
 
-/** A node that asks again within so many milliseconds is not answered again: nodes ask every 200. */
-const leastProbeMs = 50;
+/** The shortest interval between two answered probes of one node. Nodes probe every 200 milliseconds. */
+const minimumProbeIntervalMs = 50;
 
-/** Answers to newcomers and to those who ask, over all nodes: a mesh that starts at once makes one for each node, and later a few a second. */
-const answerLimits = {perSecond: 500, burst: 2000} as const;
+/** Rate limit of answers to new nodes and to probes, over all nodes. A mesh that starts at once needs one answer per node, and later a few per second. */
+const answerRateLimit = {perSecond: 500, burst: 2000} as const;
 
 type Lookup = NonNullable<SocketOptions['lookup']>;
 
 /**
- * Addresses are IP numbers. The runtime's own lookup yields them in a later turn all the same, which costs several times what a datagram does.
+ * Returns an address as it is, since all addresses are numeric. The lookup of Node.js would return it in a later turn of the
+ * event loop, which costs several times as much as sending the datagram.
  */
-const takeAsIs: Lookup = (host, _options, handleFound) => {
+const resolveNumericAddress: Lookup = (host, _options, handleFound) => {
 	handleFound(null, host, 4);
 };
 
-/** What is wrong with a datagram. */
-type Problem = Pick<Refusal, 'cause' | 'reason'>;
+/** Why a datagram is refused. */
+type HeartbeatProblem = Pick<Refusal, 'cause' | 'reason'>;
 
 /**
- * Creates the link.
+ * Creates the link. It sends and receives nothing before `start`.
  *
- * @param context - Settings and what it is told.
- * @returns The link, not listening yet.
+ * @param context - Settings and callbacks.
+ * @returns The link.
  * @internal
  */
 export function createPeerLink(context: PeerLinkContext): PeerLink {
 	const {settings, describeSelf, isFollowing, log, refusals, handleReport, handleRound, random} = context;
-	const socket = createSocket({type: 'udp4', lookup: takeAsIs});
-	const contacts = new Map<Address, number>();
+	const socket = createSocket({type: 'udp4', lookup: resolveNumericAddress});
+	const seedAttemptsLeft = new Map<Address, number>();
 	const table = createPeerTable(settings.domain, settings);
 	let sequence = 0;
 	let round = 0;
 	let timer: NodeJS.Timeout | undefined;
-	/** When the next round has to begin, in steady milliseconds. */
-	let dueAt = 0;
-	let answers = createTokenBucket(answerLimits, readSteadyMs());
-	/** When a question of each node was last answered, in steady milliseconds. */
+	/** When the next round is due, in steady milliseconds. */
+	let nextRoundAt = 0;
+	let answers = createTokenBucket(answerRateLimit, readSteadyMs());
+	/** When a probe of each node was last answered, in steady milliseconds. */
 	const answeredAt = new WeakMap<Peer, number>();
 	let isClosed = false;
 
-	/** Sends without asking what became of it: a datagram may be lost on its way just as well. */
-	const sendUnasked = (bytes: Uint8Array, address: Address): void => {
+	/** Sends a datagram and ignores errors, since datagrams may be lost in any case. */
+	const sendWithoutCallback = (bytes: Uint8Array, address: Address): void => {
 		if (!isClosed) {
 			const {host, port} = parseAddress(address);
 			socket.send(bytes, port, host);
@@ -138,13 +141,13 @@
 		});
 	};
 
-	/** Sends to many. A link that is down fails all alike, so the first one tells. */
+	/** Sends a datagram to several addresses. Errors are logged for the first one only, because a network that is down fails all of them. */
 	const sendToAll = (bytes: Uint8Array, addresses: readonly Address[]): void => {
-		for (const [place, address] of addresses.entries()) {
-			if (place === 0) {
+		for (const [index, address] of addresses.entries()) {
+			if (index === 0) {
 				send(bytes, address);
 			} else {
-				sendUnasked(bytes, address);
+				sendWithoutCallback(bytes, address);
 			}
 		}
 	};
@@ -156,7 +159,7 @@
 
 	const encodeSelf = (isProbe = false): Uint8Array => {
 		sequence++;
-		return Buffer.from(encodeReport({...describeSelf(sequence), periods: measurePeriods(plan(), settings.periodMs), isProbe}));
+		return Buffer.from(encodeReport({...describeSelf(sequence), periods: computePeriods(plan(), settings.periodMs), isProbe}));
 	};
 
 	const sendToPeers = (peers: Iterable<Peer>): void => {
@@ -173,107 +176,107 @@
 		}
 	};
 
-	const sendToContacts = (): void => {
-		if (contacts.size === 0) {
+	const sendToSeeds = (): void => {
+		if (seedAttemptsLeft.size === 0) {
 			return;
 		}
 
 		const bytes = encodeSelf();
-		for (const [address, left] of contacts) {
-			if (table.hasGossip(address) || left <= 0) {
-				contacts.delete(address);
+		for (const [address, attemptsLeft] of seedAttemptsLeft) {
+			if (table.hasGossipAddress(address) || attemptsLeft <= 0) {
+				seedAttemptsLeft.delete(address);
 			} else {
-				contacts.set(address, left - 1);
+				seedAttemptsLeft.set(address, attemptsLeft - 1);
 				send(bytes, address);
 			}
 		}
 	};
 
-	const silent = new Set<NodeId>();
+	const silentNodes = new Set<NodeId>();
 
-	const noteSilence = ({report: {node}, heardAt}: Peer, now: number): void => {
-		if (!silent.has(node)) {
-			silent.add(node);
+	const recordSilence = ({report: {node}, heardAt}: Peer, now: number): void => {
+		if (!silentNodes.has(node)) {
+			silentNodes.add(node);
 			log.record('warn', {kind: 'peer-lost', peer: node, heardMsAgo: Math.round(now - heardAt)});
 		}
 	};
 
 	/**
-	 * Sends the heartbeats of a round. A node is looked at for its silence when its turn comes, so that a round costs what it sends
-	 * and not what the mesh holds.
+	 * Sends the heartbeats of a round. Whether a node is silent is checked when its turn comes, so that the cost of a round depends
+	 * on the heartbeats sent, not on the size of the mesh.
 	 */
 	const sendHeartbeats = (now: number): void => {
 		const {ownDomain, otherDomain} = plan();
 		const addresses: Address[] = [];
-		const quiet: Peer[] = [];
-		const takeTurns = (peers: readonly Peer[], every: number): void => {
-			for (const place of listTurns(peers.length, every, round)) {
-				const peer = peers[place]!;
+		const silentPeers: Peer[] = [];
+		const addDuePeers = (peers: readonly Peer[], every: number): void => {
+			for (const position of listDuePositions(peers.length, every, round)) {
+				const peer = peers[position]!;
 				const isSilent = !isHeard(peer, settings, now);
 				if (isSilent) {
-					quiet.push(peer);
+					silentPeers.push(peer);
 				}
 
-				if (!isSilent || hasQuietTurn(place, every, round)) {
+				if (!isSilent || isSilentNodeDue(position, every, round)) {
 					addresses.push(peer.report.gossip);
 				}
 			}
 		};
 
-		takeTurns(table.listOwnDomain(), ownDomain);
-		takeTurns(table.listOtherDomains(), otherDomain);
-		for (const peer of quiet) {
-			noteSilence(peer, now);
+		addDuePeers(table.listOwnDomain(), ownDomain);
+		addDuePeers(table.listOtherDomains(), otherDomain);
+		for (const peer of silentPeers) {
+			recordSilence(peer, now);
 		}
 
-		dropGone(quiet, now);
+		forgetSilent(silentPeers, now);
 		if (addresses.length > 0) {
 			sendToAll(encodeSelf(), addresses);
 		}
 	};
 
-	const dropGone = (quiet: readonly Peer[], now: number): void => {
-		for (const node of table.dropSilent(now, quiet)) {
-			silent.delete(node);
+	const forgetSilent = (silentPeers: readonly Peer[], now: number): void => {
+		for (const node of table.dropSilent(now, silentPeers)) {
+			silentNodes.delete(node);
 			log.record('info', {kind: 'peer-forgotten', peer: node, silentMs: settings.forgetMs});
 		}
 	};
 
-	const queueRound = (): void => {
+	const scheduleRound = (): void => {
 		const delayMs = computeRoundDelay(readNow(), settings.periodMs);
-		dueAt = readSteadyMs() + delayMs;
+		nextRoundAt = readSteadyMs() + delayMs;
 		timer = setTimeout(runRound, delayMs);
 	};
 
 	const runRound = (): void => {
 		const now = readSteadyMs();
-		handleRound(now - dueAt);
-		queueRound();
+		handleRound(now - nextRoundAt);
+		scheduleRound();
 		round++;
 		sendHeartbeats(now);
-		if (round % quietRounds === 0) {
-			sendToContacts();
+		if (round % silentNodeRounds === 0) {
+			sendToSeeds();
 		}
 	};
 
-	const refuse = ({address, port}: RemoteInfo, problem: Problem): void => {
+	const refuse = ({address, port}: RemoteInfo, problem: HeartbeatProblem): void => {
 		refusals.note({kind: 'heartbeat-refused', place: `${address}:${port}`, ...problem});
 	};
 
-	/** Why a report that can be read is refused. */
-	const checkReport = (report: PeerReport): Problem | undefined => {
+	/** Returns why a decoded report is refused, or `undefined` if it is accepted. */
+	const checkReport = (report: PeerReport): HeartbeatProblem | undefined => {
 		if (report.node === settings.node) {
-			return {cause: 'own-name', reason: `node: found ${report.node}, which is this node; give each node a name of its own`};
+			return {cause: 'own-name', reason: `node: found ${report.node}, must be a name other than that of this node; node names must be unique`};
 		}
 
 		const isNew = table.get(report.node) === undefined;
-		return isNew && table.size >= mostPeers ? {cause: 'flood', reason: `node: found a new one beside ${mostPeers} others, more than any mesh has`} : undefined;
+		return isNew && table.size >= maximumPeerCount ? {cause: 'flood', reason: `node: found a new name, must be one of the ${maximumPeerCount} known ones: the peer table is full`} : undefined;
 	};
 
-	/** Whether a node that asks is answered; one that asks faster than any node does is answered as often as a node would be. */
-	const takeProbe = (node: NodeId, now: number): boolean => {
+	/** Limits the rate of answers to the probes of one node. Returns whether to answer this one. */
+	const admitProbe = (node: NodeId, now: number): boolean => {
 		const peer = table.get(node);
-		if (peer === undefined || now - (answeredAt.get(peer) ?? Number.NEGATIVE_INFINITY) < leastProbeMs) {
+		if (peer === undefined || now - (answeredAt.get(peer) ?? Number.NEGATIVE_INFINITY) < minimumProbeIntervalMs) {
 			return false;
 		}
 
@@ -281,15 +284,15 @@
 		return true;
 	};
 
-	/** Whether a report is answered by one of this node at once. */
-	const mayAnswer = ({node, isProbe}: PeerReport, news: PeerNews): boolean => {
+	/** Returns whether this node answers a report with its own at once. Takes a token of the rate limit if so. */
+	const mayAnswer = ({node, isProbe}: PeerReport, news: PeerChange): boolean => {
 		const now = readSteadyMs();
 		const isNew = news === 'joined' || news === 'restarted';
-		if (!isNew && !(isProbe && takeProbe(node, now))) {
+		if (!isNew && !(isProbe && admitProbe(node, now))) {
 			return false;
 		}
 
-		const {bucket, isTaken} = takeToken(answers, answerLimits, now);
+		const {bucket, isTaken} = takeToken(answers, answerRateLimit, now);
 		answers = bucket;
 		return isTaken;
 	};
@@ -314,8 +317,8 @@
 
 		const news = table.acceptReport(report, readSteadyMs());
 		if (news !== 'none') {
-			silent.delete(report.node);
-			// A node that only has another version is one of the many that follow a change.
+			silentNodes.delete(report.node);
+			// A change of the configuration changes the version on every node, so these lines are logged at debug level only.
 			log.record(news === 'version' ? 'debug' : 'info', {
 				kind: 'peer-seen', peer: report.node, news, version: report.version, isLeaving: report.isLeaving,
 				server: report.server?.lifetime.id, service: report.server?.service, state: report.server?.state,
@@ -323,14 +326,14 @@
 		}
 
 		if (mayAnswer(report, news)) {
-			// A newcomer knows nobody, and whoever asks has requests that wait: neither should have to wait for the next period.
+			// A new node knows no other nodes, and a node that probes has waiting requests: neither should wait for the next period.
 			send(encodeSelf(), report.gossip);
 		}
 
 		handleReport(report, news);
 	};
 
-	/** What nobody foresaw in a datagram must not end the node. */
+	/** Catches unexpected errors, so that a datagram can't end the process. */
 	const handleSafely = (bytes: Uint8Array, sender: RemoteInfo): void => {
 		try {
 			handleMessage(bytes, sender);
@@ -351,14 +354,14 @@
 				log.record('error', {kind: 'gossip-failed', reason: error.message});
 			});
 			socket.on('message', handleSafely);
-			queueRound();
+			scheduleRound();
 		},
 		table,
-		addContacts(addresses) {
+		addSeedAddresses(addresses) {
 			let bytes: Uint8Array | undefined;
 			for (const address of addresses) {
-				if (address !== settings.listen && !table.hasGossip(address) && !contacts.has(address)) {
-					contacts.set(address, contactPeriods);
+				if (address !== settings.listen && !table.hasGossipAddress(address) && !seedAttemptsLeft.has(address)) {
+					seedAttemptsLeft.set(address, seedAttemptCount);
 					bytes ??= encodeSelf();
 					send(bytes, address);
 				}
@@ -366,8 +369,8 @@
 		},
 		announce() {
 			const {server, isLeaving} = describeSelf(sequence);
-			const isGood = server?.state === 'ready' && !isLeaving;
-			sendToPeers(isGood ? chooseNewsTargets(table, random) : table.list());
+			const isReadyForWork = server?.state === 'ready' && !isLeaving;
+			sendToPeers(isReadyForWork ? chooseAnnouncementTargets(table, random) : table.list());
 		},
 		announceToDomain() {
 			sendToPeers(table.listOwnDomain());
@@ -382,14 +385,14 @@
 				send(encodeSelf(true), peer.report.gossip);
 			}
 		},
-		countSilent: () => silent.size,
+		countSilent: () => silentNodes.size,
 		noteUnreachable(node) {
 			table.noteUnreachable(node, readSteadyMs());
 		},
 		noteReached(node) {
 			table.noteReached(node, readSteadyMs());
 		},
-		forgiveSilence: table.forgiveSilence,
+		recordPause: table.recordPause,
 		dispose() {
 			if (isClosed) {
 				return;
