--- a/src/lib/forwarding/call-headers.ts
+++ b/src/lib/forwarding/call-headers.ts
@@ -9,7 +9,7 @@
 import {hopHeaders} from '../calls/headers.js';
 
 /** What the headers that callers and backend servers know are called, in lower case. @internal */
-export type WireHeaders = {
+export type CallHeaderNames = {
 	/** Id of one attempt of a caller. */
 	readonly callId: string;
 	/** Milliseconds that whoever asks will still wait. */
@@ -35,16 +35,16 @@
  * @returns What may be passed on, in a new object.
  * @internal
  */
-export function filterCallHeaders(headers: IncomingHttpHeaders | HeaderMap): Record<string, string | string[]> {
-	const named = listConnectionHeaders(headers.connection as string | undefined);
-	const kept: Record<string, string | string[]> = {};
+export function removeHopByHopHeaders(headers: IncomingHttpHeaders | HeaderMap): Record<string, string | string[]> {
+	const connectionOptions = listConnectionHeaders(headers.connection as string | undefined);
+	const endToEndHeaders: Record<string, string | string[]> = {};
 	for (const [name, value] of Object.entries(headers)) {
-		if (value !== undefined && !hopHeaders.has(name) && !named.includes(name)) {
-			kept[name] = value as string | string[];
+		if (value !== undefined && !hopHeaders.has(name) && !connectionOptions.includes(name)) {
+			endToEndHeaders[name] = value as string | string[];
 		}
 	}
 
-	return kept;
+	return endToEndHeaders;
 }
 
 /**
@@ -53,7 +53,7 @@
  * @returns The value as a number that is not negative, or `undefined`.
  * @internal
  */
-export function getAmount(headers: IncomingHttpHeaders, name: string): number | undefined {
+export function getNumberHeader(headers: IncomingHttpHeaders, name: string): number | undefined {
 	const value = headers[name];
 	if (typeof value !== 'string' || !/^\d{1,12}(\.\d{1,6})?$/.test(value)) {
 		return undefined;
@@ -68,7 +68,7 @@
  * @returns The value if it is one text, else `undefined`.
  * @internal
  */
-export function getText(headers: IncomingHttpHeaders, name: string): string | undefined {
+export function getStringHeader(headers: IncomingHttpHeaders, name: string): string | undefined {
 	const value = headers[name];
 	return typeof value === 'string' ? value : undefined;
 }
--- a/src/lib/forwarding/call-progress.ts
+++ b/src/lib/forwarding/call-progress.ts
@@ -18,15 +18,15 @@
 	/** Servers at which it arrived. */
 	readonly countArrivals: () => number;
 	readonly getFallback: () => ForwardResult;
-	readonly noteStart: (attempt: Attempt) => void;
+	readonly recordStart: (attempt: Attempt) => void;
 	/** Takes in how an attempt ended; yields what the log tells of it. */
-	readonly noteEnd: (attempt: Attempt, result: ForwardResult) => AttemptNote;
+	readonly recordEnd: (attempt: Attempt, result: ForwardResult) => AttemptNote;
 	/** Takes in why no other attempt is begun. */
-	readonly noteRefusal: (failure: ForwardFailure) => void;
+	readonly recordRefusal: (failure: ForwardFailure) => void;
 	/** Ends it with the answer of one attempt, for which others were broken off. */
-	readonly finish: (result: ForwardResult, brokenOff: readonly Attempt[]) => CallOutcome;
+	readonly finish: (result: ForwardResult, superseded: readonly Attempt[]) => CallOutcome;
 	/** Ends it with the best that can be told its caller. */
-	readonly giveUp: () => CallOutcome;
+	readonly finishWithFallback: () => CallOutcome;
 };
 
 /**
@@ -41,7 +41,7 @@
 const describeOutcome = (result: ForwardResult): string => result.type === 'answered' ? String(result.status) : result.reason;
 
 /** An answer with a failure of the server's own says more than any failure to get one. */
-const isWorseThan = (failure: ForwardResult, fallback: ForwardResult): boolean =>
+const isLessInformative = (failure: ForwardResult, fallback: ForwardResult): boolean =>
 	failure.type === 'failed' && fallback.type === 'answered';
 
 function describeAttempt({target, startedAt}: Attempt, verdict: Verdict, outcome: string): AttemptNote {
@@ -59,7 +59,7 @@
 	const tried = new Set<LifetimeKey>();
 	const full = new Set<LifetimeKey>();
 	/** In the order in which the attempts began. */
-	const notes = new Map<Attempt, AttemptNote>();
+	const attemptNotes = new Map<Attempt, AttemptNote>();
 	let verdict: Verdict = 'not-run';
 	let arrivals = 0;
 	let refusals = 0;
@@ -67,18 +67,18 @@
 	let retryAfterMs = 0;
 	let fallback: ForwardResult = createNotRun('no-server', `no backend server of ${service} is known that could take the request`);
 
-	const noteResult = (result: ForwardResult): void => {
+	const mergeResult = (result: ForwardResult): void => {
 		verdict = joinVerdicts(verdict, getVerdict(result));
 		if (result.type === 'failed' && result.retryAfterMs > 0) {
 			retryAfterMs = retryAfterMs === 0 ? result.retryAfterMs : Math.min(retryAfterMs, result.retryAfterMs);
 		}
 
-		if (!isWorseThan(result, fallback)) {
+		if (!isLessInformative(result, fallback)) {
 			fallback = result;
 		}
 	};
 
-	const describe = (result: ForwardResult): CallOutcome => ({result, verdict, attempts: [...notes.values()]});
+	const createOutcome = (result: ForwardResult): CallOutcome => ({result, verdict, attempts: [...attemptNotes.values()]});
 
 	return {
 		tried,
@@ -89,11 +89,11 @@
 		getVerdict: () => verdict,
 		countArrivals: () => arrivals,
 		getFallback: () => fallback,
-		noteStart(attempt) {
+		recordStart(attempt) {
 			tried.add(attempt.target.lifetime);
-			notes.set(attempt, describeAttempt(attempt, 'may-have-run', 'under way'));
+			attemptNotes.set(attempt, describeAttempt(attempt, 'may-have-run', 'under way'));
 		},
-		noteEnd(attempt, result) {
+		recordEnd(attempt, result) {
 			const {target, mayWaitMs} = attempt;
 			if (result.type === 'failed' && result.reason === 'full' && mayWaitMs === 0) {
 				tried.delete(target.lifetime);
@@ -102,26 +102,26 @@
 
 			arrivals += hasArrived(result) ? 1 : 0;
 			refusals += hasArrived(result) ? 0 : 1;
-			noteResult(result);
+			mergeResult(result);
 			const note = describeAttempt(attempt, getVerdict(result), describeOutcome(result));
-			notes.set(attempt, note);
+			attemptNotes.set(attempt, note);
 			return note;
 		},
-		noteRefusal(failure) {
+		recordRefusal(failure) {
 			refusals++;
-			noteResult(failure);
+			mergeResult(failure);
 		},
-		finish(result, brokenOff) {
-			for (const attempt of brokenOff) {
-				notes.set(attempt, describeAttempt(attempt, 'may-have-run', 'superseded'));
+		finish(result, superseded) {
+			for (const attempt of superseded) {
+				attemptNotes.set(attempt, describeAttempt(attempt, 'may-have-run', 'superseded'));
 			}
 
-			return describe(result);
+			return createOutcome(result);
 		},
-		giveUp() {
+		finishWithFallback() {
 			return fallback.type === 'failed' && fallback.verdict === 'not-run'
-				? describe({...fallback, retryAfterMs: Math.max(fallback.retryAfterMs, retryAfterMs)})
-				: describe(fallback);
+				? createOutcome({...fallback, retryAfterMs: Math.max(fallback.retryAfterMs, retryAfterMs)})
+				: createOutcome(fallback);
 		},
 	};
 }
--- a/src/lib/forwarding/call-scope.test.ts
+++ b/src/lib/forwarding/call-scope.test.ts
@@ -8,6 +8,6 @@
 		const scope = createCallScope(performance.now() + endsAt);
 		context.after(scope.dispose);
 		await sleep(10);
-		assert.equal(scope.getEnd(), undefined, String(endsAt));
+		assert.equal(scope.getEndReason(), undefined, String(endsAt));
 	}
 });
--- a/src/lib/forwarding/call-scope.ts
+++ b/src/lib/forwarding/call-scope.ts
@@ -7,37 +7,37 @@
 import {readSteadyMs, trimTimerMs, watchResume} from '../common/clock.js';
 
 /** A backend server's own answer at the very end of its time may still arrive within so many milliseconds, so a scope ends a little after the time that the server is given. @internal */
-export const endGraceMs = 15;
+export const deadlineGraceMs = 15;
 
 /** Why a call ended before its answer. @internal */
-export type ScopeEnd = 'timeout' | 'cancelled' | 'superseded';
+export type ScopeEndReason = 'timeout' | 'cancelled' | 'superseded';
 
 /** @internal */
 export type CallScope = {
 	/** When the caller gives up, in steady milliseconds. */
-	readonly endsAt: number;
-	readonly getEnd: () => ScopeEnd | undefined;
-	readonly end: (reason: ScopeEnd) => void;
+	readonly deadlineAt: number;
+	readonly getEndReason: () => ScopeEndReason | undefined;
+	readonly end: (reason: ScopeEndReason) => void;
 	/** Calls back once when the scope ends; yields a function that takes that back. */
-	readonly subscribe: (handleEnd: (reason: ScopeEnd) => void) => () => void;
+	readonly subscribe: (handleEnd: (reason: ScopeEndReason) => void) => () => void;
 	/** Stops the timer; the call has its answer. */
 	readonly dispose: () => void;
 };
 
-type Ending = Omit<CallScope, 'dispose'> & {readonly forgetHandlers: () => void};
+type ScopeState = Omit<CallScope, 'dispose'> & {readonly removeHandlers: () => void};
 
-function createEnding(endsAt: number, handleEnded: () => void): Ending {
-	const handlers = new Set<(reason: ScopeEnd) => void>();
-	let ended: ScopeEnd | undefined;
+function createScopeState(deadlineAt: number, handleEnded: () => void): ScopeState {
+	const handlers = new Set<(reason: ScopeEndReason) => void>();
+	let endReason: ScopeEndReason | undefined;
 	return {
-		endsAt,
-		getEnd: () => ended,
+		deadlineAt,
+		getEndReason: () => endReason,
 		end(reason) {
-			if (ended !== undefined) {
+			if (endReason !== undefined) {
 				return;
 			}
 
-			ended = reason;
+			endReason = reason;
 			handleEnded();
 			for (const handleEnd of handlers) {
 				handleEnd(reason);
@@ -46,8 +46,8 @@
 			handlers.clear();
 		},
 		subscribe(handleEnd) {
-			if (ended !== undefined) {
-				handleEnd(ended);
+			if (endReason !== undefined) {
+				handleEnd(endReason);
 				return () => undefined;
 			}
 
@@ -56,27 +56,27 @@
 				handlers.delete(handleEnd);
 			};
 		},
-		forgetHandlers() {
+		removeHandlers() {
 			handlers.clear();
 		},
 	};
 }
 
 /**
- * @param endsAt - When its time is over, in steady milliseconds.
+ * @param deadlineAt - When its time is over, in steady milliseconds.
  * @returns A scope that ends by itself at that time.
  * @internal
  */
-export function createCallScope(endsAt: number): CallScope {
-	const stopWaiting = (): void => {
+export function createCallScope(deadlineAt: number): CallScope {
+	const stopTimer = (): void => {
 		clearTimeout(timer);
 		unwatch();
 	};
 
-	const {forgetHandlers, ...ending} = createEnding(endsAt, stopWaiting);
+	const {removeHandlers, ...state} = createScopeState(deadlineAt, stopTimer);
 	const startTimer = (): NodeJS.Timeout => setTimeout(() => {
-		ending.end('timeout');
-	}, trimTimerMs(endsAt - readSteadyMs()));
+		state.end('timeout');
+	}, trimTimerMs(deadlineAt - readSteadyMs()));
 
 	let timer = startTimer();
 	// The timer stood still while this VM was suspended. What is over by then ends in the turn in which it is noticed, once that has been told to all.
@@ -85,10 +85,10 @@
 		timer = startTimer();
 	});
 	return {
-		...ending,
+		...state,
 		dispose() {
-			stopWaiting();
-			forgetHandlers();
+			stopTimer();
+			removeHandlers();
 		},
 	};
 }
@@ -96,18 +96,18 @@
 /**
  * Opens a scope inside another, for one attempt of a call.
  *
- * @param outer - The call's scope, whose timer serves both.
+ * @param parent - The call's scope, whose timer serves both.
  * @returns A scope that ends with the outer one, or earlier by itself.
  * @internal
  */
-export function createInnerScope(outer: CallScope): CallScope {
-	const {forgetHandlers, ...ending} = createEnding(outer.endsAt, () => undefined);
-	const unsubscribe = outer.subscribe(ending.end);
+export function createChildScope(parent: CallScope): CallScope {
+	const {removeHandlers, ...state} = createScopeState(parent.deadlineAt, () => undefined);
+	const unsubscribe = parent.subscribe(state.end);
 	return {
-		...ending,
+		...state,
 		dispose() {
 			unsubscribe();
-			forgetHandlers();
+			removeHandlers();
 		},
 	};
 }
--- a/src/lib/forwarding/config-messages.ts
+++ b/src/lib/forwarding/config-messages.ts
@@ -38,12 +38,12 @@
 export type EncodedConfigAnswer = {readonly head: readonly [string]; readonly body: Uint8Array};
 
 /** Configurations are much the same from route to route: the fastest compression makes them some eight times smaller. */
-const compression = {level: 1} as const;
+const compressionOptions = {level: 1} as const;
 
 /** The largest text that is taken from another node, in bytes: several times what the store of the users holds in a value. */
-const maxTextBytes = 16_777_216;
+const maxInflatedBytes = 16_777_216;
 
-const encodeText = (text: string): Uint8Array => getZlib().deflateRawSync(Buffer.from(text), compression);
+const compressText = (text: string): Uint8Array => getZlib().deflateRawSync(Buffer.from(text), compressionOptions);
 
 /**
  * @param answer - What is sent; `undefined` for nothing.
@@ -57,17 +57,17 @@
 		}
 
 		case 'whole': {
-			return {head: ['whole'], body: encodeText(answer.text)};
+			return {head: ['whole'], body: compressText(answer.text)};
 		}
 
 		case 'steps': {
-			return {head: ['steps'], body: encodeText(JSON.stringify(answer.steps))};
+			return {head: ['steps'], body: compressText(JSON.stringify(answer.steps))};
 		}
 	}
 }
 
 function decodeBody(type: 'whole' | 'steps', body: Uint8Array): ConfigAnswer | undefined {
-	const text = getZlib().inflateRawSync(body, {maxOutputLength: maxTextBytes}).toString();
+	const text = getZlib().inflateRawSync(body, {maxOutputLength: maxInflatedBytes}).toString();
 	if (type === 'whole') {
 		return {type, text};
 	}
--- a/src/lib/forwarding/entry-server.ts
+++ b/src/lib/forwarding/entry-server.ts
@@ -23,14 +23,14 @@
 import {type ReturningCallers} from '../decisions/returning-callers.js';
 import {createRequestMark} from '../quarantine/request-mark.js';
 import {createByteBudget} from './byte-budget.js';
-import {createCallScope, endGraceMs, type CallScope} from './call-scope.js';
+import {createCallScope, deadlineGraceMs, type CallScope} from './call-scope.js';
 import {
-	filterCallHeaders, getAmount, getText, type WireHeaders,
+	removeHopByHopHeaders, getNumberHeader, getStringHeader, type CallHeaderNames,
 } from './call-headers.js';
 import {watchConnections} from './connection-scopes.js';
 import {type ForwardAnswer, type ForwardFailure} from './forward-result.js';
 import {
-	BodyTooLargeError, BodyTooLateError, hasBody, NoRoomForBodyError, readBody,
+	BodyTooLargeError, BodyTimeoutError, hasBody, BodyMemoryError, readBody,
 } from './read-body.js';
 import {type CallOutcome, type SendContext} from './outgoing-call.js';
 import {chooseFailureStatus, sendCall} from './send-call.js';
@@ -51,18 +51,18 @@
 
 /** @internal */
 export type EntryContext = SendContext & {
-	readonly wire: WireHeaders;
+	readonly headerNames: CallHeaderNames;
 	readonly getConfig: () => HeldConfig | undefined;
 	/** Whether a newer configuration is known of than that one. */
-	readonly isBehind: () => boolean;
+	readonly isConfigOutdated: () => boolean;
 	/** Waits until it is here, or a moment has passed. */
-	readonly waitForNewer: () => Promise<void>;
+	readonly waitForNewerConfig: () => Promise<void>;
 	readonly splitter: ShareSplitter;
-	readonly returningCallers: ReturningCallers;
-	readonly awaitedRoutes: AwaitedRoutes;
+	readonly callerRetryDetector: ReturningCallers;
+	readonly nestedCallDetector: AwaitedRoutes;
 	readonly log: MeshLog;
 	/** Waits until the work on a request may begin: whatever has arrived meanwhile is heard first if this process lags behind. */
-	readonly waitForWork: (isNewConnection: boolean) => Promise<void>;
+	readonly waitForPendingInput: (isNewConnection: boolean) => Promise<void>;
 	/** For how long a request that was read just now may have lain unread, in milliseconds. */
 	readonly estimateUnreadMs: LoopLag['estimateUnreadMs'];
 	readonly handleFinished: (call: FinishedCall) => void;
@@ -74,7 +74,7 @@
 	readonly applyLimits: (limits: CallerLimits) => void;
 	readonly countCalls: () => number;
 	/** Connections of callers who have not read their answers yet. */
-	readonly countUnsent: () => number;
+	readonly countUnsentAnswers: () => number;
 	/** From here on each answer closes its connection. */
 	readonly startClosing: () => void;
 	/** Takes no more connections, and closes those that carry nothing. */
@@ -87,33 +87,33 @@
 	readonly request: IncomingMessage;
 	readonly response: ServerResponse;
 	readonly receivedAt: number;
-	readonly askForBody: () => void;
+	readonly sendContinue: () => void;
 };
 
 /** The largest head that is taken before a configuration says otherwise. Bytes. */
 const maxHeaderBytes = 65_536;
 
 /** Connections are kept this much longer than callers are told, in milliseconds: a request may be on its way when the time is over. */
-const idleGraceMs = 1000;
+const keepAliveGraceMs = 1000;
 
 /** What bodies may hold of this node's memory together. Bytes: a third of what the smallest VMs of the users give a process. */
-const maxHeldBytes = 83_886_080;
+const maxBufferedBodyBytes = 83_886_080;
 
 /** When memory for a large body may be free again. Milliseconds. */
-const bodyRetryMs = 1000;
+const bodyMemoryRetryMs = 1000;
 
 /** When a node without a configuration is worth asking again, in milliseconds. */
-const notReadyRetryMs = 250;
+const noConfigRetryMs = 250;
 
 /** When a node that is behind is worth asking again, in milliseconds: most get a newer configuration sooner. */
-const behindRetryMs = 300;
+const outdatedConfigRetryMs = 300;
 
 /** When a route that leads nowhere may lead somewhere again: with the next configuration. Milliseconds: changes come many times an hour, not many times a second. */
-const unreadRetryMs = 1000;
+const unusableRouteRetryMs = 1000;
 
 /** What a caller is told whose body was not taken: none of these was run. */
-function chooseBodyStatus(error: unknown): number {
-	if (error instanceof BodyTooLateError) {
+function chooseBodyErrorStatus(error: unknown): number {
+	if (error instanceof BodyTimeoutError) {
 		return 408;
 	}
 
@@ -128,19 +128,19 @@
  * @internal
  */
 export function createEntryServer(context: EntryContext): EntryServer {
-	const {wire, log, random} = context;
+	const {headerNames, log, random} = context;
 	const server = createServer({
 		maxHeaderSize: maxHeaderBytes, noDelay: true, requestTimeout: 0, connectionsCheckingInterval: 1000,
 	});
 	const connections = watchConnections(server);
 	let calls = 0;
-	const heldBodies = createByteBudget(maxHeldBytes);
+	const bodyBudget = createByteBudget(maxBufferedBodyBytes);
 	let isClosing = false;
 
 	const getClosingHeaders = (request: IncomingMessage): {readonly connection?: string} =>
 		isClosing || !request.complete ? {connection: 'close'} : {};
 
-	const refuse = ({id, request, response}: EntryCall, status: number, reason: string, comeBackMs = 0): void => {
+	const refuse = ({id, request, response}: EntryCall, status: number, reason: string, retryAfterMs = 0): void => {
 		if (response.destroyed || response.headersSent) {
 			return;
 		}
@@ -149,8 +149,8 @@
 		response.writeHead(status, {
 			'content-type': 'application/json',
 			'content-length': body.length,
-			[wire.callId]: id,
-			...comeBackMs > 0 ? {'retry-after': (comeBackMs / 1000).toFixed(3)} : {},
+			[headerNames.callId]: id,
+			...retryAfterMs > 0 ? {'retry-after': (retryAfterMs / 1000).toFixed(3)} : {},
 			...getClosingHeaders(request),
 		});
 		response.end(body);
@@ -173,53 +173,53 @@
 		return status;
 	};
 
-	const refuseEarly = (call: EntryCall, version: number, status: number, reason: string, comeBackMs = 0): void => {
+	const refuseAndLog = (call: EntryCall, version: number, status: number, reason: string, retryAfterMs = 0): void => {
 		log.record('info', {
 			kind: 'request-refused', call: call.id, status, reason, host: call.request.headers.host ?? '', path: call.request.url ?? '', version,
 		});
-		refuse(call, status, reason, comeBackMs);
+		refuse(call, status, reason, retryAfterMs);
 	};
 
 	/** Refuses a request that no known route matches; one that may be meant for a route that could not be read, or that is not here yet, is not told that there is none. */
-	const refuseUnrouted = (call: EntryCall, {config: {version, unreadHosts}}: HeldConfig): void => {
+	const refuseUnmatched = (call: EntryCall, {config: {version, unreadHosts}}: HeldConfig): void => {
 		if (unreadHosts.has(cutPort(call.request.headers.host ?? ''))) {
-			refuseEarly(call, version, 503, 'no route that this node can read matches host and path', unreadRetryMs);
+			refuseAndLog(call, version, 503, 'no route that this node can read matches host and path', unusableRouteRetryMs);
 			return;
 		}
 
-		if (context.isBehind()) {
-			refuseEarly(call, version, 503, 'no route matches host and path, and a newer version is known of that is not here yet', behindRetryMs);
+		if (context.isConfigOutdated()) {
+			refuseAndLog(call, version, 503, 'no route matches host and path, and a newer version is known of that is not here yet', outdatedConfigRetryMs);
 			return;
 		}
 
-		refuseEarly(call, version, 404, 'no route matches host and path');
+		refuseAndLog(call, version, 404, 'no route matches host and path');
 	};
 
-	const takeBody = async (call: EntryCall, maxBodyBytes: number, scope: CallScope): Promise<Uint8Array | undefined | 'refused'> => {
+	const readCallBody = async (call: EntryCall, maxBodyBytes: number, scope: CallScope): Promise<Uint8Array | undefined | 'refused'> => {
 		if (!hasBody(call.request)) {
 			return undefined;
 		}
 
-		call.askForBody();
+		call.sendContinue();
 		try {
-			return await readBody(call.request, maxBodyBytes, heldBodies, handleEnd => scope.subscribe(reason => {
+			return await readBody(call.request, maxBodyBytes, bodyBudget, handleEnd => scope.subscribe(reason => {
 				// A connection that has closed is told by the request itself.
 				if (reason === 'timeout') {
 					handleEnd();
 				}
 			}));
 		} catch (error) {
-			if (error instanceof NoRoomForBodyError) {
-				refuseEarly(call, context.getConfig()?.config.version ?? 0, 503, error.message, bodyRetryMs);
+			if (error instanceof BodyMemoryError) {
+				refuseAndLog(call, context.getConfig()?.config.version ?? 0, 503, error.message, bodyMemoryRetryMs);
 				return 'refused';
 			}
 
-			refuseEarly(call, context.getConfig()?.config.version ?? 0, chooseBodyStatus(error), (error as Error).message);
+			refuseAndLog(call, context.getConfig()?.config.version ?? 0, chooseBodyErrorStatus(error), (error as Error).message);
 			return 'refused';
 		}
 	};
 
-	const finish = (call: EntryCall, scope: CallScope, held: HeldConfig, outcome: CallOutcome & {readonly route: RouteRule; readonly service: string}): void => {
+	const finish = (call: EntryCall, scope: CallScope, activeConfig: HeldConfig, outcome: CallOutcome & {readonly route: RouteRule; readonly service: string}): void => {
 		const {result, verdict, attempts} = outcome;
 		const now = readSteadyMs();
 		const status = result.type === 'answered' ? result.status : sendFailure(call, result, verdict, outcome.route.targetLatencyMs);
@@ -228,10 +228,10 @@
 		}
 
 		context.handleFinished({
-			id: call.id, route: outcome.route.name, service: outcome.service, version: held.config.version, status, verdict, attempts,
+			id: call.id, route: outcome.route.name, service: outcome.service, version: activeConfig.config.version, status, verdict, attempts,
 			reason: result.type === 'answered' ? 'answered' : `${result.reason}: ${result.detail}`,
 			tookMs: Math.round(now - call.receivedAt),
-			leftMs: Math.round(scope.endsAt - now),
+			leftMs: Math.round(scope.deadlineAt - now),
 		});
 	};
 
@@ -239,64 +239,64 @@
 
 	/** The configuration that a request is handled by: if no route of the one in force matches it and a newer one is known of, that one is waited for. */
 	const chooseConfig = async (request: IncomingMessage): Promise<HeldConfig | undefined> => {
-		const held = context.getConfig();
-		if (held === undefined || !context.isBehind() || findRouteIn(held, request) !== undefined) {
-			return held;
+		const activeConfig = context.getConfig();
+		if (activeConfig === undefined || !context.isConfigOutdated() || findRouteIn(activeConfig, request) !== undefined) {
+			return activeConfig;
 		}
 
-		await context.waitForNewer();
+		await context.waitForNewerConfig();
 		return context.getConfig();
 	};
 
-	const run = async (call: EntryCall): Promise<void> => {
+	const runCall = async (call: EntryCall): Promise<void> => {
 		const {request} = call;
-		const held = context.isBehind() ? await chooseConfig(request) : context.getConfig();
-		if (held === undefined) {
-			refuseEarly(call, 0, 503, 'this node has no configuration yet', notReadyRetryMs);
+		const activeConfig = context.isConfigOutdated() ? await chooseConfig(request) : context.getConfig();
+		if (activeConfig === undefined) {
+			refuseAndLog(call, 0, 503, 'this node has no configuration yet', noConfigRetryMs);
 			return;
 		}
 
-		const {version, limits} = held.config;
-		const route = findRouteIn(held, request);
+		const {version, limits} = activeConfig.config;
+		const route = findRouteIn(activeConfig, request);
 		if (route === undefined) {
-			refuseUnrouted(call, held);
+			refuseUnmatched(call, activeConfig);
 			return;
 		}
 
 		if (call.id === '') {
-			refuseEarly(call, version, 400, `the request lacks the header ${wire.callId}`);
+			refuseAndLog(call, version, 400, `the request lacks the header ${headerNames.callId}`);
 			return;
 		}
 
 		const service = context.splitter.pick(route);
 		if (service === undefined) {
-			refuseEarly(call, version, 503, 'no part of the route takes traffic', unreadRetryMs);
+			refuseAndLog(call, version, 503, 'no part of the route takes traffic', unusableRouteRetryMs);
 			return;
 		}
 
-		const callerWaitsMs = getAmount(request.headers, wire.timeLeft) ?? route.timeoutMs;
-		const isAwaited = context.awaitedRoutes.note(service, route.name, route.targetLatencyMs);
+		const callerTimeoutMs = getNumberHeader(request.headers, headerNames.timeLeft) ?? route.timeoutMs;
+		const isNestedCall = context.nestedCallDetector.note(service, route.name, route.targetLatencyMs);
 		// The time left of calls that backend servers make is that of their own callers.
-		const ageMs = isAwaited ? 0 : context.returningCallers.note(route.name, callerWaitsMs);
-		const timeLeftMs = Math.min(callerWaitsMs, route.timeoutMs);
-		let heldBytes = 0;
-		const scope = createCallScope(call.receivedAt + timeLeftMs + endGraceMs);
-		const forget = connections.add(request.socket, scope);
+		const ageMs = isNestedCall ? 0 : context.callerRetryDetector.note(route.name, callerTimeoutMs);
+		const timeLeftMs = Math.min(callerTimeoutMs, route.timeoutMs);
+		let bufferedBytes = 0;
+		const scope = createCallScope(call.receivedAt + timeLeftMs + deadlineGraceMs);
+		const removeFromConnection = connections.add(request.socket, scope);
 		try {
-			await context.waitForWork(request.socket.bytesWritten === 0);
-			if (scope.getEnd() === 'cancelled') {
+			await context.waitForPendingInput(request.socket.bytesWritten === 0);
+			if (scope.getEndReason() === 'cancelled') {
 				log.record('info', {
 					kind: 'caller-left', call: call.id, route: route.name, waitedMs: Math.round(readSteadyMs() - call.receivedAt),
 				});
 				return;
 			}
 
-			const body = await takeBody(call, limits.maxBodyBytes, scope);
+			const body = await readCallBody(call, limits.maxBodyBytes, scope);
 			if (body === 'refused') {
 				return;
 			}
 
-			heldBytes = body?.length ?? 0;
+			bufferedBytes = body?.length ?? 0;
 
 			const {method = 'GET', url: target = '/'} = request;
 			const outcome = await sendCall(context, {
@@ -305,28 +305,28 @@
 				service,
 				method,
 				target,
-				headers: filterCallHeaders(request.headers),
+				headers: removeHopByHopHeaders(request.headers),
 				body,
-				mark: createRequestMark({
+				fingerprint: createRequestMark({
 					method, host: request.headers.host ?? '', target, body,
 				}),
 				receivedAt: call.receivedAt,
-				isAwaited,
+				isNestedCall,
 				ageMs,
 				scope,
 			});
-			finish(call, scope, held, {...outcome, route, service});
+			finish(call, scope, activeConfig, {...outcome, route, service});
 		} finally {
-			heldBodies.release(heldBytes);
-			forget();
+			bodyBudget.release(bufferedBytes);
+			removeFromConnection();
 			scope.dispose();
 		}
 	};
 
-	const runSafely = async (call: EntryCall): Promise<void> => {
+	const runAndCatch = async (call: EntryCall): Promise<void> => {
 		calls++;
 		try {
-			await run(call);
+			await runCall(call);
 		} catch (error) {
 			// A fault of this program: the caller must not take what it has so far for an answer.
 			log.record('error', {kind: 'node-failed', reason: (error as Error).stack ?? String(error)});
@@ -336,10 +336,10 @@
 		}
 	};
 
-	const handle = (request: IncomingMessage, response: ServerResponse, askForBody: () => void): void => {
-		const id = getText(request.headers, wire.callId) ?? '';
-		void runSafely({
-			id, request, response, receivedAt: readSteadyMs() - context.estimateUnreadMs(), askForBody,
+	const handle = (request: IncomingMessage, response: ServerResponse, sendContinue: () => void): void => {
+		const id = getStringHeader(request.headers, headerNames.callId) ?? '';
+		void runAndCatch({
+			id, request, response, receivedAt: readSteadyMs() - context.estimateUnreadMs(), sendContinue,
 		});
 	};
 
@@ -355,11 +355,11 @@
 	return {
 		server,
 		applyLimits(limits) {
-			server.keepAliveTimeout = limits.idleTimeoutMs + idleGraceMs;
+			server.keepAliveTimeout = limits.idleTimeoutMs + keepAliveGraceMs;
 			server.headersTimeout = limits.headerTimeoutMs;
 		},
 		countCalls: () => calls,
-		countUnsent: connections.countUnsent,
+		countUnsentAnswers: connections.countUnsent,
 		startClosing() {
 			isClosing = true;
 		},
--- a/src/lib/forwarding/exchange.ts
+++ b/src/lib/forwarding/exchange.ts
@@ -5,7 +5,7 @@
  */
 import {type IncomingHttpHeaders, type OutgoingHttpHeaders} from 'node:http';
 import {createAnswerReader, type WholeAnswer} from './answer-reader.js';
-import {type CallScope, type ScopeEnd} from './call-scope.js';
+import {type CallScope, type ScopeEndReason} from './call-scope.js';
 import {type CarriedCall, type ServerConnection, type ServerConnections} from './server-connections.js';
 
 /** What is sent. @internal */
@@ -37,7 +37,7 @@
 	readonly type: 'failed';
 	/** Whether a byte of the request may have arrived. */
 	readonly isSent: boolean;
-	readonly reason: 'unreachable' | 'connection-lost' | 'wrong-answer' | ScopeEnd;
+	readonly reason: 'unreachable' | 'connection-lost' | 'wrong-answer' | ScopeEndReason;
 	readonly detail: string;
 };
 
--- a/src/lib/forwarding/frame.test.ts
+++ b/src/lib/forwarding/frame.test.ts
@@ -55,7 +55,7 @@
 		assert.equal(reader.read(Buffer.from([byte])).length, 0);
 	}
 
-	assert.ok(reader.countHeldBytes() > bytes.length && reader.countHeldBytes() < bytes.length * 1.5, `${reader.countHeldBytes()} bytes`);
+	assert.ok(reader.countBufferedBytes() > bytes.length && reader.countBufferedBytes() < bytes.length * 1.5, `${reader.countBufferedBytes()} bytes`);
 	assert.equal(reader.read(Buffer.alloc(1))[0]?.body.length, 200_000);
 });
 
--- a/src/lib/forwarding/frame.ts
+++ b/src/lib/forwarding/frame.ts
@@ -46,8 +46,8 @@
 };
 
 /** Type, id and length of the head. */
-const fixedBytes = 9;
-const lengthBytes = 4;
+const fixedHeaderBytes = 9;
+const lengthFieldBytes = 4;
 
 /** A longer frame is no frame of ours. Bytes: what an entry holds of all bodies together, which an answer of a backend server may pass, and a head. */
 const maxFrameBytes = 134_217_728;
@@ -56,30 +56,30 @@
 const maxHeadBytes = 1_048_576;
 
 /** So many pieces are held before small ones are joined: what comes in pieces of a few bytes would take a hundred times their memory. */
-const heldPieces = 64;
+const maxUnjoinedChunkCount = 64;
 
 /** Memory that a piece takes beside its own bytes. */
-const pieceBytes = 128;
+const chunkOverheadBytes = 128;
 
 /** Pieces that are smaller on average are joined. Bytes: each piece more costs a copy of so many. */
-const smallPieceBytes = 1024;
+const smallChunkBytes = 1024;
 
-const nothing = Buffer.alloc(0);
+const emptyBody = Buffer.alloc(0);
 
 /**
  * @param frame - A frame; its head and body may be left out.
  * @returns Its bytes, without those of the body.
  * @internal
  */
-export function encodeFrameHead({type, id, head, body = nothing}: Pick<Frame, 'type' | 'id'> & Partial<Frame>): Uint8Array {
+export function encodeFrameHead({type, id, head, body = emptyBody}: Pick<Frame, 'type' | 'id'> & Partial<Frame>): Uint8Array {
 	const text = head === undefined ? '' : JSON.stringify(head);
 	const headBytes = Buffer.byteLength(text);
-	const bytes = Buffer.allocUnsafe(lengthBytes + fixedBytes + headBytes);
-	bytes.writeUInt32LE(fixedBytes + headBytes + body.length, 0);
+	const bytes = Buffer.allocUnsafe(lengthFieldBytes + fixedHeaderBytes + headBytes);
+	bytes.writeUInt32LE(fixedHeaderBytes + headBytes + body.length, 0);
 	bytes.writeUInt8(frameTypes.indexOf(type), 4);
 	bytes.writeUInt32LE(id, 5);
 	bytes.writeUInt32LE(headBytes, 9);
-	bytes.write(text, lengthBytes + fixedBytes);
+	bytes.write(text, lengthFieldBytes + fixedHeaderBytes);
 	return bytes;
 }
 
@@ -114,21 +114,21 @@
 	/** Takes bytes; yields the frames that are whole now. Throws as soon as the bytes cannot be frames. */
 	readonly read: (bytes: Uint8Array) => readonly Frame[];
 	/** Memory that is held for a frame that is not whole yet. Bytes. */
-	readonly countHeldBytes: () => number;
+	readonly countBufferedBytes: () => number;
 };
 
 /** The same bytes, with the methods that read numbers. */
 const toBuffer = ({buffer, byteOffset, byteLength}: Uint8Array) => Buffer.from(buffer, byteOffset, byteLength);
 
 /** Checks what stands before the head of a frame: its type, its id and the length of its head. */
-function checkFixedPart(start: ReturnType<typeof toBuffer>, length: number): void {
-	const type = start.readUInt8(lengthBytes);
+function checkFixedHeader(start: ReturnType<typeof toBuffer>, length: number): void {
+	const type = start.readUInt8(lengthFieldBytes);
 	if (type >= frameTypes.length) {
 		throw new FieldError('frame.type', type, `less than ${frameTypes.length}`);
 	}
 
-	const headBytes = start.readUInt32LE(lengthBytes + 5);
-	if (headBytes > Math.min(maxHeadBytes, length - fixedBytes)) {
+	const headBytes = start.readUInt32LE(lengthFieldBytes + 5);
+	if (headBytes > Math.min(maxHeadBytes, length - fixedHeaderBytes)) {
 		throw new FieldError('frame.headLength', headBytes, `${maxHeadBytes} bytes at the most, and not longer than its frame`);
 	}
 }
@@ -136,8 +136,8 @@
 /** Decodes a frame whose fixed part was checked. */
 function decodeFrame(whole: Uint8Array): Frame {
 	const bytes = toBuffer(whole);
-	const headEnd = fixedBytes + bytes.readUInt32LE(5);
-	const text = bytes.toString('utf8', fixedBytes, headEnd);
+	const headEnd = fixedHeaderBytes + bytes.readUInt32LE(5);
+	const text = bytes.toString('utf8', fixedHeaderBytes, headEnd);
 	return {
 		type: frameTypes[bytes.readUInt8(0)]!, id: bytes.readUInt32LE(1), head: text === '' ? undefined : JSON.parse(text) as unknown, body: bytes.subarray(headEnd),
 	};
@@ -149,38 +149,38 @@
  */
 export function createFrameReader(): FrameReader {
 	let chunks: Uint8Array[] = [];
-	let held = 0;
+	let bufferedBytes = 0;
 
 	/** Joins what is held only when a frame is whole: a large body comes in many pieces. */
 	const join = (): Uint8Array => {
 		const [first] = chunks;
-		const joined = chunks.length === 1 && first !== undefined ? first : Buffer.concat(chunks, held);
+		const joined = chunks.length === 1 && first !== undefined ? first : Buffer.concat(chunks, bufferedBytes);
 		chunks = [joined];
 		return joined;
 	};
 
 	/** Joins small pieces: each costs some hundred bytes beside its own. */
-	const joinSmallPieces = (): void => {
-		if (chunks.length > heldPieces && held < chunks.length * smallPieceBytes) {
+	const joinSmallChunks = (): void => {
+		if (chunks.length > maxUnjoinedChunkCount && bufferedBytes < chunks.length * smallChunkBytes) {
 			join();
 		}
 	};
 
 	/** Reads lengths as soon as they are there: a frame that is too long is not waited for. */
-	const getNextLength = (): number | undefined => {
+	const readNextLength = (): number | undefined => {
 		const [first] = chunks;
-		if (held < lengthBytes || first === undefined) {
+		if (bufferedBytes < lengthFieldBytes || first === undefined) {
 			return undefined;
 		}
 
-		const start = toBuffer(first.length >= Math.min(held, lengthBytes + fixedBytes) ? first : join());
+		const start = toBuffer(first.length >= Math.min(bufferedBytes, lengthFieldBytes + fixedHeaderBytes) ? first : join());
 		const length = start.readUInt32LE(0);
-		if (length < fixedBytes || length > maxFrameBytes) {
-			throw new FieldError('frame.length', length, `${fixedBytes} to ${maxFrameBytes} bytes`);
+		if (length < fixedHeaderBytes || length > maxFrameBytes) {
+			throw new FieldError('frame.length', length, `${fixedHeaderBytes} to ${maxFrameBytes} bytes`);
 		}
 
-		if (start.length >= lengthBytes + fixedBytes) {
-			checkFixedPart(start, length);
+		if (start.length >= lengthFieldBytes + fixedHeaderBytes) {
+			checkFixedHeader(start, length);
 		}
 
 		return length;
@@ -189,18 +189,18 @@
 	return {
 		read(bytes) {
 			chunks.push(bytes);
-			held += bytes.length;
-			joinSmallPieces();
+			bufferedBytes += bytes.length;
+			joinSmallChunks();
 			const frames: Frame[] = [];
-			for (let length = getNextLength(); length !== undefined && held >= lengthBytes + length; length = getNextLength()) {
+			for (let length = readNextLength(); length !== undefined && bufferedBytes >= lengthFieldBytes + length; length = readNextLength()) {
 				const joined = join();
-				frames.push(decodeFrame(joined.subarray(lengthBytes, lengthBytes + length)));
-				held -= lengthBytes + length;
-				chunks = held === 0 ? [] : [joined.subarray(lengthBytes + length)];
+				frames.push(decodeFrame(joined.subarray(lengthFieldBytes, lengthFieldBytes + length)));
+				bufferedBytes -= lengthFieldBytes + length;
+				chunks = bufferedBytes === 0 ? [] : [joined.subarray(lengthFieldBytes + length)];
 			}
 
 			return frames;
 		},
-		countHeldBytes: () => held + (chunks.length * pieceBytes),
+		countBufferedBytes: () => bufferedBytes + (chunks.length * chunkOverheadBytes),
 	};
 }
--- a/src/lib/forwarding/full-link.test.ts
+++ b/src/lib/forwarding/full-link.test.ts
@@ -156,7 +156,7 @@
 
 	assert.equal(await send(), 'not-run node-unreachable');
 	// As a node does with the connections of one that could not be reached.
-	client.renew(address, 'unreachable');
+	client.renewConnections(address, 'unreachable');
 	await sleep(300);
 	assert.deepEqual(heard, []);
 	assert.equal(await send(), 'not-run full');
@@ -176,7 +176,7 @@
 	context.after(client.dispose);
 	const scopes = [createCallScope(readSteadyMs() + 1000), createCallScope(readSteadyMs() + 1000)];
 	const first = client.fetchConfig(address, 7, scopes[0]!);
-	client.renew(address, 'back');
+	client.renewConnections(address, 'back');
 	const second = await client.fetchConfig(address, 7, scopes[1]!);
 	assert.ok(second.isOk());
 	scopes[0]!.end('cancelled');
@@ -200,7 +200,7 @@
 				}
 			}
 
-			cut = reader.countHeldBytes();
+			cut = reader.countBufferedBytes();
 		});
 		socket.on('error', () => undefined);
 	}));
--- a/src/lib/forwarding/gate-server.ts
+++ b/src/lib/forwarding/gate-server.ts
@@ -214,7 +214,7 @@
 			handleFrame(connection, frame);
 		}
 
-		noteHeld(connection, reader.countHeldBytes());
+		noteHeld(connection, reader.countBufferedBytes());
 		if (heldBytes > mostHeldBytes) {
 			throw new FloodError(`more than ${mostHeldBytes} bytes of frames that are not whole`);
 		}
--- a/src/lib/forwarding/local-gate.test.ts
+++ b/src/lib/forwarding/local-gate.test.ts
@@ -11,10 +11,10 @@
 import {computeLinkPace} from '../decisions/link-demand.js';
 import {silentLog} from '../timeline/mesh-log.js';
 import {createCallScope} from './call-scope.js';
-import {type WireHeaders} from './call-headers.js';
+import {type CallHeaderNames} from './call-headers.js';
 import {createLocalGate, type GateCall, type LocalGate} from './local-gate.js';
 
-const wire: WireHeaders = {
+const wire: CallHeaderNames = {
 	callId: 'x-call', timeLeft: 'x-left', expectedServer: 'x-server', callerService: 'x-caller', signature: 'x-signature', notRun: 'x-not-run',
 };
 const id = toBackendServerId('i-1');
--- a/src/lib/forwarding/local-gate.ts
+++ b/src/lib/forwarding/local-gate.ts
@@ -21,7 +21,7 @@
 import {describeRefusal as describeQuarantine, type Quarantine} from '../quarantine/quarantine.js';
 import {type ServerReport, type ServerState} from '../peers/peer-report.js';
 import {type MeshLog} from '../timeline/mesh-log.js';
-import {type WireHeaders} from './call-headers.js';
+import {type CallHeaderNames} from './call-headers.js';
 import {
 	createNotRun, type ForwardFailure, type ForwardResult, type GateLoad, type GateResult,
 } from './forward-result.js';
@@ -48,7 +48,7 @@
 
 /** @internal */
 export type LocalGateContext = {
-	readonly wire: WireHeaders;
+	readonly wire: CallHeaderNames;
 	readonly log: MeshLog;
 	/** Told whenever the other nodes should hear of a change at once. */
 	readonly handleChange: () => void;
@@ -209,7 +209,7 @@
 	};
 
 	const describeWait = ({rank, mayWaitMs, scope}: GateCall): SlotRequest => ({
-		rank, mayWaitMs, lastAt: scope.endsAt - lastRefusalMs, listenForEnd: scope.subscribe,
+		rank, mayWaitMs, lastAt: scope.deadlineAt - lastRefusalMs, listenForEnd: scope.subscribe,
 	});
 
 	const refuseWait = (call: GateCall, outcome: Exclude<SlotOutcome, {readonly type: 'run'}>, reason: string): ForwardFailure => {
@@ -223,7 +223,7 @@
 			}
 
 			case 'cancelled': {
-				return createNotRun(call.scope.getEnd() ?? 'cancelled', 'the caller has gone');
+				return createNotRun(call.scope.getEndReason() ?? 'cancelled', 'the caller has gone');
 			}
 		}
 	};
--- a/src/lib/forwarding/outgoing-call.ts
+++ b/src/lib/forwarding/outgoing-call.ts
@@ -29,11 +29,11 @@
 	readonly target: string;
 	readonly headers: Readonly<Record<string, string | readonly string[]>>;
 	readonly body: Uint8Array | undefined;
-	readonly mark: RequestMark;
+	readonly fingerprint: RequestMark;
 	/** Steady milliseconds. */
 	readonly receivedAt: number;
 	/** A backend server made it and holds a slot until it is answered. */
-	readonly isAwaited: boolean;
+	readonly isNestedCall: boolean;
 	/** Milliseconds since its caller first asked, when it was received. */
 	readonly ageMs: number;
 	readonly scope: CallScope;
@@ -58,7 +58,7 @@
 	readonly localGate: LocalGate;
 	readonly gateClient: GateClient;
 	readonly loads: LoadView;
-	readonly allowance: RetryAllowance;
+	readonly retryBudget: RetryAllowance;
 	readonly log: MeshLog;
 	readonly random: () => number;
 	readonly noteUnreachable: (node: NodeId, reason: string) => void;
--- a/src/lib/forwarding/peer-channel.test.ts
+++ b/src/lib/forwarding/peer-channel.test.ts
@@ -7,7 +7,7 @@
 import {openPeerChannel, type ChannelResult, type PeerChannel} from './peer-channel.js';
 
 /** A gate that treats frames as it is told. */
-async function openTo(context: TestContext, handleFrame: (frame: Frame, socket: Socket) => void): Promise<PeerChannel> {
+async function openChannelTo(context: TestContext, handleFrame: (frame: Frame, socket: Socket) => void): Promise<PeerChannel> {
 	const server = createServer(socket => {
 		const reader = createFrameReader();
 		socket.on('data', (bytes: Uint8Array) => {
@@ -28,9 +28,9 @@
 	return channel;
 }
 
-type Checked = {
+type CheckedRequest = {
 	readonly getResult: () => ChannelResult | 'waiting';
-	readonly countDoubts: () => number;
+	readonly countUnresponsiveReports: () => number;
 	/** Has the channel checked as a node does, half a second later each time. */
 	readonly check: (times: number) => Promise<void>;
 };
@@ -41,17 +41,17 @@
 });
 
 /** Sends a request on a channel whose checks run on a clock that is ahead. */
-function sendChecked(context: TestContext, channel: PeerChannel, getHeardAt: (now: number) => number | undefined): Checked {
+function sendChecked(context: TestContext, channel: PeerChannel, getHeardAt: (now: number) => number | undefined): CheckedRequest {
 	const scope = createCallScope(performance.now() + 60_000);
 	context.after(scope.dispose);
 	let result: ChannelResult | 'waiting' = 'waiting';
-	let doubts = 0;
+	let unresponsiveReports = 0;
 	let checks = 0;
 	const send = async (): Promise<void> => {
 		result = await channel.send({
 			type: 'request', head: [], body: undefined, scope,
-			handleDoubt() {
-				doubts++;
+			handleUnresponsive() {
+				unresponsiveReports++;
 			},
 		});
 	};
@@ -59,13 +59,13 @@
 	void send();
 	return {
 		getResult: () => result,
-		countDoubts: () => doubts,
+		countUnresponsiveReports: () => unresponsiveReports,
 		async check(times) {
 			for (let left = times; left > 0; left--) {
 				await settle();
 				checks++;
 				const now = performance.now() + (checks * 500);
-				channel.checkSilence(now, () => getHeardAt(now));
+				channel.checkLiveness(now, () => getHeardAt(now));
 			}
 
 			await settle();
@@ -80,11 +80,11 @@
 }
 
 test('a connection on which nothing arrives any more takes no new requests while its node is heard, and is given up later', async context => {
-	const channel = await openTo(context, () => undefined);
+	const channel = await openChannelTo(context, () => undefined);
 	const checked = sendChecked(context, channel, now => now);
 	await checked.check(5);
 	assert.equal(channel.isUsable(), false);
-	assert.ok(checked.countDoubts() > 0);
+	assert.ok(checked.countUnresponsiveReports() > 0);
 	assert.equal(checked.getResult(), 'waiting');
 	await checked.check(6);
 	const result = checked.getResult();
@@ -95,7 +95,7 @@
 
 test('a request whose connection was in doubt is still answered on it', async context => {
 	let answer = (): void => undefined;
-	const channel = await openTo(context, (frame, socket) => {
+	const channel = await openChannelTo(context, (frame, socket) => {
 		if (frame.type === 'request') {
 			answer = () => {
 				writeFrame(socket, {type: 'answer', id: frame.id, head: 'late'});
@@ -113,28 +113,28 @@
 });
 
 test('a node that only takes long, or that is not heard at all, keeps its connection', async context => {
-	const slow = await openTo(context, (frame, socket) => {
+	const slow = await openChannelTo(context, (frame, socket) => {
 		if (frame.type === 'ping') {
 			writeFrame(socket, {type: 'pong', id: frame.id});
 		}
 	});
 	assert.equal(await sendAndCheck(context, slow, now => now, 8), 'waiting');
 	assert.equal(slow.isUsable(), true);
-	const silent = await openTo(context, () => undefined);
+	const silent = await openChannelTo(context, () => undefined);
 	assert.equal(await sendAndCheck(context, silent, () => undefined, 8), 'waiting');
 	assert.equal(silent.isUsable(), true);
 });
 
 test('a node that was heard shortly before, and stands still since, keeps its connection', async context => {
-	const still = await openTo(context, () => undefined);
+	const frozen = await openChannelTo(context, () => undefined);
 	const heardAt = performance.now() + 400;
-	assert.equal(await sendAndCheck(context, still, () => heardAt, 8), 'waiting');
-	assert.equal(still.isUsable(), true);
+	assert.equal(await sendAndCheck(context, frozen, () => heardAt, 8), 'waiting');
+	assert.equal(frozen.isUsable(), true);
 });
 
 test('a connection that takes no more requests asks whether anything arrives, so that a process that has restarted resets it', async context => {
 	const frames: Frame[] = [];
-	const channel = await openTo(context, frame => {
+	const channel = await openChannelTo(context, frame => {
 		frames.push(frame);
 	});
 	const checked = sendChecked(context, channel, now => now);
--- a/src/lib/forwarding/peer-messages.ts
+++ b/src/lib/forwarding/peer-messages.ts
@@ -12,7 +12,7 @@
 import {
 	createMayHaveRun, parseForwardReason, type ForwardAnswer, type ForwardFailure, type GateLoad, type GateResult,
 } from './forward-result.js';
-import {readHeaders, type PassedHeaders} from './read-headers.js';
+import {readHeaders, type ForwardedHeaders} from './read-headers.js';
 
 /** A request for the backend server beside another node. @internal */
 export type PeerRequest = {
@@ -21,7 +21,7 @@
 	readonly server: BackendServerId;
 	readonly method: string;
 	readonly target: string;
-	readonly headers: PassedHeaders;
+	readonly headers: ForwardedHeaders;
 	readonly hasBody: boolean;
 	readonly callerService: string;
 	/** 0 goes first. */
@@ -36,21 +36,21 @@
 
 const roundToTenth = (value: number): number => Math.round(value * 10) / 10;
 
-const isText = (value: unknown): value is string => typeof value === 'string';
-const isAmount = (value: unknown): value is number => typeof value === 'number' && Number.isFinite(value) && value >= 0;
+const isString = (value: unknown): value is string => typeof value === 'string';
+const isNonNegativeNumber = (value: unknown): value is number => typeof value === 'number' && Number.isFinite(value) && value >= 0;
 
 /** The longest time that a message may name; whatever waits for it bounds its own timers. Milliseconds. */
-const longestMs = Number.MAX_SAFE_INTEGER;
+const maxTimeMs = Number.MAX_SAFE_INTEGER;
 
 /** The longest time after which a call may be said to be worth trying again. Milliseconds. */
-const longestRetryMs = 3_600_000;
+const maxRetryAfterMs = 3_600_000;
 
 /** Statuses that end a request. */
-const leastStatus = 200;
-const mostStatus = 999;
+const minFinalStatus = 200;
+const maxStatus = 999;
 
 /** Characters of what another node says for people. */
-const detailLength = 300;
+const maxDetailLength = 300;
 
 /**
  * Encodes a request as a list: the names of its fields would be a third of its bytes.
@@ -66,7 +66,7 @@
 }
 
 /** A body that is announced and does not come would be taken from the next request on the connection to the backend server. */
-function checkLength(headers: PassedHeaders, hasBody: boolean): void {
+function checkContentLength(headers: ForwardedHeaders, hasBody: boolean): void {
 	const length = headers['content-length'];
 	if (!hasBody && length !== undefined && length !== '0') {
 		throw new FieldError('request.headers.content-length', length, '0, since no body follows');
@@ -89,12 +89,12 @@
 		headers: readHeaders(headers, 'request.headers'),
 		hasBody: readFlag(hasBody, 'request.hasBody'),
 		callerService: readText(callerService, 'request.callerService'),
-		rank: readAmount(rank, 'request.rank', longestMs),
-		leftMs: readAmount(leftMs, 'request.leftMs', longestMs),
-		mayWaitMs: readAmount(mayWaitMs, 'request.mayWaitMs', longestMs),
-		...answerMayWaitMs === undefined || answerMayWaitMs === null ? {} : {answerMayWaitMs: readAmount(answerMayWaitMs, 'request.answerMayWaitMs', longestMs)},
+		rank: readAmount(rank, 'request.rank', maxTimeMs),
+		leftMs: readAmount(leftMs, 'request.leftMs', maxTimeMs),
+		mayWaitMs: readAmount(mayWaitMs, 'request.mayWaitMs', maxTimeMs),
+		...answerMayWaitMs === undefined || answerMayWaitMs === null ? {} : {answerMayWaitMs: readAmount(answerMayWaitMs, 'request.answerMayWaitMs', maxTimeMs)},
 	};
-	checkLength(request.headers, request.hasBody);
+	checkContentLength(request.headers, request.hasBody);
 	return request;
 }
 
@@ -103,7 +103,7 @@
 }
 
 function decodeLoad(value: unknown): GateLoad | undefined {
-	if (!Array.isArray(value) || value.length !== 4 || !value.every(amount => isAmount(amount))) {
+	if (!Array.isArray(value) || value.length !== 4 || !value.every(amount => isNonNegativeNumber(amount))) {
 		return undefined;
 	}
 
@@ -127,7 +127,7 @@
 
 /** An answer of a backend server; `undefined` if the head is that of none, or could not be written to a caller as it is. */
 function decodeAnswered([status, headers]: readonly unknown[], body: Uint8Array): ForwardAnswer | undefined {
-	if (!Number.isInteger(status) || (status as number) < leastStatus || (status as number) > mostStatus) {
+	if (!Number.isInteger(status) || (status as number) < minFinalStatus || (status as number) > maxStatus) {
 		return undefined;
 	}
 
@@ -141,18 +141,18 @@
 	}
 }
 
-const unreadable = createMayHaveRun('wrong-answer', 'an answer that cannot be read');
+const unreadableAnswer = createMayHaveRun('wrong-answer', 'an answer that cannot be read');
 
 function decodeFailed(verdict: Exclude<Verdict, 'ran'>, [reason, hasArrived, retryAfterMs, detail]: readonly unknown[]): ForwardFailure {
-	if (!isText(reason) || (hasArrived !== 0 && hasArrived !== 1)) {
-		return unreadable;
+	if (!isString(reason) || (hasArrived !== 0 && hasArrived !== 1)) {
+		return unreadableAnswer;
 	}
 
 	return {
 		type: 'failed', verdict,
 		reason: parseForwardReason(reason),
-		detail: isText(detail) ? detail.slice(0, detailLength) : '',
-		retryAfterMs: isAmount(retryAfterMs) ? Math.min(longestRetryMs, retryAfterMs) : 0,
+		detail: isString(detail) ? detail.slice(0, maxDetailLength) : '',
+		retryAfterMs: isNonNegativeNumber(retryAfterMs) ? Math.min(maxRetryAfterMs, retryAfterMs) : 0,
 		hasArrived: hasArrived === 1,
 	};
 }
@@ -168,10 +168,10 @@
 export function decodePeerAnswer(head: unknown, body: Uint8Array): GateResult {
 	const [verdictText, loadPart, ...rest] = Array.isArray(head) ? head as unknown[] : [];
 	const load = decodeLoad(loadPart);
-	const verdict = parseVerdict(isText(verdictText) ? verdictText : undefined);
+	const verdict = parseVerdict(isString(verdictText) ? verdictText : undefined);
 	switch (verdict) {
 		case 'ran': {
-			return {load, result: decodeAnswered(rest, body) ?? unreadable};
+			return {load, result: decodeAnswered(rest, body) ?? unreadableAnswer};
 		}
 
 		case 'not-run':
--- a/src/lib/forwarding/read-body.test.ts
+++ b/src/lib/forwarding/read-body.test.ts
@@ -4,7 +4,7 @@
 import test from 'node:test';
 import {createByteBudget} from './byte-budget.js';
 import {
-	BodyTooLargeError, BodyTooLateError, NoRoomForBodyError, readBody,
+	BodyTooLargeError, BodyTimeoutError, BodyMemoryError, readBody,
 } from './read-body.js';
 
 const createRequest = (): PassThrough & IncomingMessage => new PassThrough() as unknown as PassThrough & IncomingMessage;
@@ -27,7 +27,7 @@
 	const reading = readBody(crowded, 100, budget);
 	crowded.write('12345678');
 	crowded.write('9abc');
-	await assert.rejects(reading, NoRoomForBodyError);
+	await assert.rejects(reading, BodyMemoryError);
 	const large = createRequest();
 	const readingLarge = readBody(large, 5, budget);
 	large.write('123');
@@ -57,6 +57,6 @@
 	});
 	assert.equal(budget.take(6), false);
 	end();
-	await assert.rejects(reading, BodyTooLateError);
+	await assert.rejects(reading, BodyTimeoutError);
 	assert.equal(budget.take(10), true);
 });
--- a/src/lib/forwarding/read-body.ts
+++ b/src/lib/forwarding/read-body.ts
@@ -11,10 +11,10 @@
 export class BodyTooLargeError extends Error {}
 
 /** The time of the call was over before the body had come. @internal */
-export class BodyTooLateError extends Error {}
+export class BodyTimeoutError extends Error {}
 
 /** Other bodies hold the memory that this one needs. @internal */
-export class NoRoomForBodyError extends Error {}
+export class BodyMemoryError extends Error {}
 
 /**
  * @param request - A request.
@@ -30,7 +30,7 @@
  * @param request - A request.
  * @param maxBytes - The largest body that is taken.
  * @param budget - What all bodies may hold together. What a whole body took is released by whoever asked for it.
- * @param listenForEnd - Calls back when nobody waits any more; yields a function that takes that back.
+ * @param subscribeToEnd - Calls back when nobody waits any more; yields a function that takes that back.
  * @returns The body.
  * @throws When the connection ends early, when the body is larger, or when it has not come before nobody waits any more.
  * @internal
@@ -39,7 +39,7 @@
 	request: IncomingMessage,
 	maxBytes: number,
 	budget: ByteBudget = boundlessBudget,
-	listenForEnd: (handleEnd: () => void) => () => void = () => () => undefined,
+	subscribeToEnd: (handleEnd: () => void) => () => void = () => () => undefined,
 ): Promise<Uint8Array> {
 	return new Promise((resolve, reject) => {
 		const chunks: Uint8Array[] = [];
@@ -56,16 +56,16 @@
 			reject(error);
 		};
 
-		let isOver = false;
+		let isSettled = false;
 		request.on('data', (chunk: Uint8Array) => {
-			if (isOver) {
+			if (isSettled) {
 				return;
 			}
 
 			const isTooLarge = size + chunk.length > maxBytes;
 			if (isTooLarge || !budget.take(chunk.length)) {
-				isOver = true;
-				fail(isTooLarge ? new BodyTooLargeError(`the body is larger than ${maxBytes} bytes`) : new NoRoomForBodyError('other bodies hold the memory that this one needs'));
+				isSettled = true;
+				fail(isTooLarge ? new BodyTooLargeError(`the body is larger than ${maxBytes} bytes`) : new BodyMemoryError('other bodies hold the memory that this one needs'));
 				return;
 			}
 
@@ -73,28 +73,28 @@
 			chunks.push(chunk);
 		});
 		request.once('end', () => {
-			if (!isOver) {
-				isOver = true;
+			if (!isSettled) {
+				isSettled = true;
 				stopListening();
 				resolve(Buffer.concat(chunks, size));
 			}
 		});
 		request.once('error', error => {
-			if (!isOver) {
-				isOver = true;
+			if (!isSettled) {
+				isSettled = true;
 				fail(error);
 			}
 		});
 		request.once('close', () => {
-			if (!isOver) {
-				isOver = true;
+			if (!isSettled) {
+				isSettled = true;
 				fail(new Error('the connection closed within the body'));
 			}
 		});
-		stopListening = listenForEnd(() => {
-			if (!isOver) {
-				isOver = true;
-				fail(new BodyTooLateError('the time of the request was over before its body had come'));
+		stopListening = subscribeToEnd(() => {
+			if (!isSettled) {
+				isSettled = true;
+				fail(new BodyTimeoutError('the time of the request was over before its body had come'));
 			}
 		});
 	});
--- a/src/lib/forwarding/read-headers.ts
+++ b/src/lib/forwarding/read-headers.ts
@@ -9,15 +9,15 @@
 import {FieldError} from '../common/field-error.js';
 
 /** Headers that may be passed on. @internal */
-export type PassedHeaders = Readonly<Record<string, string | readonly string[]>>;
+export type ForwardedHeaders = Readonly<Record<string, string | readonly string[]>>;
 
 /** Nodes send names in lower case, so that one header has one name. */
-const fieldName = /^[a-z\d!#$%&'*+.^_`|~-]+$/;
+const headerNamePattern = /^[a-z\d!#$%&'*+.^_`|~-]+$/;
 
 /** What a value must not hold: it would end its line, or cannot be written. */
-const forbidden = /[^\t\u0020-\u007E\u0080-\u00FF]/;
+const forbiddenCharacter = /[^\t\u0020-\u007E\u0080-\u00FF]/;
 
-const isValue = (value: unknown): boolean => typeof value === 'string' && !forbidden.test(value);
+const isHeaderValue = (value: unknown): boolean => typeof value === 'string' && !forbiddenCharacter.test(value);
 
 /**
  * @param value - Any JSON.
@@ -26,7 +26,7 @@
  * @throws FieldError when one of them cannot be passed on.
  * @internal
  */
-export function readHeaders(value: unknown, place: string): PassedHeaders {
+export function readHeaders(value: unknown, place: string): ForwardedHeaders {
 	if (typeof value !== 'object' || value === null || Array.isArray(value)) {
 		throw new FieldError(place, value, 'headers by name');
 	}
@@ -34,7 +34,7 @@
 	const headers = value as Readonly<Record<string, unknown>>;
 	for (const name of Object.keys(headers)) {
 		const field = headers[name];
-		if (!fieldName.test(name)) {
+		if (!headerNamePattern.test(name)) {
 			throw new FieldError(place, name, 'the name of a header in lower case');
 		}
 
@@ -42,10 +42,10 @@
 			throw new FieldError(place, name, 'a header that does not belong to one connection; leave it out');
 		}
 
-		if (!isValue(field) && !(Array.isArray(field) && field.every(one => isValue(one)))) {
+		if (!isHeaderValue(field) && !(Array.isArray(field) && field.every(one => isHeaderValue(one)))) {
 			throw new FieldError(`${place}.${name}`, field, 'a text of one line, or a list of such texts');
 		}
 	}
 
-	return value as PassedHeaders;
+	return value as ForwardedHeaders;
 }
--- a/src/lib/forwarding/running-attempts.ts
+++ b/src/lib/forwarding/running-attempts.ts
@@ -8,7 +8,7 @@
 import {isBulk} from '../route-config/route-config.js';
 import {computeRank} from '../decisions/call-rank.js';
 import {type Candidate} from '../decisions/rank-servers.js';
-import {createInnerScope, type CallScope} from './call-scope.js';
+import {createChildScope, type CallScope} from './call-scope.js';
 import {createMayHaveRun, type ForwardResult, type GateResult} from './forward-result.js';
 import {type OutgoingCall, type SendContext} from './outgoing-call.js';
 
@@ -30,21 +30,21 @@
 export type AttemptEvent =
 	| {readonly type: 'ended'; readonly attempt: Attempt; readonly result: ForwardResult}
 	/** Nothing is heard of the server's node, or nothing arrives on the connection to it. The server may be at work all the same. */
-	| {readonly type: 'doubted'; readonly attempt: Attempt};
+	| {readonly type: 'unresponsive'; readonly attempt: Attempt};
 
 /** @internal */
 export type RunningAttempts = {
 	readonly count: () => number;
 	/** Whether nothing is heard of the nodes of all of them; so it is of none. */
-	readonly hasOnlyDoubted: () => boolean;
+	readonly areAllUnresponsive: () => boolean;
 	readonly start: (planned: Pick<Attempt, 'target' | 'mayWaitMs' | 'answerMayWaitMs'>) => Attempt;
 	/** Waits for what happens next to any of them. */
 	readonly waitForEvent: () => Promise<AttemptEvent>;
 	/** Breaks off all that are under way, since the call has its answer; yields them. */
-	readonly breakOff: () => readonly Attempt[];
+	readonly cancelAll: () => readonly Attempt[];
 };
 
-async function sendOnce(context: SendContext, call: OutgoingCall, {target, mayWaitMs, answerMayWaitMs, scope}: Attempt, handleDoubt: () => void): Promise<GateResult> {
+async function sendToGate(context: SendContext, call: OutgoingCall, {target, mayWaitMs, answerMayWaitMs, scope}: Attempt, handleUnresponsive: () => void): Promise<GateResult> {
 	const common = {
 		id: call.id, server: target.id, method: call.method, target: call.target, headers: call.headers, callerService: context.callerService,
 		mayWaitMs, rank: computeRank(call.route), scope,
@@ -54,12 +54,12 @@
 			...common, hasBody: call.body !== undefined, isTransfer: false, readBody: async () => call.body,
 		})
 		: context.gateClient.send({
-			...common, answerMayWaitMs, gate: target.gate, body: call.body, isBulk: isBulk(call.route.type), handleDoubt,
+			...common, answerMayWaitMs, gate: target.gate, body: call.body, isBulk: isBulk(call.route.type), handleUnresponsive,
 		});
 }
 
 /** What a call saw of a node goes before what the node says of itself. */
-function noteNode(context: SendContext, target: Candidate, result: ForwardResult): void {
+function reportReachability(context: SendContext, target: Candidate, result: ForwardResult): void {
 	if (target.isLocal) {
 		return;
 	}
@@ -79,11 +79,11 @@
  */
 export function createRunningAttempts(context: SendContext, call: OutgoingCall): RunningAttempts {
 	const running = new Set<Attempt>();
-	const doubted = new WeakSet<Attempt>();
+	const unresponsive = new WeakSet<Attempt>();
 	const events: AttemptEvent[] = [];
 	let handleEvent: ((event: AttemptEvent) => void) | undefined;
 
-	const tell = (event: AttemptEvent): void => {
+	const dispatchEvent = (event: AttemptEvent): void => {
 		if (handleEvent === undefined) {
 			events.push(event);
 			return;
@@ -93,7 +93,7 @@
 		handleEvent = undefined;
 	};
 
-	const noteLoad = ({target, startedAwakeAt}: Attempt, load: GateResult['load']): void => {
+	const recordLoad = ({target, startedAwakeAt}: Attempt, load: GateResult['load']): void => {
 		if (load === undefined) {
 			return;
 		}
@@ -103,19 +103,19 @@
 		context.loads.noteWay(target.lifetime, call.route.name, readAwakeMs() - startedAwakeAt - tookMs);
 	};
 
-	const sendWatched = async (attempt: Attempt): Promise<ForwardResult> => {
+	const sendAttempt = async (attempt: Attempt): Promise<ForwardResult> => {
 		const {target, scope} = attempt;
-		const handleDoubt = (): void => {
-			doubted.add(attempt);
-			tell({type: 'doubted', attempt});
+		const handleUnresponsive = (): void => {
+			unresponsive.add(attempt);
+			dispatchEvent({type: 'unresponsive', attempt});
 		};
 
-		const unwatch = target.isLocal ? (): void => undefined : context.watchSilence(target.node, handleDoubt);
+		const unwatch = target.isLocal ? (): void => undefined : context.watchSilence(target.node, handleUnresponsive);
 		context.loads.begin(target.lifetime);
 		try {
-			const {result, load} = await sendOnce(context, call, attempt, handleDoubt);
-			noteLoad(attempt, load);
-			noteNode(context, target, result);
+			const {result, load} = await sendToGate(context, call, attempt, handleUnresponsive);
+			recordLoad(attempt, load);
+			reportReachability(context, target, result);
 			return result;
 		} finally {
 			context.loads.end(target.lifetime);
@@ -127,7 +127,7 @@
 	const run = async (attempt: Attempt): Promise<void> => {
 		let result: ForwardResult;
 		try {
-			result = await sendWatched(attempt);
+			result = await sendAttempt(attempt);
 		} catch (error) {
 			// A fault of this program, which promises nothing.
 			context.log.record('error', {kind: 'node-failed', reason: (error as Error).stack ?? String(error)});
@@ -135,16 +135,16 @@
 		}
 
 		if (running.delete(attempt)) {
-			tell({type: 'ended', attempt, result});
+			dispatchEvent({type: 'ended', attempt, result});
 		}
 	};
 
 	return {
 		count: () => running.size,
-		hasOnlyDoubted: () => [...running].every(attempt => doubted.has(attempt)),
+		areAllUnresponsive: () => [...running].every(attempt => unresponsive.has(attempt)),
 		start(planned) {
 			const attempt: Attempt = {
-				...planned, startedAt: readSteadyMs(), startedAwakeAt: readAwakeMs(), scope: createInnerScope(call.scope),
+				...planned, startedAt: readSteadyMs(), startedAwakeAt: readAwakeMs(), scope: createChildScope(call.scope),
 			};
 			running.add(attempt);
 			void run(attempt);
@@ -156,14 +156,14 @@
 				handleEvent = resolve;
 			});
 		},
-		breakOff() {
-			const left = [...running];
+		cancelAll() {
+			const cancelled = [...running];
 			running.clear();
-			for (const {scope} of left) {
+			for (const {scope} of cancelled) {
 				scope.end('superseded');
 			}
 
-			return left;
+			return cancelled;
 		},
 	};
 }
--- a/src/lib/forwarding/send-call.test.ts
+++ b/src/lib/forwarding/send-call.test.ts
@@ -35,20 +35,20 @@
 	const sent: RemoteCall[] = [];
 	const unreachable: string[] = [];
 	const loads = createLoadView();
-	const left = new Map(Object.entries(servers).map(([id, results]) => [id, [...results]]));
+	const remainingResults = new Map(Object.entries(servers).map(([id, results]) => [id, [...results]]));
 	const listCandidates = (): readonly Candidate[] => Object.keys(servers).map(id => ({
 		id: toBackendServerId(id), lifetime: toKey(id), node: toNodeId(`n-${id}`), gate: toAddress('10.0.0.1:1'), domain, isLocal: false, slots: 4, isCold: false, view: loads.get(toKey(id)),
 	}));
 	const gateClient = {
 		async send(call: RemoteCall): Promise<GateResult> {
 			sent.push(call);
-			return {result: left.get(call.server)?.shift() ?? answered, load: undefined};
+			return {result: remainingResults.get(call.server)?.shift() ?? answered, load: undefined};
 		},
 	} as unknown as GateClient;
 	const context: SendContext = {
 		self: toNodeId('n1'), callerService: 'caller', domain, listCandidates, gateClient, loads, log: silentLog, quarantine: createQuietQuarantine(),
 		localGate: {} as unknown as LocalGate,
-		allowance: createRetryAllowance(() => ({ratio: 0.2, slack: 100, windowMs: 10_000}), () => 1),
+		retryBudget: createRetryAllowance(() => ({ratio: 0.2, slack: 100, windowMs: 10_000}), () => 1),
 		random: () => 0,
 		noteUnreachable(node) {
 			unreachable.push(node);
@@ -69,8 +69,8 @@
 
 function createCall(changes: Partial<OutgoingCall> = {}): OutgoingCall {
 	return {
-		id: 'c1', route: createSampleRoute({maxAttempts: 2}), service: 'logview', method: 'GET', target: '/logs/1', headers: {}, body: undefined, mark: createSampleMark(),
-		receivedAt: performance.now(), isAwaited: false, ageMs: 0, scope: createCallScope(performance.now() + 1000), ...changes,
+		id: 'c1', route: createSampleRoute({maxAttempts: 2}), service: 'logview', method: 'GET', target: '/logs/1', headers: {}, body: undefined, fingerprint: createSampleMark(),
+		receivedAt: performance.now(), isNestedCall: false, ageMs: 0, scope: createCallScope(performance.now() + 1000), ...changes,
 	};
 }
 
@@ -128,7 +128,7 @@
 	});
 	await sendCall(many.context, createCall({route: createSampleRoute({maxAttempts: 3})}));
 	assert.equal(many.sent.length, 3);
-	const spent = createFixture({a: [failed], b: [failed]}, {allowance: createRetryAllowance(() => ({ratio: 0, slack: 0, windowMs: 10_000}), () => 1)});
+	const spent = createFixture({a: [failed], b: [failed]}, {retryBudget: createRetryAllowance(() => ({ratio: 0, slack: 0, windowMs: 10_000}), () => 1)});
 	await sendCall(spent.context, createCall());
 	assert.equal(spent.sent.length, 1);
 });
@@ -147,7 +147,7 @@
 	assert.ok(outcome.result.type === 'failed' && outcome.result.verdict === 'not-run' && outcome.result.retryAfterMs > 1000);
 	const urgent = createFixture({a: [], b: []});
 	fillQueues(urgent);
-	await sendCall(urgent.context, createCall({isAwaited: true}));
+	await sendCall(urgent.context, createCall({isNestedCall: true}));
 	assert.equal(urgent.sent.length, 1);
 });
 
@@ -160,7 +160,7 @@
 
 /** One server whose node falls silent while a request is under way there, and that answers all the same, or never. */
 function createSilentFixture(slack: number, isDead = false) {
-	let tellSilence = (): void => undefined;
+	let reportSilence = (): void => undefined;
 	const sent: string[] = [];
 	const waitForEnd = async ({scope}: RemoteCall): Promise<ForwardResult> => new Promise(resolve => {
 		scope.subscribe(reason => {
@@ -174,15 +174,15 @@
 				return {result: answered, load: undefined};
 			}
 
-			tellSilence();
+			reportSilence();
 			return {result: isDead ? await waitForEnd(call) : answered, load: undefined};
 		},
 	} as unknown as GateClient;
 	const {context} = createFixture({a: [], b: []}, {
 		gateClient,
-		allowance: createRetryAllowance(() => ({ratio: 0, slack, windowMs: 10_000}), () => 1),
+		retryBudget: createRetryAllowance(() => ({ratio: 0, slack, windowMs: 10_000}), () => 1),
 		watchSilence(_node, handleSilence) {
-			tellSilence = handleSilence;
+			reportSilence = handleSilence;
 			return () => undefined;
 		},
 	});
--- a/src/lib/forwarding/send-call.ts
+++ b/src/lib/forwarding/send-call.ts
@@ -25,22 +25,22 @@
 /** An attempt that is to begin. */
 type PlannedAttempt = Extract<AttemptPlan, {readonly type: 'send'}>;
 
-function describeFacts(call: OutgoingCall, now: number): CallFacts {
-	const {route, ageMs, isAwaited} = call;
+function computeCallState(call: OutgoingCall, now: number): CallFacts {
+	const {route, ageMs, isNestedCall: isAwaited} = call;
 	return {
-		targetLatencyMs: route.targetLatencyMs, ageMs: ageMs + now - call.receivedAt, leftMs: call.scope.endsAt - now, isAwaited, isBulk: isBulk(route.type),
+		targetLatencyMs: route.targetLatencyMs, ageMs: ageMs + now - call.receivedAt, leftMs: call.scope.deadlineAt - now, isAwaited, isBulk: isBulk(route.type),
 	};
 }
 
 /** Whether a call may crash whatever runs it, so that no other server is asked of its own accord: its server crashed, or its gate knows of crashes. */
-const isSuspected = (result: ForwardResult): boolean => result.type === 'failed' && (result.reason === 'server-crashed' || result.reason === 'quarantined');
+const mayCrashServers = (result: ForwardResult): boolean => result.type === 'failed' && (result.reason === 'server-crashed' || result.reason === 'quarantined');
 
-function chooseRepeatReason(call: OutgoingCall, result: ForwardResult): RepeatReason {
+function chooseRetryReason(call: OutgoingCall, result: ForwardResult): RepeatReason {
 	if (result.type === 'answered' || result.verdict !== 'not-run') {
 		return 'may-have-run';
 	}
 
-	return call.isAwaited ? 'call-turned-away' : 'turned-away';
+	return call.isNestedCall ? 'call-turned-away' : 'turned-away';
 }
 
 /**
@@ -53,39 +53,39 @@
  */
 export async function sendCall(context: SendContext, call: OutgoingCall): Promise<CallOutcome> {
 	const {route, service, scope} = call;
-	const mayRepeat = isRepeatable(route.type);
+	const isRetryable = isRepeatable(route.type);
 	const progress = createCallProgress(service);
 	const running = createRunningAttempts(context, call);
-	context.allowance.noteRequest(service, call.isAwaited, readSteadyMs());
+	context.retryBudget.noteRequest(service, call.isNestedCall, readSteadyMs());
 
 	/** Arrivals at servers that may be: the first one, and one for each repeat that was taken from the allowance. */
-	let paidArrivals = 1;
+	let allowedArrivals = 1;
 
 	/** The attempt that began last may crash its server. */
-	let isOnTrial = false;
+	let isTrial = false;
 
-	const hasPaid = (): boolean => progress.countArrivals() + running.count() < paidArrivals;
+	const hasAllowedArrival = (): boolean => progress.countArrivals() + running.count() < allowedArrivals;
 
-	const mayPay = (reason: RepeatReason): boolean =>
-		progress.countArrivals() + running.count() < route.maxAttempts && context.allowance.countLeft(service, reason, readSteadyMs()) > 0;
+	const mayTakeRetry = (reason: RepeatReason): boolean =>
+		progress.countArrivals() + running.count() < route.maxAttempts && context.retryBudget.countLeft(service, reason, readSteadyMs()) > 0;
 
-	const takeRepeat = (reason: RepeatReason): boolean => {
-		if (progress.countArrivals() + running.count() >= route.maxAttempts || !context.allowance.take(service, reason, readSteadyMs())) {
+	const takeRetry = (reason: RepeatReason): boolean => {
+		if (progress.countArrivals() + running.count() >= route.maxAttempts || !context.retryBudget.take(service, reason, readSteadyMs())) {
 			return false;
 		}
 
-		paidArrivals++;
+		allowedArrivals++;
 		return true;
 	};
 
 	const planNext = (judgement: Judgement): AttemptPlan => {
 		const now = readSteadyMs();
-		const facts = describeFacts(call, now);
+		const facts = computeCallState(call, now);
 		const candidates = context.listCandidates({
 			service, route: route.name, tried: progress.tried, trialOf: judgement.type === 'trial' ? judgement.fingerprint : undefined,
 		});
 		const ranked = rankServers(candidates, {
-			domain: context.domain, random: context.random, ...computeDistances(route, call.isAwaited, facts.ageMs),
+			domain: context.domain, random: context.random, ...computeDistances(route, call.isNestedCall, facts.ageMs),
 		});
 		return planAttempt(facts, progress, ranked, standardRules, now);
 	};
@@ -108,60 +108,60 @@
 	};
 
 	const start = ({target, mayWaitMs}: PlannedAttempt): void => {
-		const answerMayWaitMs = hasLargeAnswers(route.type) ? computeAnswerWait(describeFacts(call, readSteadyMs()), target) : undefined;
-		progress.noteStart(running.start({target, mayWaitMs, answerMayWaitMs}));
+		const answerMayWaitMs = hasLargeAnswers(route.type) ? computeAnswerWait(computeCallState(call, readSteadyMs()), target) : undefined;
+		progress.recordStart(running.start({target, mayWaitMs, answerMayWaitMs}));
 	};
 
-	const refuse = (failure: ForwardFailure): CallOutcome | undefined => {
+	const finishIfIdle = (failure: ForwardFailure): CallOutcome | undefined => {
 		if (running.count() > 0) {
 			return undefined;
 		}
 
-		progress.noteRefusal(failure);
-		return progress.giveUp();
+		progress.recordRefusal(failure);
+		return progress.finishWithFallback();
 	};
 
 	/** Starts the next attempt; without one, what is under way may still be answered. Yields how the call ended if nothing is. */
 	const startNext = (): CallOutcome | undefined => {
 		// What the node has heard since the last attempt counts for the next one.
-		const judgement = context.quarantine.judge(call.mark);
+		const judgement = context.quarantine.judge(call.fingerprint);
 		if (judgement.type === 'refused') {
-			return refuse(createNotRun('quarantined', describeQuarantine(judgement), judgement.retryAfterMs));
+			return finishIfIdle(createNotRun('quarantined', describeQuarantine(judgement), judgement.retryAfterMs));
 		}
 
 		const plan = planNext(judgement);
 		if (plan.type === 'send') {
-			isOnTrial = judgement.type === 'trial';
+			isTrial = judgement.type === 'trial';
 			start(plan);
 			return undefined;
 		}
 
-		return refuse(describeRefusal(plan));
+		return finishIfIdle(describeRefusal(plan));
 	};
 
 	/** Whether another attempt may follow one that failed, or that was answered with a failure of the server's own. None does beside one that nobody doubts. */
-	const mayGoOn = (result: ForwardResult): boolean => {
-		const isHarmless = (mayRepeat || progress.getVerdict() === 'not-run') && !isSuspected(result);
-		if (!isHarmless || scope.getEnd() !== undefined || !running.hasOnlyDoubted()) {
+	const mayTryNext = (result: ForwardResult): boolean => {
+		const isSafeToResend = (isRetryable || progress.getVerdict() === 'not-run') && !mayCrashServers(result);
+		if (!isSafeToResend || scope.getEndReason() !== undefined || !running.areAllUnresponsive()) {
 			return false;
 		}
 
 		if (!hasArrived(result)) {
 			// Another copy may be what took the server away: to pass this one on would be a second trial beside it.
-			return !isOnTrial && hasPaid() && mayAskAnother({isBulk: isBulk(route.type)}, progress.refusals);
+			return !isTrial && hasAllowedArrival() && mayAskAnother({isBulk: isBulk(route.type)}, progress.refusals);
 		}
 
-		return hasPaid() || takeRepeat(chooseRepeatReason(call, result));
+		return hasAllowedArrival() || takeRetry(chooseRetryReason(call, result));
 	};
 
 	const handleEnd = (attempt: Attempt, result: ForwardResult): CallOutcome | undefined => {
-		const note = progress.noteEnd(attempt, result);
-		if (result.type === 'answered' && (result.status < 500 || !mayRepeat)) {
-			return progress.finish(result, running.breakOff());
+		const note = progress.recordEnd(attempt, result);
+		if (result.type === 'answered' && (result.status < 500 || !isRetryable)) {
+			return progress.finish(result, running.cancelAll());
 		}
 
-		if (!mayGoOn(result)) {
-			return running.count() > 0 ? undefined : progress.giveUp();
+		if (!mayTryNext(result)) {
+			return running.count() > 0 ? undefined : progress.finishWithFallback();
 		}
 
 		// A refusal by a gate is the ordinary way to another; it stands in the call's last line.
@@ -176,19 +176,19 @@
 	 * are heard seldom and work all the same. To break it off first would leave calls with nowhere to go
 	 * where all other servers are full.
 	 */
-	const handleDoubt = (): void => {
-		if (!mayRepeat || running.count() === 0 || !running.hasOnlyDoubted() || !mayAskAnother({isBulk: isBulk(route.type)}, progress.refusals)) {
+	const handleUnresponsive = (): void => {
+		if (!isRetryable || running.count() === 0 || !running.areAllUnresponsive() || !mayAskAnother({isBulk: isBulk(route.type)}, progress.refusals)) {
 			return;
 		}
 
 		// Told ten times a second while the silence lasts: what is cheap is asked first.
-		if (!hasPaid() && !mayPay('may-have-run')) {
+		if (!hasAllowedArrival() && !mayTakeRetry('may-have-run')) {
 			return;
 		}
 
-		const judgement = context.quarantine.judge(call.mark);
+		const judgement = context.quarantine.judge(call.fingerprint);
 		const plan = judgement.type === 'free' ? planNext(judgement) : undefined;
-		if (plan?.type === 'send' && (hasPaid() || takeRepeat('may-have-run'))) {
+		if (plan?.type === 'send' && (hasAllowedArrival() || takeRetry('may-have-run'))) {
 			start(plan);
 		}
 	};
@@ -199,8 +199,8 @@
 				return handleEnd(event.attempt, event.result);
 			}
 
-			case 'doubted': {
-				handleDoubt();
+			case 'unresponsive': {
+				handleUnresponsive();
 				return undefined;
 			}
 
--- a/src/lib/forwarding/server-session.ts
+++ b/src/lib/forwarding/server-session.ts
@@ -14,15 +14,15 @@
 import {type Quarantine} from '../quarantine/quarantine.js';
 import {createRequestMark, type RequestMark} from '../quarantine/request-mark.js';
 import {type MeshLog} from '../timeline/mesh-log.js';
-import {endGraceMs, type CallScope} from './call-scope.js';
-import {filterCallHeaders, getText, type WireHeaders} from './call-headers.js';
+import {deadlineGraceMs, type CallScope} from './call-scope.js';
+import {removeHopByHopHeaders, getStringHeader, type CallHeaderNames} from './call-headers.js';
 import {runExchange, type ExchangeAnswer, type ExchangeFailure} from './exchange.js';
 import {
 	createMayHaveRun, createNotRun, type ForwardFailure, type ForwardResult,
 } from './forward-result.js';
 import {createServerConnections} from './server-connections.js';
 import {isRefusingConnections} from './refused-connection.js';
-import {createSilentConnections} from './silent-connections.js';
+import {createHalfOpenDetector} from './half-open-detector.js';
 
 /** A request for the server, which holds a slot. @internal */
 export type SessionCall = {
@@ -39,7 +39,7 @@
 
 /** @internal */
 export type ServerSessionContext = {
-	readonly wire: WireHeaders;
+	readonly wire: CallHeaderNames;
 	readonly log: MeshLog;
 	/** Connections that the server accepts from this node. */
 	readonly maxConnections: number;
@@ -96,7 +96,7 @@
 const failureWeight = 0.1;
 
 /** Time that is taken off what is left when it is passed on, in milliseconds: the grace of the scope, and the way to the server. */
-const passOnMs = endGraceMs + 1;
+const passOnMs = deadlineGraceMs + 1;
 
 /** One request more than there are slots is at the server for so many of them. It waits there for as long as an eighth of a request takes, where no rank counts. */
 const slotsPerRequestAhead = 8;
@@ -151,14 +151,14 @@
 	const connections = createServerConnections({
 		address: announcement.address, maxConnections: context.maxConnections, idleMs: idleConnectionMs, connectMs,
 	});
-	const silence = createSilentConnections();
+	const silence = createHalfOpenDetector();
 	let givenUp: readonly GivenUpCall[] = [];
 	let failureShare = 0;
 	let isEnded = false;
 	let hasCrashed = false;
 
 	const keepGivenUp = ({id, scope}: SessionCall, mark: RequestMark): void => {
-		const until = Math.min(scope.endsAt, readSteadyMs() + givenUpMs);
+		const until = Math.min(scope.deadlineAt, readSteadyMs() + givenUpMs);
 		givenUp = [...givenUp, {id, mark, until}].slice(-mostGivenUp);
 	};
 
@@ -258,12 +258,12 @@
 		}
 
 		return {
-			type: 'answered', status: answer.status, headers: filterCallHeaders(answer.headers), body: answer.body,
+			type: 'answered', status: answer.status, headers: removeHopByHopHeaders(answer.headers), body: answer.body,
 		};
 	};
 
 	const createOwnAnswerCheck = (call: SessionCall) => (headers: IncomingHttpHeaders, status: number): boolean => {
-		const id = getText(headers, wire.callId);
+		const id = getStringHeader(headers, wire.callId);
 		const isRefusal = headers[wire.notRun] !== undefined || status === 421;
 		return id === call.id || (id === undefined && isRefusal);
 	};
@@ -276,8 +276,8 @@
 		}
 
 		const now = readSteadyMs();
-		const leftMs = Math.floor(call.scope.endsAt - now - passOnMs);
-		const ended = call.scope.getEnd();
+		const leftMs = Math.floor(call.scope.deadlineAt - now - passOnMs);
+		const ended = call.scope.getEndReason();
 		if (ended !== undefined || leftMs <= 0) {
 			return createNotRun(ended ?? 'timeout', 'its time was over before it could be sent');
 		}
@@ -286,7 +286,7 @@
 			return endedFailure;
 		}
 
-		if (silence.areDoubtful(slots.describe().serviceMs, now)) {
+		if (silence.areSuspected(slots.describe().serviceMs, now)) {
 			connections.renew();
 			log.record('info', {kind: 'connections-renewed', server: lifetime.id, reason: 'a request has waited for far longer than requests take'});
 		}
@@ -296,7 +296,7 @@
 			return createNotRun('quarantined', admission.detail, admission.retryAfterMs);
 		}
 
-		const handleEnd = silence.begin(now);
+		const handleEnd = silence.recordRequest(now);
 		const answer = await runExchange({
 			connections, id: call.id, method: call.method, target: call.target, body, scope: call.scope,
 			headers: {
@@ -308,7 +308,7 @@
 				...body === undefined ? {} : {'content-length': String(body.length)},
 			},
 			isOwnAnswer: createOwnAnswerCheck(call),
-			readCallId: headers => getText(headers, wire.callId),
+			readCallId: headers => getStringHeader(headers, wire.callId),
 		});
 		handleEnd();
 		admission.end();
--- a/src/lib/forwarding/silent-node.test.ts
+++ b/src/lib/forwarding/silent-node.test.ts
@@ -29,16 +29,16 @@
 
 const toKey = (id: string): LifetimeKey => toLifetimeKey({id: toBackendServerId(id), startedAt: 1});
 
-type SilentMesh = {
+type MeshFixture = {
 	readonly send: () => Promise<CallOutcome>;
 	/** Tells the calls that wait that the node of the first server is silent. */
-	readonly tellSilence: () => void;
+	readonly reportSilence: () => void;
 	/** Has the first server answer. */
 	readonly answer: (result?: ForwardResult) => void;
 	/** Requests that were sent, in order. */
 	readonly sent: readonly RemoteCall[];
 	/** Has every server but the first be known for a long queue. */
-	readonly fillOthers: () => void;
+	readonly fillOtherQueues: () => void;
 };
 
 /** A server that works until the attempt is broken off. */
@@ -53,7 +53,7 @@
 });
 
 /** Four servers: the one that is asked first works until it is told to answer, the others do as given. */
-function createMesh(context: TestContext, answerOther: (call: RemoteCall) => Promise<ForwardResult>, slack = 100): SilentMesh {
+function createMesh(context: TestContext, answerOther: (call: RemoteCall) => Promise<ForwardResult>, slack = 100): MeshFixture {
 	const sent: RemoteCall[] = [];
 	const silenceHandlers = new Set<() => void>();
 	let settleFirst: (result: ForwardResult) => void = () => undefined;
@@ -70,22 +70,22 @@
 				return {result: await answerOther(call), load: undefined};
 			}
 
-			const isTold = new Promise<ForwardResult>(resolve => {
+			const toldResult = new Promise<ForwardResult>(resolve => {
 				settleFirst = resolve;
 			});
-			return {result: await Promise.race([isTold, workUntilEnd(call)]), load: undefined};
+			return {result: await Promise.race([toldResult, workUntilEnd(call)]), load: undefined};
 		},
 	} as unknown as GateClient;
 	const call: OutgoingCall = {
-		id: 'c1', route: createSampleRoute({maxAttempts: 2}), service: 'logview', method: 'GET', target: '/logs/1', headers: {}, body: undefined, mark: createSampleMark(),
-		receivedAt: performance.now(), isAwaited: false, ageMs: 0, scope,
+		id: 'c1', route: createSampleRoute({maxAttempts: 2}), service: 'logview', method: 'GET', target: '/logs/1', headers: {}, body: undefined, fingerprint: createSampleMark(),
+		receivedAt: performance.now(), isNestedCall: false, ageMs: 0, scope,
 	};
 	return {
 		sent,
 		send: async () => sendCall({
 			self: toNodeId('n1'), callerService: 'caller', domain, listCandidates, gateClient, loads, log: silentLog, quarantine: createQuietQuarantine(),
 			localGate: {} as unknown as LocalGate,
-			allowance: createRetryAllowance(() => ({ratio: 0, slack, windowMs: 10_000}), () => 1),
+			retryBudget: createRetryAllowance(() => ({ratio: 0, slack, windowMs: 10_000}), () => 1),
 			random: () => 0,
 			noteUnreachable: () => undefined,
 			noteReached: () => undefined,
@@ -99,7 +99,7 @@
 				};
 			},
 		}, call),
-		tellSilence() {
+		reportSilence() {
 			for (const handleSilence of silenceHandlers) {
 				handleSilence();
 			}
@@ -107,7 +107,7 @@
 		answer(result = createAnswer(200)) {
 			settleFirst(result);
 		},
-		fillOthers() {
+		fillOtherQueues() {
 			for (const {lifetime} of listCandidates().filter(candidate => candidate.id !== sent[0]?.server)) {
 				loads.hear(lifetime, {running: 4, waiting: 40, serviceMs: 200}, performance.now());
 			}
@@ -123,17 +123,17 @@
 const getStatus = ({result}: CallOutcome): number | string => result.type === 'answered' ? result.status : result.reason;
 
 /** Sends a call and has the node of the first server fall silent while that works. */
-async function sendIntoSilence(mesh: SilentMesh): Promise<{readonly outcome: Promise<CallOutcome>}> {
+async function sendAndReportSilence(mesh: MeshFixture): Promise<{readonly outcome: Promise<CallOutcome>}> {
 	const outcome = mesh.send();
 	await settle();
-	mesh.tellSilence();
+	mesh.reportSilence();
 	await settle();
 	return {outcome};
 }
 
 test('a call at work on a silent node is still answered by it when no other server takes the call', async context => {
 	const mesh = createMesh(context, async () => createNotRun('full', 'all slots are taken', 50));
-	const {outcome} = await sendIntoSilence(mesh);
+	const {outcome} = await sendAndReportSilence(mesh);
 	mesh.answer();
 	assert.equal(getStatus(await outcome), 200);
 	assert.ok(mesh.sent.length > 1);
@@ -141,10 +141,10 @@
 
 test('it waits on, too, once the others are known to be busy for long', async context => {
 	const mesh = createMesh(context, async () => {
-		mesh.fillOthers();
+		mesh.fillOtherQueues();
 		return createNotRun('full', 'all slots are taken', 50);
 	});
-	const {outcome} = await sendIntoSilence(mesh);
+	const {outcome} = await sendAndReportSilence(mesh);
 	mesh.answer();
 	assert.equal(getStatus(await outcome), 200);
 	assert.equal(mesh.sent.length, 2);
@@ -152,29 +152,29 @@
 
 test('a call that has gone to another server is answered by the first if that is sooner, and the other is broken off', async context => {
 	const mesh = createMesh(context, workUntilEnd);
-	const {outcome} = await sendIntoSilence(mesh);
+	const {outcome} = await sendAndReportSilence(mesh);
 	mesh.answer();
 	assert.equal(getStatus(await outcome), 200);
-	assert.equal(mesh.sent[1]?.scope.getEnd(), 'superseded');
+	assert.equal(mesh.sent[1]?.scope.getEndReason(), 'superseded');
 });
 
 test('a call that has gone to another server is answered by that if it is sooner, and the first is broken off', async context => {
 	let settleOther: (result: ForwardResult) => void = () => undefined;
 	const mesh = createMesh(context, async call => {
-		const isTold = new Promise<ForwardResult>(resolve => {
+		const toldResult = new Promise<ForwardResult>(resolve => {
 			settleOther = resolve;
 		});
-		return Promise.race([isTold, workUntilEnd(call)]);
+		return Promise.race([toldResult, workUntilEnd(call)]);
 	});
-	const {outcome} = await sendIntoSilence(mesh);
+	const {outcome} = await sendAndReportSilence(mesh);
 	settleOther(createAnswer(200));
 	assert.equal(getStatus(await outcome), 200);
-	assert.equal(mesh.sent[0]?.scope.getEnd(), 'superseded');
+	assert.equal(mesh.sent[0]?.scope.getEndReason(), 'superseded');
 });
 
 test('a server that fails the call does not end it while another is at work on it', async context => {
 	const mesh = createMesh(context, async () => createAnswer(500));
-	const {outcome} = await sendIntoSilence(mesh);
+	const {outcome} = await sendAndReportSilence(mesh);
 	mesh.answer();
 	assert.equal(getStatus(await outcome), 200);
 	assert.equal(mesh.sent.length, 2);
@@ -182,9 +182,9 @@
 
 test('a call goes to one other server at the most, however often its node is said to be silent', async context => {
 	const mesh = createMesh(context, workUntilEnd);
-	const {outcome} = await sendIntoSilence(mesh);
-	for (let told = 0; told < 5; told++) {
-		mesh.tellSilence();
+	const {outcome} = await sendAndReportSilence(mesh);
+	for (let round = 0; round < 5; round++) {
+		mesh.reportSilence();
 		await settle();
 	}
 
@@ -195,7 +195,7 @@
 
 test('a call for which no repeat is left waits on', async context => {
 	const mesh = createMesh(context, async () => createAnswer(200), 0);
-	const {outcome} = await sendIntoSilence(mesh);
+	const {outcome} = await sendAndReportSilence(mesh);
 	mesh.answer();
 	assert.equal(getStatus(await outcome), 200);
 	assert.equal(mesh.sent.length, 1);
--- a/src/lib/forwarding/slow-uploads.test.ts
+++ b/src/lib/forwarding/slow-uploads.test.ts
@@ -11,13 +11,13 @@
 });
 
 test('a connection over which a large body leaves slowly is not given up while bytes leave', async context => {
-	let read = 0;
+	let receivedBytes = 0;
 	let peer: Socket | undefined;
 	const server = createServer(socket => {
 		peer = socket;
 		socket.on('error', () => undefined);
 		socket.on('data', bytes => {
-			read += bytes.length;
+			receivedBytes += bytes.length;
 			socket.pause();
 		});
 	});
@@ -33,28 +33,28 @@
 		server.close();
 	});
 	let result: ChannelResult | 'waiting' = 'waiting';
-	let doubts = 0;
+	let unresponsiveReports = 0;
 	void (async () => {
 		result = await channel.send({
 			type: 'request', head: [], body: new Uint8Array(8_000_000), scope,
-			handleDoubt() {
-				doubts++;
+			handleUnresponsive() {
+				unresponsiveReports++;
 			},
 		});
 	})();
 
-	const readBefore: number[] = [];
+	const receivedByCheck: number[] = [];
 	for (let checks = 1; checks <= 12; checks++) {
 		// One piece of 64 KB for each half second: half a link of 2 Mbit/s.
 		peer?.resume();
 		await wait(40);
-		readBefore.push(read);
+		receivedByCheck.push(receivedBytes);
 		const now = performance.now() + (checks * 500);
-		channel.checkSilence(now, () => now);
+		channel.checkLiveness(now, () => now);
 	}
 
 	await wait(40);
-	context.diagnostic(`read so far: ${readBefore.join(' ')}; doubts ${doubts}; ${JSON.stringify(result)}`);
-	assert.ok(readBefore.at(-1)! > readBefore[1]!);
+	context.diagnostic(`read so far: ${receivedByCheck.join(' ')}; unresponsiveReports ${unresponsiveReports}; ${JSON.stringify(result)}`);
+	assert.ok(receivedByCheck.at(-1)! > receivedByCheck[1]!);
 	assert.equal(result, 'waiting');
 });
--- a/src/lib/forwarding/two-attempts.test.ts
+++ b/src/lib/forwarding/two-attempts.test.ts
@@ -26,24 +26,24 @@
 	setImmediate(resolve);
 });
 
-type Sent = {readonly call: RemoteCall; readonly settle: (result: ForwardResult) => void};
+type SentRequest = {readonly call: RemoteCall; readonly settle: (result: ForwardResult) => void};
 
 /** Four servers that work until they are told how their request ends, or it is broken off. */
 function createMesh(context: TestContext, maxAttempts: number, timeMs = 1000, type: 'safe' | 'unsafe' = 'safe'): {
-	readonly sent: readonly Sent[]; readonly send: () => Promise<CallOutcome>; readonly silence: (node: string) => void;
+	readonly sent: readonly SentRequest[]; readonly send: () => Promise<CallOutcome>; readonly reportSilence: (node: string) => void;
 } {
-	const sent: Sent[] = [];
-	const watchers: Array<{readonly node: string; readonly tell: () => void; isOver: boolean}> = [];
+	const sent: SentRequest[] = [];
+	const watchers: Array<{readonly node: string; readonly handleSilence: () => void; isUnsubscribed: boolean}> = [];
 	const loads = createLoadView();
 	const scope = createCallScope(performance.now() + timeMs);
 	context.after(scope.dispose);
 	const domain = toFailureDomain('a');
 	return {
 		sent,
-		silence(node) {
+		reportSilence(node) {
 			for (const watcher of watchers) {
-				if (watcher.node === node && !watcher.isOver) {
-					watcher.tell();
+				if (watcher.node === node && !watcher.isUnsubscribed) {
+					watcher.handleSilence();
 				}
 			}
 		},
@@ -65,39 +65,39 @@
 					};
 				},
 			} as unknown as GateClient,
-			allowance: createRetryAllowance(() => ({ratio: 0, slack: 1000, windowMs: 10_000}), () => 1),
+			retryBudget: createRetryAllowance(() => ({ratio: 0, slack: 1000, windowMs: 10_000}), () => 1),
 			random: () => 0,
 			noteUnreachable: () => undefined,
 			noteReached: () => undefined,
-			watchSilence(node, tell) {
-				const watcher = {node: String(node), tell, isOver: false};
+			watchSilence(node, handleSilence) {
+				const watcher = {node: String(node), handleSilence, isUnsubscribed: false};
 				watchers.push(watcher);
 				return () => {
-					watcher.isOver = true;
+					watcher.isUnsubscribed = true;
 				};
 			},
 		}, {
-			id: 'c1', route: createSampleRoute({maxAttempts, type}), service: 'logview', method: 'GET', target: '/logs/1', headers: {}, body: undefined, mark: createSampleMark(),
-			receivedAt: performance.now(), isAwaited: false, ageMs: 0, scope,
+			id: 'c1', route: createSampleRoute({maxAttempts, type}), service: 'logview', method: 'GET', target: '/logs/1', headers: {}, body: undefined, fingerprint: createSampleMark(),
+			receivedAt: performance.now(), isNestedCall: false, ageMs: 0, scope,
 		}),
 	};
 }
 
-const getNode = (sent: readonly Sent[], place: number): string => `n-${String(sent[place]!.call.server)}`;
+const getNode = (sent: readonly SentRequest[], index: number): string => `n-${String(sent[index]!.call.server)}`;
 
-for (const [what, end] of [
+for (const [description, firstResult] of [
 	['could not be reached', createNotRun('node-unreachable', 'no connection within 300 ms')],
 	['had no slot', createNotRun('full', 'all slots are taken', 50)],
 	['was leaving', createNotRun('draining', 'takes no new work')],
 ] as const) {
-	test(`a call that another server is at work on goes to no third when the first ${what}`, async context => {
+	test(`a call that another server is at work on goes to no third when the first ${description}`, async context => {
 		const mesh = createMesh(context, 2);
 		const outcome = mesh.send();
 		await settle();
-		mesh.silence(getNode(mesh.sent, 0));
+		mesh.reportSilence(getNode(mesh.sent, 0));
 		await settle();
 		assert.equal(mesh.sent.length, 2);
-		mesh.sent[0]!.settle(end);
+		mesh.sent[0]!.settle(firstResult);
 		await settle();
 		await settle();
 		const count = mesh.sent.length;
@@ -113,7 +113,7 @@
 	const mesh = createMesh(context, 2, 200);
 	const outcome = mesh.send();
 	await settle();
-	mesh.silence(getNode(mesh.sent, 0));
+	mesh.reportSilence(getNode(mesh.sent, 0));
 	await settle();
 	mesh.sent[1]!.settle({
 		type: 'answered', status: 500, headers: {}, body: new Uint8Array(),
@@ -126,12 +126,12 @@
 	const mesh = createMesh(context, 3);
 	const outcome = mesh.send();
 	await settle();
-	mesh.silence(getNode(mesh.sent, 0));
+	mesh.reportSilence(getNode(mesh.sent, 0));
 	await settle();
 	assert.equal(mesh.sent.length, 2);
-	for (let told = 0; told < 5; told++) {
-		mesh.silence(getNode(mesh.sent, 0));
-		mesh.silence(getNode(mesh.sent, 1));
+	for (let round = 0; round < 5; round++) {
+		mesh.reportSilence(getNode(mesh.sent, 0));
+		mesh.reportSilence(getNode(mesh.sent, 1));
 		await settle();
 	}
 
@@ -147,7 +147,7 @@
 	const mesh = createMesh(context, 3, 1000, 'unsafe');
 	const outcome = mesh.send();
 	await settle();
-	mesh.silence(getNode(mesh.sent, 0));
+	mesh.reportSilence(getNode(mesh.sent, 0));
 	await settle();
 	mesh.sent[0]!.settle({
 		type: 'answered', status: 200, headers: {}, body: new Uint8Array(),
--- a/src/lib/sidecar/peer-watch.test.ts
+++ b/src/lib/sidecar/peer-watch.test.ts
@@ -74,7 +74,7 @@
 			table.noteReached(reached, now);
 		},
 	};
-	const gateClient = {checkSilence: () => undefined, getReceivedAt: () => receivedAt} satisfies Pick<GateClient, 'checkSilence' | 'getReceivedAt'>;
+	const gateClient = {checkLiveness: () => undefined, getLastReceivedAt: () => receivedAt} satisfies Pick<GateClient, 'checkLiveness' | 'getLastReceivedAt'>;
 	const watch = createPeerWatch({
 		link, limits, silence: fixture.silence, gateClient, log: silentLog, handleDelay(delayMs) {
 			fixture.delays.push(delayMs);
--- a/src/lib/sidecar/peer-watch.ts
+++ b/src/lib/sidecar/peer-watch.ts
@@ -18,7 +18,7 @@
 	readonly link: Pick<PeerLink, 'probe' | 'forgiveSilence' | 'noteReached'> & {readonly table: Pick<PeerTableView, 'get' | 'findGate'>};
 	readonly limits: PeerLimits;
 	readonly silence: SilenceWatchers;
-	readonly gateClient: Pick<GateClient, 'checkSilence' | 'getReceivedAt'>;
+	readonly gateClient: Pick<GateClient, 'checkLiveness' | 'getLastReceivedAt'>;
 	readonly log: MeshLog;
 	/** Told how late this process is, in milliseconds. */
 	readonly handleDelay: (delayMs: number) => void;
@@ -90,7 +90,7 @@
 	const noteReceived = (): void => {
 		for (const [node] of silence.listAwaited()) {
 			const peer = link.table.get(node);
-			if (peer !== undefined && gateClient.getReceivedAt(peer.report.gate) > peer.heardAt) {
+			if (peer !== undefined && gateClient.getLastReceivedAt(peer.report.gate) > peer.heardAt) {
 				link.noteReached(node);
 			}
 		}
@@ -128,7 +128,7 @@
 			notePause(delayMs);
 			link.forgiveSilence(delayMs);
 		} else {
-			gateClient.checkSilence(now, getHeardAt);
+			gateClient.checkLiveness(now, getHeardAt);
 		}
 
 		noteReceived();
--- a/src/lib/sidecar/sidecar.ts
+++ b/src/lib/sidecar/sidecar.ts
@@ -11,7 +11,7 @@
 import {listenAt} from '../common/listen-at.js';
 import {createLoopLag} from '../common/loop-lag.js';
 import {createWorkTurns} from '../common/work-turns.js';
-import {type WireHeaders} from '../forwarding/call-headers.js';
+import {type CallHeaderNames} from '../forwarding/call-headers.js';
 import {createEntryServer, type FinishedCall} from '../forwarding/entry-server.js';
 import {createGateClient} from '../forwarding/gate-client.js';
 import {createGateServer} from '../forwarding/gate-server.js';
@@ -53,7 +53,7 @@
 	readonly decodeConfig: (text: string) => Result<RouteConfig, string>;
 	/** Decodes a call of a backend server; `undefined` if there is no such call. */
 	readonly decodeServerCall: AnnouncementContext['decode'];
-	readonly wire: WireHeaders;
+	readonly wire: CallHeaderNames;
 	readonly log: MeshLog;
 	readonly random: () => number;
 	/** Sets by how much the young generation of this process's heap grows. */
@@ -173,7 +173,7 @@
 
 	const handleReport = (report: PeerReport, news: PeerNews): void => {
 		if (news === 'restarted' || news === 'returned') {
-			gateClient.renew(report.gate, 'back');
+			gateClient.renewConnections(report.gate, 'back');
 		}
 
 		if (report.server !== undefined) {
@@ -214,7 +214,7 @@
 	const renewConnections = (node: NodeId): void => {
 		const peer = link.table.get(node);
 		if (peer !== undefined) {
-			gateClient.renew(peer.report.gate, 'unreachable');
+			gateClient.renewConnections(peer.report.gate, 'unreachable');
 		}
 	};
 
@@ -245,7 +245,7 @@
 		quarantine,
 		gateClient,
 		loads,
-		allowance: createRetryAllowance(() => settings.retries, countSlackNodes),
+		retryBudget: createRetryAllowance(() => settings.retries, countSlackNodes),
 		log,
 		random,
 		noteUnreachable(node, reason) {
@@ -255,15 +255,15 @@
 		},
 		noteReached: link.noteReached,
 		watchSilence: silence.watch,
-		wire,
+		headerNames: wire,
 		getConfig: sync.holder.get,
-		isBehind: sync.isBehind,
-		waitForNewer: sync.waitForNewer,
+		isConfigOutdated: sync.isBehind,
+		waitForNewerConfig: sync.waitForNewer,
 		splitter,
-		returningCallers,
-		awaitedRoutes,
+		callerRetryDetector: returningCallers,
+		nestedCallDetector: awaitedRoutes,
 		handleFinished,
-		waitForWork,
+		waitForPendingInput: waitForWork,
 		estimateUnreadMs: lag.estimateUnreadMs,
 	});
 	const waitForLag = async (): Promise<void> => lag.catchUp();
@@ -324,7 +324,7 @@
 	};
 
 	/** A call whose answer has not left yet is in work: to go then would cut it. */
-	const countWork = (): number => entry.countCalls() + gate.countRequests() + entry.countUnsent() + gateServer.countUnsent();
+	const countWork = (): number => entry.countCalls() + gate.countRequests() + entry.countUnsentAnswers() + gateServer.countUnsent();
 
 	return {
 		async start() {
