--- a/src/lib/forwarding/call-headers.ts
+++ b/src/lib/forwarding/call-headers.ts
@@ -1,6 +1,6 @@
 /**
- * Headers of a sidecar's calls. Those that callers and backend servers know are
- * handed in, since platforms differ.
+ * Reads and filters the HTTP headers of calls. The names of the headers that callers
+ * and backend servers use are configurable, because platforms name them differently.
  *
  * @module
  */
@@ -8,19 +8,19 @@
 import {type HeaderMap} from '../calls/attempt.js';
 import {hopHeaders} from '../calls/headers.js';
 
-/** What the headers that callers and backend servers know are called, in lower case. @internal */
+/** Names of the headers that callers and backend servers use, in lower case. @internal */
 export type CallHeaderNames = {
-	/** Id of one attempt of a caller. */
+	/** Id of one attempt by a caller. */
 	readonly callId: string;
-	/** Milliseconds that whoever asks will still wait. */
+	/** Milliseconds for which the sender still waits for the answer. */
 	readonly timeLeft: string;
-	/** Which backend server is meant. */
+	/** Id of the backend server that the request is addressed to. */
 	readonly expectedServer: string;
-	/** Service beside which a request began. */
+	/** Service of the node at which the request entered. */
 	readonly callerService: string;
-	/** Proof that a backend server made the answer. */
+	/** Signature that a backend server adds to its answers; a success without it comes from another process. */
 	readonly signature: string;
-	/** Says that the backend server did not run the request. */
+	/** Set on an answer if the backend server did not run the request. */
 	readonly notRun: string;
 };
 
@@ -29,10 +29,10 @@
 }
 
 /**
- * Drops what belongs to one connection.
+ * Removes hop-by-hop headers, including those that the `connection` header names.
  *
- * @param headers - As received.
- * @returns What may be passed on, in a new object.
+ * @param headers - The headers as received.
+ * @returns The headers that may be forwarded, in a new object.
  * @internal
  */
 export function removeHopByHopHeaders(headers: IncomingHttpHeaders | HeaderMap): Record<string, string | string[]> {
@@ -48,9 +48,11 @@
 }
 
 /**
- * @param headers - Headers.
- * @param name - A lower-case name.
- * @returns The value as a number that is not negative, or `undefined`.
+ * Reads a header that holds a non-negative decimal number.
+ *
+ * @param headers - The headers of a request or an answer.
+ * @param name - The name of the header, in lower case.
+ * @returns The number, or `undefined` if the header is missing or holds anything else.
  * @internal
  */
 export function getNumberHeader(headers: IncomingHttpHeaders, name: string): number | undefined {
@@ -63,9 +65,11 @@
 }
 
 /**
- * @param headers - Headers.
- * @param name - A lower-case name.
- * @returns The value if it is one text, else `undefined`.
+ * Reads a header that has a single value.
+ *
+ * @param headers - The headers of a request or an answer.
+ * @param name - The name of the header, in lower case.
+ * @returns The value, or `undefined` if the header is missing or a list.
  * @internal
  */
 export function getStringHeader(headers: IncomingHttpHeaders, name: string): string | undefined {
--- a/src/lib/forwarding/call-progress.ts
+++ b/src/lib/forwarding/call-progress.ts
@@ -1,5 +1,5 @@
 /**
- * What a call has been through: its attempts, what holds for all of them together, and the best that its caller can be told.
+ * Tracks the attempts of a call, the verdict over all of them, and the result that the caller gets if no attempt succeeds.
  *
  * @module
  */
@@ -14,24 +14,26 @@
 
 /** @internal */
 export type CallProgress = AttemptHistory & {
+	/** Returns the verdict over all attempts that have ended. */
 	readonly getVerdict: () => Verdict;
-	/** Servers at which it arrived. */
+	/** Returns how many ended attempts reached a backend server. */
 	readonly countArrivals: () => number;
+	/** Returns the result that the caller gets if no further attempt is made. */
 	readonly getFallback: () => ForwardResult;
 	readonly recordStart: (attempt: Attempt) => void;
-	/** Takes in how an attempt ended; yields what the log tells of it. */
+	/** Records how an attempt ended and returns its summary for the log. */
 	readonly recordEnd: (attempt: Attempt, result: ForwardResult) => AttemptNote;
-	/** Takes in why no other attempt is begun. */
+	/** Records why no further attempt is started. */
 	readonly recordRefusal: (failure: ForwardFailure) => void;
-	/** Ends it with the answer of one attempt, for which others were broken off. */
+	/** Ends the call with the answer of one attempt; the superseded attempts were cancelled because of it. */
 	readonly finish: (result: ForwardResult, superseded: readonly Attempt[]) => CallOutcome;
-	/** Ends it with the best that can be told its caller. */
+	/** Ends the call with the fallback. */
 	readonly finishWithFallback: () => CallOutcome;
 };
 
 /**
- * @param result - How an attempt ended.
- * @returns Whether the call arrived at a backend server, which counts against the retry budget.
+ * @param result - The result of an attempt.
+ * @returns Whether the attempt reached a backend server, which counts against the retry budget.
  * @internal
  */
 export const hasArrived = (result: ForwardResult): boolean => result.type === 'answered' || result.hasArrived;
@@ -40,7 +42,7 @@
 
 const describeOutcome = (result: ForwardResult): string => result.type === 'answered' ? String(result.status) : result.reason;
 
-/** An answer with a failure of the server's own says more than any failure to get one. */
+/** An answer from a server, even an error status, tells the caller more than a failure to get an answer. */
 const isLessInformative = (failure: ForwardResult, fallback: ForwardResult): boolean =>
 	failure.type === 'failed' && fallback.type === 'answered';
 
@@ -51,19 +53,21 @@
 }
 
 /**
+ * Creates the progress of a call that has not been sent yet.
+ *
  * @param service - The service that is called.
- * @returns The progress of a call that has not been sent yet.
+ * @returns The progress, without attempts.
  * @internal
  */
 export function createCallProgress(service: string): CallProgress {
 	const tried = new Set<LifetimeKey>();
 	const full = new Set<LifetimeKey>();
-	/** In the order in which the attempts began. */
+	/** In the order in which the attempts started. */
 	const attemptNotes = new Map<Attempt, AttemptNote>();
 	let verdict: Verdict = 'not-run';
 	let arrivals = 0;
 	let refusals = 0;
-	/** The soonest that a gate said to come back, in milliseconds; 0 if none did. */
+	/** The shortest retry delay that a gate returned, in milliseconds; 0 if none did. */
 	let retryAfterMs = 0;
 	let fallback: ForwardResult = createNotRun('no-server', `no backend server of ${service} is known that could take the request`);
 
--- a/src/lib/forwarding/call-scope.ts
+++ b/src/lib/forwarding/call-scope.ts
@@ -1,12 +1,13 @@
 /**
- * How long a call lasts: until its caller leaves or its time is over. Lighter
- * than an `AbortSignal`, which builds an error with its stack for each call.
+ * Cancellation scopes: a call ends when its caller disconnects or its deadline
+ * passes. Cheaper than an `AbortSignal`, which creates an error with a stack trace
+ * for each call.
  *
  * @module
  */
 import {readSteadyMs, trimTimerMs, watchResume} from '../common/clock.js';
 
-/** A backend server's own answer at the very end of its time may still arrive within so many milliseconds, so a scope ends a little after the time that the server is given. @internal */
+/** A scope ends this long after the deadline that the backend server is given, because an answer sent right at that deadline is still on its way. @internal */
 export const deadlineGraceMs = 15;
 
 /** Why a call ended before its answer. @internal */
@@ -14,13 +15,13 @@
 
 /** @internal */
 export type CallScope = {
-	/** When the caller gives up, in steady milliseconds. */
+	/** When the scope ends by itself, in milliseconds of the steady clock. */
 	readonly deadlineAt: number;
 	readonly getEndReason: () => ScopeEndReason | undefined;
 	readonly end: (reason: ScopeEndReason) => void;
-	/** Calls back once when the scope ends; yields a function that takes that back. */
+	/** Calls the handler once when the scope ends, at once if it has ended; returns a function that unsubscribes. */
 	readonly subscribe: (handleEnd: (reason: ScopeEndReason) => void) => () => void;
-	/** Stops the timer; the call has its answer. */
+	/** Stops the timer and removes all handlers, once the call has its result. */
 	readonly dispose: () => void;
 };
 
@@ -63,7 +64,9 @@
 }
 
 /**
- * @param deadlineAt - When its time is over, in steady milliseconds.
+ * Creates the scope of a call and starts its timer.
+ *
+ * @param deadlineAt - When the scope ends, in milliseconds of the steady clock.
  * @returns A scope that ends by itself at that time.
  * @internal
  */
@@ -79,7 +82,7 @@
 	}, trimTimerMs(deadlineAt - readSteadyMs()));
 
 	let timer = startTimer();
-	// The timer stood still while this VM was suspended. What is over by then ends in the turn in which it is noticed, once that has been told to all.
+	// Timers do not advance while this VM is suspended. After a resume the timer is set anew; a scope whose deadline has passed ends right after all resume handlers have run.
 	const unwatch = watchResume(() => {
 		clearTimeout(timer);
 		timer = startTimer();
@@ -94,10 +97,10 @@
 }
 
 /**
- * Opens a scope inside another, for one attempt of a call.
+ * Creates a child scope for one attempt of a call.
  *
- * @param parent - The call's scope, whose timer serves both.
- * @returns A scope that ends with the outer one, or earlier by itself.
+ * @param parent - The scope of the call, whose timer serves both.
+ * @returns A scope that ends with its parent, or earlier through its own `end`.
  * @internal
  */
 export function createChildScope(parent: CallScope): CallScope {
--- a/src/lib/forwarding/config-messages.test.ts
+++ b/src/lib/forwarding/config-messages.test.ts
@@ -14,13 +14,13 @@
 	return decodeConfigAnswer(JSON.parse(sent) as unknown, body);
 };
 
-test('a configuration of many routes arrives as it was, in a fraction of its bytes', () => {
+test('a configuration of many routes is transferred unchanged in less than a quarter of its size', () => {
 	const answer: ConfigAnswer = {type: 'whole', text};
 	assert.deepEqual(send(answer), answer);
 	assert.ok(encodeConfigAnswer(answer).body.length < text.length / 4, `${encodeConfigAnswer(answer).body.length} of ${text.length}`);
 });
 
-test('steps and nothing arrive as they were, and so does the version that is asked with', () => {
+test('steps, an empty answer and the version of a request are transferred unchanged', () => {
 	const steps: ConfigAnswer = {type: 'steps', steps: [{from: 3, to: 5, delta: computeTextDelta('{a}{b}', '{a}{c}')}]};
 	assert.deepEqual(send(steps), steps);
 	assert.equal(send(undefined), undefined);
@@ -28,7 +28,7 @@
 	assert.equal(decodeConfigRequest('7'), 0);
 });
 
-test('property: what was damaged on the way, or was never an answer, is none', () => {
+test('property: malformed bytes decode to no answer or to one of the announced type, and a truncated answer to none', () => {
 	fc.assert(fc.property(fc.constantFrom('whole', 'steps', 'none', 'other'), fc.uint8Array({maxLength: 60}), (type, bytes) => {
 		const answer = decodeConfigAnswer([type], bytes);
 		assert.ok(answer === undefined || answer.type === type);
--- a/src/lib/forwarding/config-messages.ts
+++ b/src/lib/forwarding/config-messages.ts
@@ -1,6 +1,6 @@
 /**
- * What nodes say to one another when one hands the configuration to another,
- * as heads and bodies of frames.
+ * Messages by which one node transfers the configuration to another, as heads and
+ * bodies of frames.
  *
  * @module
  */
@@ -8,16 +8,18 @@
 import {getZlib} from '../common/late-modules.js';
 import {parseConfigSteps, type ConfigStep} from '../route-config/config-history.js';
 
-/** What a node is sent. @internal */
+/** The configuration that a node gets from another node. @internal */
 export type ConfigAnswer =
-	/** The configuration, as the store holds it. */
+	/** The whole configuration as the store holds it. */
 	| {readonly type: 'whole'; readonly text: string}
-	/** How to make it out of the one that the node has. */
+	/** Deltas to apply to the version that the requesting node has. */
 	| {readonly type: 'steps'; readonly steps: readonly ConfigStep[]};
 
 /**
- * @param version - The version that the node which asks has; 0 if it has none, or wants the whole.
- * @returns The head of its frame.
+ * Encodes a request for the configuration.
+ *
+ * @param version - The version that the requesting node has; 0 if it has none or wants the whole configuration.
+ * @returns The head of the frame.
  * @internal
  */
 export function encodeConfigRequest(version: number): readonly [number] {
@@ -25,8 +27,10 @@
 }
 
 /**
- * @param head - Head of a frame.
- * @returns The version that the node which asks has; 0 if the head does not tell, so that it gets the whole.
+ * Decodes a request for the configuration.
+ *
+ * @param head - The head of the frame.
+ * @returns The version that the requesting node has; 0 if the head holds no version, so that the node gets the whole configuration.
  * @internal
  */
 export function decodeConfigRequest(head: unknown): number {
@@ -34,19 +38,21 @@
 	return Number.isSafeInteger(version) ? version as number : 0;
 }
 
-/** An answer as a frame takes it. @internal */
+/** Head and body of the frame of an answer. @internal */
 export type EncodedConfigAnswer = {readonly head: readonly [string]; readonly body: Uint8Array};
 
-/** Configurations are much the same from route to route: the fastest compression makes them some eight times smaller. */
+/** Routes resemble each other: the fastest compression level makes a configuration about eight times smaller. */
 const compressionOptions = {level: 1} as const;
 
-/** The largest text that is taken from another node, in bytes: several times what the store of the users holds in a value. */
+/** Larger texts from another node are rejected while they are decompressed. Several times the largest value of the users' store. */
 const maxInflatedBytes = 16_777_216;
 
 const compressText = (text: string): Uint8Array => getZlib().deflateRawSync(Buffer.from(text), compressionOptions);
 
 /**
- * @param answer - What is sent; `undefined` for nothing.
+ * Encodes an answer to a request for the configuration.
+ *
+ * @param answer - The answer; `undefined` if this node has no configuration.
  * @returns Head and body of the frame.
  * @internal
  */
@@ -77,9 +83,11 @@
 }
 
 /**
- * @param head - Head of a frame.
- * @param body - Its body.
- * @returns What was sent; `undefined` for nothing, and for what cannot be read.
+ * Decodes an answer to a request for the configuration.
+ *
+ * @param head - The head of the frame.
+ * @param body - The body of the frame.
+ * @returns The answer; `undefined` if it holds no configuration or is malformed.
  * @internal
  */
 export function decodeConfigAnswer(head: unknown, body: Uint8Array): ConfigAnswer | undefined {
@@ -91,7 +99,7 @@
 	try {
 		return decodeBody(type, body);
 	} catch {
-		// Whoever asked takes it as no answer, and asks again.
+		// The requesting node treats a malformed answer like a missing one and asks again.
 		return undefined;
 	}
 }
--- a/src/lib/forwarding/entry-server.ts
+++ b/src/lib/forwarding/entry-server.ts
@@ -1,7 +1,7 @@
 /**
- * Takes the requests of callers on this VM and of the backend server beside
- * this node, and answers each with the whole answer of a backend server, or
- * with a failure that says whether it may have run.
+ * The HTTP server for callers on this VM and for the backend server beside this
+ * node. Answers each request with the complete answer of a backend server, or with
+ * a failure that says whether the request may have run.
  *
  * @module
  */
@@ -35,7 +35,7 @@
 import {type CallOutcome, type SendContext} from './outgoing-call.js';
 import {chooseFailureStatus, sendCall} from './send-call.js';
 
-/** A call that has ended, for logs and metrics. @internal */
+/** A finished call, for logs and metrics. @internal */
 export type FinishedCall = {
 	readonly id: string;
 	readonly route: string;
@@ -53,17 +53,17 @@
 export type EntryContext = SendContext & {
 	readonly headerNames: CallHeaderNames;
 	readonly getConfig: () => HeldConfig | undefined;
-	/** Whether a newer configuration is known of than that one. */
+	/** Whether this node knows of a newer configuration than the one it holds. */
 	readonly isConfigOutdated: () => boolean;
-	/** Waits until it is here, or a moment has passed. */
+	/** Waits until the newer configuration has been applied, or for a short time at most. */
 	readonly waitForNewerConfig: () => Promise<void>;
 	readonly splitter: ShareSplitter;
 	readonly callerRetryDetector: ReturningCallers;
 	readonly nestedCallDetector: AwaitedRoutes;
 	readonly log: MeshLog;
-	/** Waits until the work on a request may begin: whatever has arrived meanwhile is heard first if this process lags behind. */
+	/** If this process lags behind, waits until input that had already arrived was read, so that the disconnect of a caller is noticed before work on its request starts. */
 	readonly waitForPendingInput: (isNewConnection: boolean) => Promise<void>;
-	/** For how long a request that was read just now may have lain unread, in milliseconds. */
+	/** Estimates how long a request that was read just now may have waited unread, in milliseconds. */
 	readonly estimateUnreadMs: LoopLag['estimateUnreadMs'];
 	readonly handleFinished: (call: FinishedCall) => void;
 };
@@ -73,45 +73,47 @@
 	readonly server: Server;
 	readonly applyLimits: (limits: CallerLimits) => void;
 	readonly countCalls: () => number;
-	/** Connections of callers who have not read their answers yet. */
+	/** Returns the number of connections on which bytes of answers have not been sent yet. */
 	readonly countUnsentAnswers: () => number;
-	/** From here on each answer closes its connection. */
+	/** Makes each answer from now on close its connection. */
 	readonly startClosing: () => void;
-	/** Takes no more connections, and closes those that carry nothing. */
+	/** Stops accepting connections and closes the idle ones. */
 	readonly stopListening: () => void;
 };
 
-/** One request of a caller on its way. */
+/** A request of a caller, with its response. */
 type EntryCall = {
 	readonly id: string;
 	readonly request: IncomingMessage;
 	readonly response: ServerResponse;
+	/** In milliseconds of the steady clock, with the estimated time unread subtracted. */
 	readonly receivedAt: number;
+	/** Sends `100 Continue` if the caller waits for it. */
 	readonly sendContinue: () => void;
 };
 
-/** The largest head that is taken before a configuration says otherwise. Bytes. */
+/** The largest request head that is accepted. */
 const maxHeaderBytes = 65_536;
 
-/** Connections are kept this much longer than callers are told, in milliseconds: a request may be on its way when the time is over. */
+/** Idle connections are kept this much longer than the configured idle timeout, because a request may be on its way when that expires. */
 const keepAliveGraceMs = 1000;
 
-/** What bodies may hold of this node's memory together. Bytes: a third of what the smallest VMs of the users give a process. */
+/** Limit for the bodies of all requests together: a third of the memory that a process has on the smallest VMs of the users. */
 const maxBufferedBodyBytes = 83_886_080;
 
-/** When memory for a large body may be free again. Milliseconds. */
+/** Retry delay for a request that is refused because the memory for bodies is in use. */
 const bodyMemoryRetryMs = 1000;
 
-/** When a node without a configuration is worth asking again, in milliseconds. */
+/** Retry delay while this node has no configuration. */
 const noConfigRetryMs = 250;
 
-/** When a node that is behind is worth asking again, in milliseconds: most get a newer configuration sooner. */
+/** Retry delay while this node has an outdated configuration. Most nodes get the newer one within this time. */
 const outdatedConfigRetryMs = 300;
 
-/** When a route that leads nowhere may lead somewhere again: with the next configuration. Milliseconds: changes come many times an hour, not many times a second. */
+/** Retry delay for a route that cannot be used until the configuration changes, which happens many times an hour, not many times a second. */
 const unusableRouteRetryMs = 1000;
 
-/** What a caller is told whose body was not taken: none of these was run. */
+/** Returns the status for a request whose body could not be read. Such a request has not run. */
 function chooseBodyErrorStatus(error: unknown): number {
 	if (error instanceof BodyTimeoutError) {
 		return 408;
@@ -123,7 +125,7 @@
 /**
  * Creates the server for callers.
  *
- * @param context - What it works with.
+ * @param context - The configuration, the logs and everything needed to send calls.
  * @returns The server, not listening yet.
  * @internal
  */
@@ -180,7 +182,7 @@
 		refuse(call, status, reason, retryAfterMs);
 	};
 
-	/** Refuses a request that no known route matches; one that may be meant for a route that could not be read, or that is not here yet, is not told that there is none. */
+	/** Refuses a request that matches no known route. Answers 503 instead of 404 if the route may exist: one of its host could not be read, or a newer configuration may contain it. */
 	const refuseUnmatched = (call: EntryCall, {config: {version, unreadHosts}}: HeldConfig): void => {
 		if (unreadHosts.has(cutPort(call.request.headers.host ?? ''))) {
 			refuseAndLog(call, version, 503, 'no route that this node can read matches host and path', unusableRouteRetryMs);
@@ -188,7 +190,7 @@
 		}
 
 		if (context.isConfigOutdated()) {
-			refuseAndLog(call, version, 503, 'no route matches host and path, and a newer version is known of that is not here yet', outdatedConfigRetryMs);
+			refuseAndLog(call, version, 503, 'no route matches host and path, but this node has not received the newest configuration version yet', outdatedConfigRetryMs);
 			return;
 		}
 
@@ -203,7 +205,7 @@
 		call.sendContinue();
 		try {
 			return await readBody(call.request, maxBodyBytes, bodyBudget, handleEnd => scope.subscribe(reason => {
-				// A connection that has closed is told by the request itself.
+				// If the connection closes, the request itself reports that.
 				if (reason === 'timeout') {
 					handleEnd();
 				}
@@ -237,7 +239,7 @@
 
 	const findRouteIn = ({index}: HeldConfig, {headers, url}: IncomingMessage): RouteRule | undefined => findRoute(index, headers.host ?? '', url ?? '/');
 
-	/** The configuration that a request is handled by: if no route of the one in force matches it and a newer one is known of, that one is waited for. */
+	/** Returns the configuration to handle a request with. Waits for a newer configuration if one is known and the active one has no matching route. */
 	const chooseConfig = async (request: IncomingMessage): Promise<HeldConfig | undefined> => {
 		const activeConfig = context.getConfig();
 		if (activeConfig === undefined || !context.isConfigOutdated() || findRouteIn(activeConfig, request) !== undefined) {
@@ -270,13 +272,13 @@
 
 		const service = context.splitter.pick(route);
 		if (service === undefined) {
-			refuseAndLog(call, version, 503, 'no part of the route takes traffic', unusableRouteRetryMs);
+			refuseAndLog(call, version, 503, 'the route has no service with a weight above 0', unusableRouteRetryMs);
 			return;
 		}
 
 		const callerTimeoutMs = getNumberHeader(request.headers, headerNames.timeLeft) ?? route.timeoutMs;
 		const isNestedCall = context.nestedCallDetector.note(service, route.name, route.targetLatencyMs);
-		// The time left of calls that backend servers make is that of their own callers.
+		// A call that a backend server makes passes on the remaining time of its own caller, which says nothing about a retry.
 		const ageMs = isNestedCall ? 0 : context.callerRetryDetector.note(route.name, callerTimeoutMs);
 		const timeLeftMs = Math.min(callerTimeoutMs, route.timeoutMs);
 		let bufferedBytes = 0;
@@ -328,7 +330,7 @@
 		try {
 			await runCall(call);
 		} catch (error) {
-			// A fault of this program: the caller must not take what it has so far for an answer.
+			// A bug in this program. Destroys the connection, so that the caller does not take a partial response for an answer.
 			log.record('error', {kind: 'node-failed', reason: (error as Error).stack ?? String(error)});
 			call.response.destroy();
 		} finally {
@@ -364,7 +366,7 @@
 			isClosing = true;
 		},
 		stopListening() {
-			// The HTTP server's own `close` takes a connection for idle once its answer is handed over, and cuts what has not left yet.
+			// The HTTP server's own `close` treats a connection as idle once its answer was handed to the socket, and would cut off bytes that were not sent yet.
 			NetServer.prototype.close.call(server);
 			connections.closeIdle();
 		},
--- a/src/lib/forwarding/frame.test.ts
+++ b/src/lib/forwarding/frame.test.ts
@@ -16,7 +16,7 @@
 
 const encode = (frames: readonly Frame[]): Uint8Array => Buffer.concat(frames.flatMap(one => [encodeFrameHead(one), one.body]));
 
-test('property: frames come out as they went in, however the bytes are cut', () => {
+test('property: frames are decoded unchanged, however the bytes are split into chunks', () => {
 	fc.assert(fc.property(fc.array(frame, {maxLength: 6}), fc.array(fc.integer({min: 1, max: 700}), {minLength: 1}), (frames, cuts) => {
 		const bytes = encode(frames);
 		const reader = createFrameReader();
@@ -31,7 +31,7 @@
 	}));
 });
 
-test('bytes that are no frames are refused, with the place and what is allowed', () => {
+test('bytes that are no frame are rejected with the field and the values that are allowed', () => {
 	assert.throws(() => createFrameReader().read(Buffer.from('GET / HTTP/1.1\r\n\r\n')), /frame\.length: found \d+, must be 9 to \d+ bytes/);
 	const change = (write: (bytes: ReturnType<typeof Buffer.alloc>) => void): Uint8Array => {
 		const bytes = Buffer.from(encodeFrameHead({type: 'cancel', id: 1}));
@@ -48,7 +48,7 @@
 	})), /frame\.headLength: found 98765432/);
 });
 
-test('bytes that come one by one are held in about their own size', () => {
+test('bytes that arrive one by one take less than one and a half times their size in memory', () => {
 	const bytes = Buffer.concat([encodeFrameHead({type: 'body', id: 1, body: Buffer.alloc(200_000)}), Buffer.alloc(199_999)]);
 	const reader = createFrameReader();
 	for (const byte of bytes) {
@@ -59,7 +59,7 @@
 	assert.equal(reader.read(Buffer.alloc(1))[0]?.body.length, 200_000);
 });
 
-test('property: any bytes, and any change of a true frame, are frames or are refused', () => {
+test('property: random bytes and damaged frames are decoded as frames or rejected', () => {
 	const changed = fc.tuple(fc.array(frame, {minLength: 1, maxLength: 3}), fc.array(fc.record({place: fc.nat(3000), byte: fc.nat(255)}), {maxLength: 4})).map(([frames, changes]) => {
 		const bytes = Buffer.from(encode(frames));
 		for (const {place, byte} of changes) {
--- a/src/lib/forwarding/frame.ts
+++ b/src/lib/forwarding/frame.ts
@@ -1,9 +1,9 @@
 /**
- * Frames between nodes: many requests share one connection, and each is read
- * by one short function instead of an HTTP parser on both sides.
+ * Frames between nodes. Many requests share one connection, and decoding a frame
+ * is cheaper than parsing HTTP on both sides.
  *
- * A frame is its length, its type, the id of the request on its connection, the
- * length of its head, the head as JSON, and the body.
+ * A frame consists of its length, its type, the id of the request on the connection,
+ * the length of its head, the head as JSON, and the body.
  *
  * @module
  */
@@ -12,25 +12,25 @@
 import process from 'node:process';
 import {FieldError} from '../common/field-error.js';
 
-/** What a frame is. @internal */
+/** @internal */
 export type FrameType =
-	/** A request with its body, if it has one. */
+	/** A request, with its body if it has one. */
 	| 'request'
-	/** A request whose body follows once it is asked for. */
+	/** A request whose body is sent after a `continue`. */
 	| 'offer'
-	/** Asks for the body of an offer. */
+	/** Requests the body of an offer. */
 	| 'continue'
 	/** The body of an offer. */
 	| 'body'
 	/** The answer, which ends a request. */
 	| 'answer'
-	/** Whoever asked does not wait any more. */
+	/** The entry no longer waits for the answer. */
 	| 'cancel'
-	/** Asks for the configuration in force. */
+	/** Requests the active configuration. */
 	| 'config'
-	/** Asks whether anything still arrives. */
+	/** Checks whether the connection is alive. */
 	| 'ping'
-	/** Says so. */
+	/** The answer to a `ping`. */
 	| 'pong';
 
 const frameTypes: readonly FrameType[] = ['request', 'offer', 'continue', 'body', 'answer', 'cancel', 'config', 'ping', 'pong'];
@@ -38,37 +38,39 @@
 /** @internal */
 export type Frame = {
 	readonly type: FrameType;
-	/** Chosen by whoever opened the connection. */
+	/** Chosen by the node that opened the connection. */
 	readonly id: number;
-	/** Any JSON; `undefined` for none. */
+	/** Any JSON; `undefined` if the frame has no head. */
 	readonly head: unknown;
 	readonly body: Uint8Array;
 };
 
-/** Type, id and length of the head. */
+/** The type, the id and the length of the head. */
 const fixedHeaderBytes = 9;
 const lengthFieldBytes = 4;
 
-/** A longer frame is no frame of ours. Bytes: what an entry holds of all bodies together, which an answer of a backend server may pass, and a head. */
+/** Longer frames are rejected. Larger than all request bodies that an entry holds at once plus a head, because answers of backend servers may be larger than these bodies. */
 const maxFrameBytes = 134_217_728;
 
-/** A longer head is no head of ours. Bytes: the longest that callers may send, each character of it written as six in JSON. */
+/** Longer heads are rejected. Enough for the longest headers that callers may send, with each character escaped as six in JSON. */
 const maxHeadBytes = 1_048_576;
 
-/** So many pieces are held before small ones are joined: what comes in pieces of a few bytes would take a hundred times their memory. */
+/** Beyond this count small chunks are joined: kept apart, chunks of a few bytes would take about a hundred times their size. */
 const maxUnjoinedChunkCount = 64;
 
-/** Memory that a piece takes beside its own bytes. */
+/** Memory that a chunk takes in addition to its bytes. */
 const chunkOverheadBytes = 128;
 
-/** Pieces that are smaller on average are joined. Bytes: each piece more costs a copy of so many. */
+/** Chunks are joined if they are smaller than this on average, so that joining copies about this many bytes per chunk at most. */
 const smallChunkBytes = 1024;
 
 const emptyBody = Buffer.alloc(0);
 
 /**
- * @param frame - A frame; its head and body may be left out.
- * @returns Its bytes, without those of the body.
+ * Encodes everything of a frame but its body.
+ *
+ * @param frame - The frame; head and body may be omitted.
+ * @returns The bytes that precede the body.
  * @internal
  */
 export function encodeFrameHead({type, id, head, body = emptyBody}: Pick<Frame, 'type' | 'id'> & Partial<Frame>): Uint8Array {
@@ -84,11 +86,11 @@
 }
 
 /**
- * Writes a frame. Several frames of one turn of the loop leave in one write.
+ * Writes a frame. Frames written in the same turn of the event loop are sent in one write.
  *
- * @param socket - Where to; nothing is written to one that is destroyed.
- * @param frame - The frame; its head and body may be left out.
- * @param handleWritten - Called once the connection has taken it, or will not.
+ * @param socket - The connection; if it is destroyed, nothing is written.
+ * @param frame - The frame; head and body may be omitted.
+ * @param handleWritten - Called once the frame was handed to the operating system, or when it cannot be.
  * @internal
  */
 export function writeFrame(socket: Socket, frame: Parameters<typeof encodeFrameHead>[0], handleWritten?: () => void): void {
@@ -109,18 +111,18 @@
 	});
 }
 
-/** Reads frames out of a stream of bytes. @internal */
+/** Decodes frames from a stream of bytes. @internal */
 export type FrameReader = {
-	/** Takes bytes; yields the frames that are whole now. Throws as soon as the bytes cannot be frames. */
+	/** Adds received bytes and returns the frames that are now complete. Throws as soon as the bytes cannot be a frame. */
 	readonly read: (bytes: Uint8Array) => readonly Frame[];
-	/** Memory that is held for a frame that is not whole yet. Bytes. */
+	/** Returns the memory that incomplete frames take, in bytes. */
 	readonly countBufferedBytes: () => number;
 };
 
-/** The same bytes, with the methods that read numbers. */
+/** Wraps the same memory in a `Buffer`, for its methods that read numbers. */
 const toBuffer = ({buffer, byteOffset, byteLength}: Uint8Array) => Buffer.from(buffer, byteOffset, byteLength);
 
-/** Checks what stands before the head of a frame: its type, its id and the length of its head. */
+/** Checks the fixed part that precedes the head of a frame. */
 function checkFixedHeader(start: ReturnType<typeof toBuffer>, length: number): void {
 	const type = start.readUInt8(lengthFieldBytes);
 	if (type >= frameTypes.length) {
@@ -129,11 +131,11 @@
 
 	const headBytes = start.readUInt32LE(lengthFieldBytes + 5);
 	if (headBytes > Math.min(maxHeadBytes, length - fixedHeaderBytes)) {
-		throw new FieldError('frame.headLength', headBytes, `${maxHeadBytes} bytes at the most, and not longer than its frame`);
+		throw new FieldError('frame.headLength', headBytes, `at most ${maxHeadBytes} bytes, and not longer than its frame`);
 	}
 }
 
-/** Decodes a frame whose fixed part was checked. */
+/** Decodes a complete frame whose fixed part was checked. */
 function decodeFrame(whole: Uint8Array): Frame {
 	const bytes = toBuffer(whole);
 	const headEnd = fixedHeaderBytes + bytes.readUInt32LE(5);
@@ -144,14 +146,16 @@
 }
 
 /**
- * @returns A reader that has seen nothing yet.
+ * Creates a decoder for the frames of one connection.
+ *
+ * @returns The reader, with nothing buffered.
  * @internal
  */
 export function createFrameReader(): FrameReader {
 	let chunks: Uint8Array[] = [];
 	let bufferedBytes = 0;
 
-	/** Joins what is held only when a frame is whole: a large body comes in many pieces. */
+	/** Joins all buffered chunks. A large body arrives in many chunks, so these are joined once its frame is complete rather than one by one. */
 	const join = (): Uint8Array => {
 		const [first] = chunks;
 		const joined = chunks.length === 1 && first !== undefined ? first : Buffer.concat(chunks, bufferedBytes);
@@ -159,14 +163,14 @@
 		return joined;
 	};
 
-	/** Joins small pieces: each costs some hundred bytes beside its own. */
+	/** Joins chunks that are small on average, since each takes memory beyond its own bytes. */
 	const joinSmallChunks = (): void => {
 		if (chunks.length > maxUnjoinedChunkCount && bufferedBytes < chunks.length * smallChunkBytes) {
 			join();
 		}
 	};
 
-	/** Reads lengths as soon as they are there: a frame that is too long is not waited for. */
+	/** Reads and checks the lengths as soon as they have arrived, so that a frame that is too long is rejected before it is buffered. */
 	const readNextLength = (): number | undefined => {
 		const [first] = chunks;
 		if (bufferedBytes < lengthFieldBytes || first === undefined) {
--- a/src/lib/forwarding/gate-client.test.ts
+++ b/src/lib/forwarding/gate-client.test.ts
@@ -7,7 +7,7 @@
 import {createGateClient} from './gate-client.js';
 import {encodePeerAnswer} from './peer-messages.js';
 
-test('large answers have a connection of their own, so that small ones do not wait behind them', async context => {
+test('large answers use a separate connection, so that small ones do not queue behind them', async context => {
 	const idsBySocket = new Map<Socket, string[]>();
 	const server = createServer(socket => {
 		const reader = createFrameReader();
@@ -44,6 +44,6 @@
 		return result.type;
 	};
 
-	assert.deepEqual(await Promise.all([send('film', true), send('order', false), send('film too', true)]), ['answered', 'answered', 'answered']);
-	assert.deepEqual([...idsBySocket.values()].map(ids => ids.toSorted().join(',')).toSorted(), ['film,film too', 'order']);
+	assert.deepEqual(await Promise.all([send('large-1', true), send('small-1', false), send('large-2', true)]), ['answered', 'answered', 'answered']);
+	assert.deepEqual([...idsBySocket.values()].map(ids => ids.toSorted().join(',')).toSorted(), ['large-1,large-2', 'small-1']);
 });
--- a/src/lib/forwarding/gate-client.ts
+++ b/src/lib/forwarding/gate-client.ts
@@ -1,6 +1,7 @@
 /**
- * Sends requests to the gates of other nodes, over two connections to each:
- * large bodies and answers have one of their own, so that small ones do not wait behind.
+ * Sends requests to the gates of other nodes, over two connections to each. Large
+ * bodies and answers have a separate connection, so that small ones do not queue
+ * behind them.
  *
  * @module
  */
@@ -17,20 +18,20 @@
 import {decodeConfigAnswer, encodeConfigRequest, type ConfigAnswer} from './config-messages.js';
 import {decodePeerAnswer, encodePeerRequest, type PeerRequest} from './peer-messages.js';
 
-/** A request for the backend server beside another node. @internal */
+/** A request to the backend server beside another node. @internal */
 export type RemoteCall = Omit<PeerRequest, 'hasBody' | 'leftMs'> & {
 	readonly gate: Address;
 	readonly body: Uint8Array | undefined;
-	/** Its body or its answer is large. */
+	/** Whether the body or the answer is large. */
 	readonly isBulk: boolean;
 	readonly scope: CallScope;
-	/** Told, now and then, while its connection is in doubt. */
+	/** Called repeatedly while the connection of the request is unresponsive. */
 	readonly handleUnresponsive?: () => void;
 };
 
-/** Why a node did not hand its configuration over. @internal */
+/** Why a node did not return its configuration. @internal */
 export type ConfigFetchError = {
-	/** `nothing`: it has none, or sent what cannot be read. */
+	/** `nothing`: it has no configuration, or its answer is malformed. */
 	readonly type: Extract<ChannelResult, {readonly type: 'failed'}>['reason'] | 'nothing';
 	readonly reason: string;
 };
@@ -38,21 +39,24 @@
 /** @internal */
 export type GateClient = {
 	readonly send: (call: RemoteCall) => Promise<GateResult>;
-	/** Asks another node for the configuration in force, telling which version is there. */
+	/** Requests the active configuration of another node; `version` is the one that this node has. */
 	readonly fetchConfig: (gate: Address, version: number, scope: CallScope) => Promise<Result<ConfigAnswer, ConfigFetchError>>;
-	/** When bytes last arrived from a gate, in steady milliseconds; 0 if none have on the connections that are in use. */
+	/** Returns when bytes last arrived from a gate, in milliseconds of the steady clock; 0 if none have on its current connections. */
 	readonly getLastReceivedAt: (gate: Address) => number;
-	/** New requests get new connections: what was sent on the old ones may hang, or may still be answered. One that is still opening goes on, unless the node is back: what opens it may have been sent while nobody was there. */
+	/**
+	 * Makes new requests use new connections, because requests on the old ones may hang; those that are answered are still delivered. A connection that is being
+	 * opened is kept, unless the node is back: its connection request may have been sent, and lost, while the node was away.
+	 */
 	readonly renewConnections: (gate: Address, reason: 'back' | 'unreachable') => void;
-	/** Takes connections that have gone silent although their nodes are heard out of use, so that new ones are made, and closes them later. Called every now and then. */
+	/** Stops using connections on which nothing arrives although heartbeats of their nodes arrive, and closes them later. Must be called periodically. */
 	readonly checkLiveness: (now: number, getHeardAt: (gate: Address) => number | undefined) => void;
 	readonly dispose: () => void;
 };
 
-/** How long a call waits for a new connection, in milliseconds: a few times the slowest way between failure domains, so that a dark VM costs little. */
+/** How long a call waits for a new connection: a few times the highest latency between failure domains, so that an unreachable VM delays a call only briefly. */
 const connectWaitMs = 300;
 
-/** Bodies above this size, in bytes, are sent once the gate has a slot for them: a refusal then costs no bytes between failure domains. */
+/** Larger bodies are sent once the gate has a slot for the request, so that a refused request transfers no body between failure domains. */
 const maxInlineBodyBytes = 4096;
 
 const channelKinds = ['small', 'bulk'] as const;
@@ -69,14 +73,16 @@
 }
 
 /**
+ * Creates the client. It opens no connection before the first request.
+ *
  * @param options - How connections are opened and written to.
- * @returns The client. No connection is made before the first request.
+ * @returns The client.
  * @internal
  */
 export function createGateClient(options: ChannelOptions = {}): GateClient {
-	/** The one that takes new requests, by gate and kind. */
+	/** The channel for new requests, by kind and gate. */
 	const channels = new Map<string, PeerChannel>();
-	/** These, and others whose last requests are under way. */
+	/** All channels that are open, including retired ones with requests in flight. */
 	const openChannels = new Set<PeerChannel>();
 
 	const getChannel = (gate: Address, kind: ChannelKind): PeerChannel => {
@@ -108,7 +114,7 @@
 			return result.type === 'failed' ? {result: toForwardFailure(result), load: undefined} : decodePeerAnswer(result.head, result.body);
 		},
 		async fetchConfig(gate, version, scope) {
-			// Mostly steps of some hundred bytes, and a connection for large answers would have to be opened first.
+			// An answer is mostly a delta of a few hundred bytes, and the connection for large answers may not be open yet.
 			const result = await getChannel(gate, 'small').send({
 				type: 'config', head: encodeConfigRequest(version), body: undefined, scope,
 			});
@@ -117,7 +123,7 @@
 			}
 
 			const answer = decodeConfigAnswer(result.head, result.body);
-			return answer === undefined ? err({type: 'nothing', reason: 'an answer without a configuration, or one that cannot be read'}) : ok(answer);
+			return answer === undefined ? err({type: 'nothing', reason: 'the answer contains no configuration, or is malformed'}) : ok(answer);
 		},
 		getLastReceivedAt: gate => Math.max(...channelKinds.map(kind => channels.get(`${kind} ${gate}`)?.getLastReceivedAt() ?? 0)),
 		renewConnections(gate, reason) {
--- a/src/lib/forwarding/half-open-detector.ts
+++ b/src/lib/forwarding/half-open-detector.ts
@@ -1,33 +1,35 @@
 /**
- * Notices that connections to a backend server may have gone silent: they look
- * open, and nothing that is sent on them arrives. Nothing but a request that
- * goes unanswered shows it, and every idle connection would cost one.
+ * Detects half-open connections to a backend server: they look open, but nothing
+ * sent on them arrives. Only a request without an answer reveals one, and without
+ * this detector every idle connection would cost a request.
  *
  * @module
  */
 
 /** @internal */
 export type HalfOpenDetector = {
-	/** Notes that a request is sent; yields a function that notes its end. */
+	/** Records that a request is sent; returns a function that records its end. */
 	readonly recordRequest: (now: number) => () => void;
-	/** Whether the connections that are open should be used no more: a request has waited for far longer than requests take. */
+	/** Returns whether the open connections should no longer be used, because a request has waited far longer than requests take. */
 	readonly areSuspected: (serviceMs: number, now: number) => boolean;
 };
 
-/** A request that has waited for so many times the average is taken for lost: the users' longest work is six times the mean. */
+/** A request is considered lost after this multiple of the mean service time. The longest requests of the users take six times the mean. */
 const suspectFactor = 8;
 
-/** And for this long at least, in milliseconds: averages of short work vary more. New connections instead of good ones cost a server a millisecond of a slot each. */
+/** Lower bound of that limit, because the mean of short requests varies more. Replacing a good connection costs the server one millisecond of a slot. */
 const minSuspectMs = 500;
 
 /**
- * @returns What has seen no request yet.
+ * Creates a detector for the connections to one backend server.
+ *
+ * @returns The detector, with no request recorded.
  * @internal
  */
 export function createHalfOpenDetector(): HalfOpenDetector {
-	/** When requests under way were sent, the oldest first. */
+	/** When the requests in flight were sent, oldest first. In milliseconds of the steady clock. */
 	const pendingRequests = new Set<{readonly at: number}>();
-	/** Requests that were sent before this tell nothing new. Steady milliseconds. */
+	/** When the connections were last suspected. Requests sent earlier are no further evidence. In milliseconds of the steady clock. */
 	let suspectedAt = 0;
 	return {
 		recordRequest(now) {
--- a/src/lib/forwarding/outgoing-call.ts
+++ b/src/lib/forwarding/outgoing-call.ts
@@ -1,5 +1,5 @@
 /**
- * A call on its way from the entry to a backend server: what is sent, what it is sent with, and how it ended.
+ * Types of a call that the entry sends to a backend server: the call, its dependencies and its outcome.
  *
  * @module
  */
@@ -19,30 +19,30 @@
 import {type GateClient} from './gate-client.js';
 import {type LocalGate} from './local-gate.js';
 
-/** A call on its way. @internal */
+/** A call that the entry sends. @internal */
 export type OutgoingCall = {
 	readonly id: string;
 	readonly route: RouteRule;
-	/** The part of the route that this call was dealt to. */
+	/** The service of the route that was chosen for this call. */
 	readonly service: string;
 	readonly method: string;
 	readonly target: string;
 	readonly headers: Readonly<Record<string, string | readonly string[]>>;
 	readonly body: Uint8Array | undefined;
 	readonly fingerprint: RequestMark;
-	/** Steady milliseconds. */
+	/** In milliseconds of the steady clock. */
 	readonly receivedAt: number;
-	/** A backend server made it and holds a slot until it is answered. */
+	/** Whether a backend server made the call. That server holds a slot until it gets the answer. */
 	readonly isNestedCall: boolean;
-	/** Milliseconds since its caller first asked, when it was received. */
+	/** Milliseconds between the first attempt of the caller, as estimated, and the receipt of this one. */
 	readonly ageMs: number;
 	readonly scope: CallScope;
 };
 
-/** How a call ended. @internal */
+/** The outcome of a call. @internal */
 export type CallOutcome = {
 	readonly result: ForwardResult;
-	/** What holds for all attempts together. */
+	/** The verdict over all attempts. */
 	readonly verdict: Verdict;
 	readonly attempts: readonly AttemptNote[];
 };
@@ -51,7 +51,7 @@
 export type SendContext = {
 	readonly self: NodeId;
 	readonly callerService: string;
-	/** Servers of a service that are ready, with what is known of them for a request of a route; a few of them if there are many. */
+	/** Lists the ready servers of a service, with their load as known for a request of a route; a sample if there are many. */
 	readonly listCandidates: (needs: {readonly service: string; readonly route: string; readonly tried: ReadonlySet<LifetimeKey>; readonly trialOf?: Fingerprint | undefined}) => readonly Candidate[];
 	readonly quarantine: Pick<Quarantine, 'judge'>;
 	readonly domain: Candidate['domain'];
@@ -63,6 +63,6 @@
 	readonly random: () => number;
 	readonly noteUnreachable: (node: NodeId, reason: string) => void;
 	readonly noteReached: (node: NodeId) => void;
-	/** Calls back each time that a node is found silent; yields a function that takes that back. */
+	/** Calls the handler each time a check finds a node silent; returns a function that unsubscribes. */
 	readonly watchSilence: (node: NodeId, handleSilence: () => void) => () => void;
 };
--- a/src/lib/forwarding/peer-channel.test.ts
+++ b/src/lib/forwarding/peer-channel.test.ts
@@ -6,7 +6,7 @@
 import {createFrameReader, writeFrame, type Frame} from './frame.js';
 import {openPeerChannel, type ChannelResult, type PeerChannel} from './peer-channel.js';
 
-/** A gate that treats frames as it is told. */
+/** Starts a gate that passes each frame to the handler, and opens a channel to it. */
 async function openChannelTo(context: TestContext, handleFrame: (frame: Frame, socket: Socket) => void): Promise<PeerChannel> {
 	const server = createServer(socket => {
 		const reader = createFrameReader();
@@ -31,16 +31,16 @@
 type CheckedRequest = {
 	readonly getResult: () => ChannelResult | 'waiting';
 	readonly countUnresponsiveReports: () => number;
-	/** Has the channel checked as a node does, half a second later each time. */
+	/** Checks the channel as a node does periodically, half a second later each time. */
 	readonly check: (times: number) => Promise<void>;
 };
 
-/** Lets what is under way on the loopback arrive. */
+/** Waits until bytes in flight on the loopback interface have arrived. */
 const settle = async (): Promise<void> => new Promise(resolve => {
 	setTimeout(resolve, 40);
 });
 
-/** Sends a request on a channel whose checks run on a clock that is ahead. */
+/** Sends a request; the checks of its channel run on a clock that each check advances by half a second. */
 function sendChecked(context: TestContext, channel: PeerChannel, getHeardAt: (now: number) => number | undefined): CheckedRequest {
 	const scope = createCallScope(performance.now() + 60_000);
 	context.after(scope.dispose);
@@ -79,7 +79,7 @@
 	return checked.getResult();
 }
 
-test('a connection on which nothing arrives any more takes no new requests while its node is heard, and is given up later', async context => {
+test('a connection on which nothing arrives although its node is heard accepts no new requests, and is closed later', async context => {
 	const channel = await openChannelTo(context, () => undefined);
 	const checked = sendChecked(context, channel, now => now);
 	await checked.check(5);
@@ -93,7 +93,7 @@
 	assert.equal(result.isSent, true);
 });
 
-test('a request whose connection was in doubt is still answered on it', async context => {
+test('a request on an unresponsive connection is still answered if the answer arrives', async context => {
 	let answer = (): void => undefined;
 	const channel = await openChannelTo(context, (frame, socket) => {
 		if (frame.type === 'request') {
@@ -112,7 +112,7 @@
 	assert.equal(result.head, 'late');
 });
 
-test('a node that only takes long, or that is not heard at all, keeps its connection', async context => {
+test('the connection to a slow node, or to a node that is not heard at all, stays in use', async context => {
 	const slow = await openChannelTo(context, (frame, socket) => {
 		if (frame.type === 'ping') {
 			writeFrame(socket, {type: 'pong', id: frame.id});
@@ -125,14 +125,14 @@
 	assert.equal(silent.isUsable(), true);
 });
 
-test('a node that was heard shortly before, and stands still since, keeps its connection', async context => {
+test('the connection to a node that was last heard shortly before it paused stays in use', async context => {
 	const frozen = await openChannelTo(context, () => undefined);
 	const heardAt = performance.now() + 400;
 	assert.equal(await sendAndCheck(context, frozen, () => heardAt, 8), 'waiting');
 	assert.equal(frozen.isUsable(), true);
 });
 
-test('a connection that takes no more requests asks whether anything arrives, so that a process that has restarted resets it', async context => {
+test('a retired connection sends a ping, so that a process that has restarted resets it', async context => {
 	const frames: Frame[] = [];
 	const channel = await openChannelTo(context, frame => {
 		frames.push(frame);
--- a/src/lib/forwarding/peer-channel.ts
+++ b/src/lib/forwarding/peer-channel.ts
@@ -1,5 +1,5 @@
 /**
- * One connection to the gate of another node, which many requests share.
+ * A connection to the gate of another node, which many requests share.
  *
  * @module
  */
@@ -12,22 +12,22 @@
 import {createFrameReader, writeFrame, type Frame} from './frame.js';
 import {type LinkWriter} from './link-writer.js';
 
-/** What is asked of the other node. @internal */
+/** A request to the other node. @internal */
 export type ChannelRequest = {
 	readonly type: 'request' | 'offer' | 'config';
 	readonly head: unknown;
 	readonly body: Uint8Array | undefined;
 	readonly scope: CallScope;
-	/** Told, now and then, while the connection is in doubt: an answer may still come on it, or never. */
+	/** Called repeatedly while the connection is unresponsive. An answer may still arrive on it. */
 	readonly handleUnresponsive?: () => void;
 };
 
-/** How it ended. @internal */
+/** The result of a request. @internal */
 export type ChannelResult =
 	| {readonly type: 'answered'; readonly head: unknown; readonly body: Uint8Array}
 	| {
 		readonly type: 'failed';
-		/** Whether the request, with its body, may have arrived. */
+		/** Whether the request, with its body, may have reached the other node. */
 		readonly isSent: boolean;
 		readonly reason: 'unreachable' | 'connection-lost' | ScopeEndReason;
 		readonly detail: string;
@@ -38,90 +38,91 @@
 	readonly gate: Address;
 	readonly send: (request: ChannelRequest) => Promise<ChannelResult>;
 	readonly isUsable: () => boolean;
-	/** The connection is not up yet. */
+	/** Returns whether the connection is still being opened. */
 	readonly isConnecting: () => boolean;
-	/** When bytes last arrived, in steady milliseconds; 0 if none have. */
+	/** Returns when bytes last arrived, in milliseconds of the steady clock; 0 if none have. */
 	readonly getLastReceivedAt: () => number;
 	/**
-	 * Doubts the connection if nothing arrives on it any more although the other node has given a sign of life since, and closes it later. Called every now
-	 * and then, with when that node was last heard, in steady milliseconds.
+	 * Probes the connection if nothing arrives while requests are in flight. Without an answer it takes the connection out of use, and closes it later, provided that
+	 * the other node was heard after the probe was sent. Must be called periodically. `getHeardAt` returns when that node was last heard, in milliseconds
+	 * of the steady clock.
 	 */
 	readonly checkLiveness: (now: number, getHeardAt: () => number | undefined) => void;
-	/** Takes no more requests, and closes when those under way have ended. */
+	/** Accepts no more requests, and closes the connection once those in flight have ended. */
 	readonly retire: () => void;
 	readonly dispose: () => void;
 };
 
-/** Nothing has arrived for this long while requests wait: the connection is asked whether it works. Milliseconds: most answers are sooner. */
+/** The connection is probed if nothing arrives for this long while requests are in flight. Most answers arrive sooner. */
 const probeAfterQuietMs = 300;
 
 /**
- * How long a node may take to answer that, from its next sign of life on. Milliseconds: a process that is eight times slower than usual still does.
- * That it was heard a while ago shows nothing: a node that stands still for a second, as small ones do under load, is heard as little as its
- * connections: to give these up fails requests that it would have answered.
+ * How long a node may take to answer a probe, counted from the first time it is heard after the probe was sent. A process that is eight times slower than usual
+ * still answers in time. An earlier heartbeat proves nothing: a node that pauses for a second, as small VMs do under load, sends neither heartbeats nor
+ * answers, and closing its connections would fail requests that it would have answered.
  */
 const pongTimeoutMs = 800;
 
 /**
- * How much later than its node's sign of life a connection on which nothing arrives is given up with all that waits on it. Milliseconds: TCP, which starts
- * at 200 ms and doubles, has sent four times again by then. Until then its requests go elsewhere if they may, and what is answered all the same is delivered:
- * lost packets look like a connection that is gone, and breaking off costs the work.
+ * How long after its node was heard a connection without an answer to its probe is closed, which fails its requests. TCP, whose retransmission timeout starts at
+ * 200 ms and doubles, has retransmitted four times by then. Until then, requests that may be retried are also sent elsewhere, and answers that
+ * arrive are still delivered: packet loss looks like a lost connection, and closing wastes the work already done.
  */
 const connectionLostMs = 3000;
 
 /**
- * A question that has not left after this long waits behind a body that leaves slowly, or not at all, which nothing here tells apart. Milliseconds: the connection takes
- * nothing new then, and what waits on it goes elsewhere as well if it may; it is not given up, since the body may be one that must not be sent twice.
+ * A probe that was not written after this long is queued behind a body that is sent slowly or not at all; the two cases cannot be told apart here. The connection then
+ * takes no new requests, and requests that may be retried are also sent elsewhere. It is not closed, because the body may be one that must not be sent twice.
  */
 const probeWriteTimeoutMs = 2000;
 
-/** Whether the connection works, asked on it. Steady milliseconds. */
+/** A `ping` that checks whether the connection is alive. Times are in milliseconds of the steady clock. */
 type LivenessProbe = {
 	readonly queuedAt: number;
-	/** The system has taken it. */
+	/** Whether the operating system has accepted the ping. */
 	isWritten: boolean;
-	/** When that was first seen. */
+	/** When a check first saw that. */
 	writtenAt: number | undefined;
-	/** When a sign of life of the other node was first seen after that. */
+	/** When a check first saw that the other node was heard after `writtenAt`. */
 	nodeHeardAt: number | undefined;
 };
 
-/** Opens a connection. @internal */
+/** Opens a TCP connection. @internal */
 export type OpenSocket = (options: NetConnectOpts) => Socket;
 
 /** How connections are opened and written to. @internal */
 export type ChannelOptions = {
 	readonly openSocket?: OpenSocket;
-	/** Writes to the link of this VM. */
+	/** Writes frames at the pace of the network link of this VM. */
 	readonly link?: Pick<LinkWriter, 'write' | 'cancel'>;
 };
 
-/** A link of which nothing is known: everything is written at once. */
+/** Used if the speed of the link is unknown: writes everything at once. */
 const unpacedLink: Pick<LinkWriter, 'write' | 'cancel'> = {write: writeFrame, cancel: () => undefined};
 
 type PendingRequest = {
 	readonly request: ChannelRequest;
 	readonly settle: (result: ChannelResult) => void;
-	/** Whether the request, with its body, may have left. */
+	/** Whether the request, with its body, may have been sent. */
 	isSent: boolean;
-	/** Runs while the request waits for the connection. */
+	/** Set while the request waits for the connection to open. */
 	connectWaitTimer: NodeJS.Timeout | undefined;
 };
 
 /**
- * How long a connection may take to open. Milliseconds: over a link that is full it takes as long as what waits there, and to give up and begin anew would
- * never get through. Packets are sent again after one second.
+ * How long a connection may take to open. On a saturated link that takes as long as the queue in front of it, and aborting to start over would never
+ * succeed. The connection request is retransmitted after one second.
  */
 const connectTimeoutMs = 2000;
 
 /**
  * Opens a channel.
  *
- * @param address - Where the gate listens.
- * @param connectWaitMs - Milliseconds that a call of a caller waits for the connection; it goes elsewhere then, and the connection goes on opening for others.
- * @param handleClosed - Called once when it has ended.
- * @param surroundings - How it is opened and written to.
- * @returns The channel, connecting.
+ * @param address - The address of the gate.
+ * @param connectWaitMs - How long a call waits for the connection, in milliseconds. The call then fails as not sent, while the connection continues to open for others.
+ * @param handleClosed - Called once when the connection has closed.
+ * @param options - How the connection is opened and written to.
+ * @returns The channel, whose connection is being opened.
  * @internal
  */
 export function openPeerChannel(address: Address, connectWaitMs: number, handleClosed: () => void, {openSocket = connect, link = unpacedLink}: ChannelOptions = {}): PeerChannel {
@@ -133,7 +134,7 @@
 	let isConnected = false;
 	let isRetired = false;
 	let failureDetail = '';
-	/** When something last arrived, or when the first of the requests that wait was sent. Steady milliseconds. */
+	/** When bytes last arrived, the connection opened, or a request was sent while none was in flight, whichever is latest. In milliseconds of the steady clock. */
 	let quietSince = 0;
 	let lastReceivedAt = 0;
 	let probe: LivenessProbe | undefined;
@@ -167,7 +168,7 @@
 		}
 	};
 
-	/** Writes a request. Before the connection is up nothing is, so that what is given up meanwhile never leaves. */
+	/** Writes a request. Nothing is written before the connection is open, so that a request that is given up meanwhile is never sent. */
 	const sendFrame = (id: number, pendingRequest: PendingRequest): void => {
 		const {type, head, body} = pendingRequest.request;
 		clearTimeout(pendingRequest.connectWaitTimer);
@@ -200,7 +201,7 @@
 	const handleFrame = ({type, id, head, body}: Frame): void => {
 		switch (type) {
 			case 'answer': {
-				// Joined chunks may be large: an answer that is kept must not keep them.
+				// The body is a view of the joined chunks, which may be large: code that keeps an answer for long must copy it.
 				finish(id, {type: 'answered', head, body});
 				break;
 			}
@@ -220,7 +221,7 @@
 			case 'cancel':
 			case 'config':
 			case 'ping': {
-				socket.destroy(new Error(`a frame of type ${type} from a gate`));
+				socket.destroy(new Error(`unexpected frame of type ${type} from a gate`));
 				break;
 			}
 		}
@@ -313,7 +314,7 @@
 					}
 
 					finish(id, {
-						type: 'failed', isSent, reason, detail: reason === 'timeout' ? 'no answer in time' : 'the caller has gone',
+						type: 'failed', isSent, reason, detail: reason === 'timeout' ? 'no answer before the deadline' : 'the caller no longer waits for the answer',
 					});
 				});
 			});
@@ -347,7 +348,7 @@
 			}
 
 			if (now - nodeHeardAt > connectionLostMs) {
-				socket.destroy(new Error('nothing arrives on the connection although the node is heard'));
+				socket.destroy(new Error('nothing arrives on the connection although heartbeats of the node arrive'));
 				return;
 			}
 
@@ -356,7 +357,7 @@
 		retire() {
 			isRetired = true;
 			closeIfIdle();
-			// A process that has restarted resets the connection when it gets this, and what waits for its earlier run ends at once.
+			// If the process at the other end has restarted, its system answers the ping with a reset, which ends the requests that wait for the earlier process at once.
 			link.write(socket, {type: 'ping', id: 0});
 		},
 		dispose() {
--- a/src/lib/forwarding/peer-messages.test.ts
+++ b/src/lib/forwarding/peer-messages.test.ts
@@ -9,7 +9,7 @@
 	decodePeerAnswer, decodePeerRequest, encodePeerAnswer, encodePeerRequest, type PeerRequest,
 } from './peer-messages.js';
 
-/** The same verdict each run. */
+/** Fixed, so that each run checks the same cases. */
 const seed = 20_260;
 
 const request: PeerRequest = {
@@ -28,7 +28,7 @@
 	return changed;
 };
 
-test('a request survives its way, and fields that a later program adds are passed over', () => {
+test('a request is decoded unchanged, and fields added by later versions are ignored', () => {
 	assert.deepEqual(decodePeerRequest(sendHead(encodePeerRequest(request))), request);
 	assert.deepEqual(decodePeerRequest(sendHead([...encodePeerRequest(request), 'more'])), request);
 });
@@ -48,7 +48,7 @@
 ];
 
 for (const [place, name, values] of places) {
-	test(`a request whose ${name} cannot be used is refused, with what was found and what is allowed`, () => {
+	test(`a request with an invalid ${name} is rejected with the value found and the values allowed`, () => {
 		for (const value of values) {
 			assert.throws(() => decodePeerRequest(changeHead(encodePeerRequest(request), place, value)), (error: unknown) =>
 				error instanceof FieldError && error.message.startsWith(`${name}: found `) && error.message.includes(', must be '), JSON.stringify(value));
@@ -56,7 +56,7 @@
 	});
 }
 
-test('a length is named only with a body', () => {
+test('a content length without a body is rejected', () => {
 	const withLength = (length: string, hasBody: boolean) => sendHead(encodePeerRequest({...request, hasBody, headers: {'content-length': length}}));
 	assert.equal(decodePeerRequest(withLength('5', true)).hasBody, true);
 	assert.equal(decodePeerRequest(withLength('0', false)).hasBody, false);
@@ -78,13 +78,13 @@
 	return decodePeerAnswer(sendHead(change(head)), body);
 }
 
-test('answers survive their way', () => {
+test('answers are decoded unchanged', () => {
 	for (const result of [answered, refused]) {
 		assert.deepEqual(send(result), result);
 	}
 });
 
-test('an answer that cannot be written to a caller as it is, is none', () => {
+test('an answer that cannot be written to a caller unchanged is rejected as a wrong answer', () => {
 	for (const [place, value] of [
 		[2, 99],
 		[2, 1000],
@@ -104,24 +104,24 @@
 	}
 });
 
-test('a promise that a request has not run is one only if the rest of the message can be read', () => {
+test('the verdict not-run is accepted only if the rest of the message is well-formed', () => {
 	for (const head of [['not-run'], ['not-run', 0], ['not-run', 0, 5, 0], ['not-run', 0, 'full'], ['not-run', 0, 'full', '0']]) {
 		const {result} = decodePeerAnswer(head, Buffer.alloc(0));
 		assert.deepEqual(result.type === 'failed' && [result.verdict, result.hasArrived], ['may-have-run', true], JSON.stringify(head));
 	}
 
-	// A reason that a later program gives does not take the promise back.
+	// An unknown reason, from a later version, does not invalidate the verdict.
 	const {result} = decodePeerAnswer(['not-run', 0, 'asleep', 0, 1e300, 'x'.repeat(9000)], Buffer.alloc(0));
 	assert.deepEqual(result.type === 'failed' && [result.verdict, result.retryAfterMs, result.detail.length], ['not-run', 3_600_000, 300]);
 });
 
-test('a load that is none is not known', () => {
+test('a malformed load is ignored', () => {
 	for (const load of [null, 5, [1, 2, 3], [1, 2, 3, -1], [1, 2, 3, '4'], [1, 2, 3, null]]) {
 		assert.equal(send(answered, head => changeHead(head, 1, load)).load, undefined);
 	}
 });
 
-test('property: any head is a request or is refused, and any head is an answer that promises no more than it says', () => {
+test('property: any head is decoded as a request or rejected, and no head is decoded as an answer with a stronger verdict than it states', () => {
 	const anyHead = fc.oneof(fc.jsonValue(), fc.tuple(fc.nat(9), fc.jsonValue()).map(([place, value]) => changeHead(encodePeerRequest(request), place, value)));
 	fc.assert(fc.property(anyHead, head => {
 		try {
--- a/src/lib/forwarding/peer-messages.ts
+++ b/src/lib/forwarding/peer-messages.ts
@@ -1,5 +1,5 @@
 /**
- * What nodes say to one another about a request, as heads of frames.
+ * Messages by which nodes exchange a request and its result, as heads of frames.
  *
  * @module
  */
@@ -14,9 +14,9 @@
 } from './forward-result.js';
 import {readHeaders, type ForwardedHeaders} from './read-headers.js';
 
-/** A request for the backend server beside another node. @internal */
+/** A request to the backend server beside another node. @internal */
 export type PeerRequest = {
-	/** The caller's id of it. */
+	/** The id that the caller gave the request. */
 	readonly id: string;
 	readonly server: BackendServerId;
 	readonly method: string;
@@ -24,13 +24,13 @@
 	readonly headers: ForwardedHeaders;
 	readonly hasBody: boolean;
 	readonly callerService: string;
-	/** 0 goes first. */
+	/** Priority in the queue of the gate; lower ranks go first. */
 	readonly rank: number;
 	/** Milliseconds until the caller gives up. */
 	readonly leftMs: number;
-	/** Milliseconds that it may be expected to wait for a slot. */
+	/** The gate queues the request only if its expected wait for a slot is at most this long, in milliseconds. */
 	readonly mayWaitMs: number;
-	/** Milliseconds that its answer may be expected to wait for the link, if it is large; `undefined` if it is not. */
+	/** The gate accepts a request with a large answer only if the expected wait of the answer for the link is at most this long, in milliseconds; `undefined` if the answer is not large. */
 	readonly answerMayWaitMs?: number | undefined;
 };
 
@@ -39,21 +39,21 @@
 const isString = (value: unknown): value is string => typeof value === 'string';
 const isNonNegativeNumber = (value: unknown): value is number => typeof value === 'number' && Number.isFinite(value) && value >= 0;
 
-/** The longest time that a message may name; whatever waits for it bounds its own timers. Milliseconds. */
+/** The longest time in a message. Code that sets a timer for it limits the delay itself. */
 const maxTimeMs = Number.MAX_SAFE_INTEGER;
 
-/** The longest time after which a call may be said to be worth trying again. Milliseconds. */
+/** Longer retry delays are reduced to this. */
 const maxRetryAfterMs = 3_600_000;
 
-/** Statuses that end a request. */
+/** Range of the final HTTP statuses; lower ones are informational. */
 const minFinalStatus = 200;
 const maxStatus = 999;
 
-/** Characters of what another node says for people. */
+/** Longer details from another node are cut to this many characters. */
 const maxDetailLength = 300;
 
 /**
- * Encodes a request as a list: the names of its fields would be a third of its bytes.
+ * Encodes a request. The head is a list, because field names would take a third of its bytes.
  *
  * @param request - The request.
  * @returns The head of its frame.
@@ -65,18 +65,20 @@
 	return [id, server, method, target, headers, hasBody ? 1 : 0, callerService, rank, roundToTenth(Math.max(0, leftMs)), roundToTenth(Math.max(0, mayWaitMs)), answerWait];
 }
 
-/** A body that is announced and does not come would be taken from the next request on the connection to the backend server. */
+/** Rejects a content length without a body: the backend server would read the missing body from the next request on the same connection. */
 function checkContentLength(headers: ForwardedHeaders, hasBody: boolean): void {
 	const length = headers['content-length'];
 	if (!hasBody && length !== undefined && length !== '0') {
-		throw new FieldError('request.headers.content-length', length, '0, since no body follows');
+		throw new FieldError('request.headers.content-length', length, '0, because no body follows');
 	}
 }
 
 /**
+ * Decodes a request.
+ *
  * @param head - The head of a frame.
  * @returns The request.
- * @throws FieldError when the head is none: the connection is of no use then.
+ * @throws FieldError when the head is malformed. The connection cannot be used any further then.
  * @internal
  */
 export function decodePeerRequest(head: unknown): PeerRequest {
@@ -114,7 +116,9 @@
 }
 
 /**
- * @param gateResult - How a request ended at the gate.
+ * Encodes the result of a request.
+ *
+ * @param gateResult - The result at the gate, with the load of its backend server.
  * @returns Head and body of the answer's frame.
  * @internal
  */
@@ -125,7 +129,7 @@
 		: {head: [result.verdict, loadPart, result.reason, result.hasArrived ? 1 : 0, Math.round(result.retryAfterMs), result.detail]};
 }
 
-/** An answer of a backend server; `undefined` if the head is that of none, or could not be written to a caller as it is. */
+/** Decodes an answer of a backend server. Returns `undefined` if it is malformed or could not be written to a caller unchanged. */
 function decodeAnswered([status, headers]: readonly unknown[], body: Uint8Array): ForwardAnswer | undefined {
 	if (!Number.isInteger(status) || (status as number) < minFinalStatus || (status as number) > maxStatus) {
 		return undefined;
@@ -136,12 +140,12 @@
 			type: 'answered', status: status as number, headers: readHeaders(headers, 'answer.headers'), body,
 		};
 	} catch {
-		// What is wrong with it helps nobody who waits for the answer.
+		// The error is dropped, because the caller can do nothing with it.
 		return undefined;
 	}
 }
 
-const unreadableAnswer = createMayHaveRun('wrong-answer', 'an answer that cannot be read');
+const unreadableAnswer = createMayHaveRun('wrong-answer', 'the answer of the node is malformed');
 
 function decodeFailed(verdict: Exclude<Verdict, 'ran'>, [reason, hasArrived, retryAfterMs, detail]: readonly unknown[]): ForwardFailure {
 	if (!isString(reason) || (hasArrived !== 0 && hasArrived !== 1)) {
@@ -158,11 +162,11 @@
 }
 
 /**
- * Decodes an answer. What cannot be read promises nothing.
+ * Decodes the result of a request. A malformed answer counts as one after which the request may have run.
  *
- * @param head - Head of the answer's frame.
- * @param body - Its body.
- * @returns How the request ended.
+ * @param head - The head of the answer's frame.
+ * @param body - The body of the answer's frame.
+ * @returns The result at the gate, with the load of its backend server.
  * @internal
  */
 export function decodePeerAnswer(head: unknown, body: Uint8Array): GateResult {
--- a/src/lib/forwarding/read-body.test.ts
+++ b/src/lib/forwarding/read-body.test.ts
@@ -9,7 +9,7 @@
 
 const createRequest = (): PassThrough & IncomingMessage => new PassThrough() as unknown as PassThrough & IncomingMessage;
 
-test('a body is read whole, and holds its bytes until they are released', async () => {
+test('a body is read completely, and its bytes stay taken from the budget until they are released', async () => {
 	const budget = createByteBudget(10);
 	const request = createRequest();
 	const reading = readBody(request, 100, budget);
@@ -21,7 +21,7 @@
 	assert.equal(budget.take(10), true);
 });
 
-test('a body for which there is no room, one that is too large, and one that ends early give back what they took', async () => {
+test('a body that exceeds the budget, one that is too large and one that is cut off release their bytes', async () => {
 	const budget = createByteBudget(10);
 	const crowded = createRequest();
 	const reading = readBody(crowded, 100, budget);
@@ -43,7 +43,7 @@
 	assert.equal(budget.take(10), true);
 });
 
-test('a body that has not come when nobody waits any more gives back what it took', async () => {
+test('a body that has not arrived at the deadline releases its bytes', async () => {
 	const budget = createByteBudget(10);
 	const request = createRequest();
 	let end = (): void => undefined;
--- a/src/lib/forwarding/read-body.ts
+++ b/src/lib/forwarding/read-body.ts
@@ -1,5 +1,5 @@
 /**
- * Reads the body of a request whole, so that it can be sent again.
+ * Reads the complete body of a request, so that the request can be sent again.
  *
  * @module
  */
@@ -7,18 +7,18 @@
 import {type IncomingMessage} from 'node:http';
 import {boundlessBudget, type ByteBudget} from './byte-budget.js';
 
-/** The body is larger than allowed. @internal */
+/** The body exceeds the size limit. @internal */
 export class BodyTooLargeError extends Error {}
 
-/** The time of the call was over before the body had come. @internal */
+/** The deadline of the call passed before the body had arrived. @internal */
 export class BodyTimeoutError extends Error {}
 
-/** Other bodies hold the memory that this one needs. @internal */
+/** The memory for bodies is taken by other requests. @internal */
 export class BodyMemoryError extends Error {}
 
 /**
  * @param request - A request.
- * @returns Whether a body follows its head.
+ * @returns Whether the request has a body.
  * @internal
  */
 export function hasBody(request: IncomingMessage): boolean {
@@ -27,12 +27,14 @@
 }
 
 /**
- * @param request - A request.
- * @param maxBytes - The largest body that is taken.
- * @param budget - What all bodies may hold together. What a whole body took is released by whoever asked for it.
- * @param subscribeToEnd - Calls back when nobody waits any more; yields a function that takes that back.
+ * Reads the body of a request.
+ *
+ * @param request - The request.
+ * @param maxBytes - The size limit of the body, in bytes.
+ * @param budget - Memory for all bodies together. The caller of this function releases the bytes of a body that it got; those of a failed one are released here.
+ * @param subscribeToEnd - Calls the handler when the deadline of the call passes; returns a function that unsubscribes.
  * @returns The body.
- * @throws When the connection ends early, when the body is larger, or when it has not come before nobody waits any more.
+ * @throws BodyTooLargeError, BodyMemoryError or BodyTimeoutError, or another error when the connection fails or closes within the body.
  * @internal
  */
 export async function readBody(
@@ -65,7 +67,7 @@
 			const isTooLarge = size + chunk.length > maxBytes;
 			if (isTooLarge || !budget.take(chunk.length)) {
 				isSettled = true;
-				fail(isTooLarge ? new BodyTooLargeError(`the body is larger than ${maxBytes} bytes`) : new BodyMemoryError('other bodies hold the memory that this one needs'));
+				fail(isTooLarge ? new BodyTooLargeError(`the body is larger than the limit of ${maxBytes} bytes`) : new BodyMemoryError('the memory for request bodies is in use by other requests'));
 				return;
 			}
 
@@ -94,7 +96,7 @@
 		stopListening = subscribeToEnd(() => {
 			if (!isSettled) {
 				isSettled = true;
-				fail(new BodyTimeoutError('the time of the request was over before its body had come'));
+				fail(new BodyTimeoutError('the deadline of the request passed before its body had arrived'));
 			}
 		});
 	});
--- a/src/lib/forwarding/read-headers.ts
+++ b/src/lib/forwarding/read-headers.ts
@@ -1,49 +1,51 @@
 /**
- * Reads the headers that another node sends for a request or an answer. They
- * are written to callers and backend servers as they are, so whatever would
- * frame the bytes behind them in another way is refused.
+ * Validates the headers that another node sends with a request or an answer. They
+ * are written to callers and backend servers unchanged, so headers that would change
+ * the framing of the message are rejected.
  *
  * @module
  */
 import {hopHeaders} from '../calls/headers.js';
 import {FieldError} from '../common/field-error.js';
 
-/** Headers that may be passed on. @internal */
+/** Headers that may be forwarded. @internal */
 export type ForwardedHeaders = Readonly<Record<string, string | readonly string[]>>;
 
-/** Nodes send names in lower case, so that one header has one name. */
+/** Nodes send header names in lower case, so that each header has one spelling. */
 const headerNamePattern = /^[a-z\d!#$%&'*+.^_`|~-]+$/;
 
-/** What a value must not hold: it would end its line, or cannot be written. */
+/** Matches a character that a value must not contain, because it would end the header line or cannot be encoded. */
 const forbiddenCharacter = /[^\t\u0020-\u007E\u0080-\u00FF]/;
 
 const isHeaderValue = (value: unknown): boolean => typeof value === 'string' && !forbiddenCharacter.test(value);
 
 /**
+ * Validates headers by name.
+ *
  * @param value - Any JSON.
- * @param place - Where it stands, for the error.
+ * @param place - The name of the field, for the error.
  * @returns The headers.
- * @throws FieldError when one of them cannot be passed on.
+ * @throws FieldError when one of them cannot be forwarded.
  * @internal
  */
 export function readHeaders(value: unknown, place: string): ForwardedHeaders {
 	if (typeof value !== 'object' || value === null || Array.isArray(value)) {
-		throw new FieldError(place, value, 'headers by name');
+		throw new FieldError(place, value, 'an object of headers by name');
 	}
 
 	const headers = value as Readonly<Record<string, unknown>>;
 	for (const name of Object.keys(headers)) {
 		const field = headers[name];
 		if (!headerNamePattern.test(name)) {
-			throw new FieldError(place, name, 'the name of a header in lower case');
+			throw new FieldError(place, name, 'a header name in lower case');
 		}
 
 		if (hopHeaders.has(name)) {
-			throw new FieldError(place, name, 'a header that does not belong to one connection; leave it out');
+			throw new FieldError(place, name, 'an end-to-end header; hop-by-hop headers must be left out');
 		}
 
 		if (!isHeaderValue(field) && !(Array.isArray(field) && field.every(one => isHeaderValue(one)))) {
-			throw new FieldError(`${place}.${name}`, field, 'a text of one line, or a list of such texts');
+			throw new FieldError(`${place}.${name}`, field, 'a string without line breaks and control characters, or a list of such strings');
 		}
 	}
 
--- a/src/lib/forwarding/running-attempts.ts
+++ b/src/lib/forwarding/running-attempts.ts
@@ -1,6 +1,5 @@
 /**
- * The attempts of one call that are under way. Mostly there is one; beside one whose node has fallen silent there may be another,
- * and whichever is answered first counts.
+ * Runs the attempts of one call. Usually one attempt is in flight; a second may be started while the first is unresponsive, and the first answer wins.
  *
  * @module
  */
@@ -12,35 +11,35 @@
 import {createMayHaveRun, type ForwardResult, type GateResult} from './forward-result.js';
 import {type OutgoingCall, type SendContext} from './outgoing-call.js';
 
-/** One attempt of a call, at one server. @internal */
+/** One attempt of a call, at one backend server. @internal */
 export type Attempt = {
 	readonly target: Candidate;
-	/** Milliseconds that it may wait for a slot. */
+	/** The gate queues the request only if its expected wait for a slot is at most this long, in milliseconds. */
 	readonly mayWaitMs: number;
-	/** Milliseconds that its answer may wait for the link, if it is large. */
+	/** The gate accepts a request with a large answer only if the expected wait of the answer for the link is at most this long, in milliseconds; `undefined` if the answer is not large. */
 	readonly answerMayWaitMs: number | undefined;
-	/** Steady milliseconds. */
+	/** In milliseconds of the steady clock. */
 	readonly startedAt: number;
-	/** The same by the clock that stands still while this VM is suspended. */
+	/** In milliseconds of the clock that does not advance while this VM is suspended. */
 	readonly startedAwakeAt: number;
 	readonly scope: CallScope;
 };
 
-/** What happens to an attempt. @internal */
+/** An event of an attempt. @internal */
 export type AttemptEvent =
 	| {readonly type: 'ended'; readonly attempt: Attempt; readonly result: ForwardResult}
-	/** Nothing is heard of the server's node, or nothing arrives on the connection to it. The server may be at work all the same. */
+	/** The node of the server sends no heartbeats, or nothing arrives on the connection to it. The server may still be running the request. */
 	| {readonly type: 'unresponsive'; readonly attempt: Attempt};
 
 /** @internal */
 export type RunningAttempts = {
 	readonly count: () => number;
-	/** Whether nothing is heard of the nodes of all of them; so it is of none. */
+	/** Returns whether all attempts in flight have been reported as unresponsive; true if there are none. */
 	readonly areAllUnresponsive: () => boolean;
 	readonly start: (planned: Pick<Attempt, 'target' | 'mayWaitMs' | 'answerMayWaitMs'>) => Attempt;
-	/** Waits for what happens next to any of them. */
+	/** Waits for the next event of any attempt. */
 	readonly waitForEvent: () => Promise<AttemptEvent>;
-	/** Breaks off all that are under way, since the call has its answer; yields them. */
+	/** Cancels all attempts in flight because the call has its answer, and returns them. */
 	readonly cancelAll: () => readonly Attempt[];
 };
 
@@ -58,7 +57,7 @@
 		});
 }
 
-/** What a call saw of a node goes before what the node says of itself. */
+/** Reports whether the node could be reached: what a call observed takes precedence over the node's own reports. */
 function reportReachability(context: SendContext, target: Candidate, result: ForwardResult): void {
 	if (target.isLocal) {
 		return;
@@ -72,9 +71,11 @@
 }
 
 /**
- * @param context - What calls are sent with.
+ * Creates the attempts of a call.
+ *
+ * @param context - The dependencies for sending calls.
  * @param call - The call.
- * @returns Its attempts, none started yet.
+ * @returns The attempts; none has started.
  * @internal
  */
 export function createRunningAttempts(context: SendContext, call: OutgoingCall): RunningAttempts {
@@ -129,9 +130,9 @@
 		try {
 			result = await sendAttempt(attempt);
 		} catch (error) {
-			// A fault of this program, which promises nothing.
+			// A bug in this program. The request may have run.
 			context.log.record('error', {kind: 'node-failed', reason: (error as Error).stack ?? String(error)});
-			result = createMayHaveRun('wrong-answer', 'a fault of this node');
+			result = createMayHaveRun('wrong-answer', 'internal error of this node');
 		}
 
 		if (running.delete(attempt)) {
--- a/src/lib/forwarding/send-call.test.ts
+++ b/src/lib/forwarding/send-call.test.ts
@@ -30,7 +30,7 @@
 	readonly unreachable: string[];
 };
 
-/** A mesh of remote servers, each of which treats requests in the given ways, one after the other. */
+/** Creates the context of an entry with remote servers, each of which returns the given results one after the other, and then succeeds. */
 function createFixture(servers: Readonly<Record<string, readonly ForwardResult[]>>, changes: Partial<SendContext> = {}): Fixture {
 	const sent: RemoteCall[] = [];
 	const unreachable: string[] = [];
@@ -76,14 +76,14 @@
 
 const unsafe = {route: createSampleRoute({type: 'unsafe', maxAttempts: 3})};
 
-test('a gate without a slot is no attempt: the next one is asked, whatever the request', async () => {
+test('a refusal by a gate without a slot is not counted as an attempt: any call is sent to the next gate', async () => {
 	const {context, sent} = createFixture({a: [createNotRun('full', 'x', 80)], b: [answered]});
 	const outcome = await sendCall(context, createCall(unsafe));
 	assert.equal(outcome.verdict, 'ran');
 	assert.equal(new Set(sent.map(({server}) => server)).size, sent.length);
 });
 
-test('the first gates are asked for a slot at once, a later one to let it wait', async () => {
+test('the first gates are asked for an immediate slot, later ones may queue the call', async () => {
 	const full = [createNotRun('full', 'x', 80), createNotRun('full', 'x', 80)];
 	const {context, sent} = createFixture({a: full, b: full, c: full});
 	const outcome = await sendCall(context, createCall());
@@ -93,7 +93,7 @@
 	assert.equal(outcome.result.type === 'failed' ? outcome.result.retryAfterMs : 0, 80);
 });
 
-test('what may have run is sent again only if it may run twice, and never promised', async () => {
+test('a call that may have run is sent again only if it is retryable, and never answered with 503', async () => {
 	const lost = createMayHaveRun('connection-lost', 'x');
 	const safe = createFixture({a: [lost], b: [lost]});
 	const outcome = await sendCall(safe.context, createCall());
@@ -104,7 +104,7 @@
 	assert.equal(once.sent.length, 1);
 });
 
-test('after an attempt that may have run, a refusal elsewhere does not turn the whole into a promise', async () => {
+test('after an attempt that may have run, a refusal by another gate does not change the verdict to not-run', async () => {
 	const lost = createMayHaveRun('connection-lost', 'x');
 	const {context} = createFixture({a: [lost, lost], b: [createNotRun('full', 'x'), lost]});
 	const outcome = await sendCall(context, createCall());
@@ -112,7 +112,7 @@
 	assert.equal(outcome.result.type === 'failed' ? chooseFailureStatus(outcome.result, outcome.verdict) : 0, 502);
 });
 
-test('a failure of the server is tried once more if the request may run twice; else it is the answer', async () => {
+test('a retryable call that is answered with 500 is sent once more; for any other call the 500 is the answer', async () => {
 	const safe = createFixture({a: [failed], b: [failed]});
 	const twice = await sendCall(safe.context, createCall());
 	assert.equal(safe.sent.length, 2);
@@ -122,7 +122,7 @@
 	assert.equal(once.sent.length, 1);
 });
 
-test('no more servers than the route allows, and no more repeats than the operators allow', async () => {
+test('a call reaches no more servers than its route allows, and is retried only within the retry budget', async () => {
 	const many = createFixture({
 		a: [failed], b: [failed], c: [failed], d: [failed],
 	});
@@ -133,7 +133,7 @@
 	assert.equal(spent.sent.length, 1);
 });
 
-test('when every server is busy for far too long, no gate is asked, unless others wait behind the call', async () => {
+test('when every server is busy for far too long, no gate is asked, unless a backend server made the call', async () => {
 	const fillQueues = (fixture: Fixture): void => {
 		for (const id of ['a', 'b']) {
 			fixture.loads.hear(toKey(id), {running: 4, waiting: 40, serviceMs: 200}, performance.now());
@@ -151,14 +151,14 @@
 	assert.equal(urgent.sent.length, 1);
 });
 
-test('a node that cannot be reached is named, and the call goes elsewhere', async () => {
+test('a node that cannot be reached is reported, and the call is sent to another server', async () => {
 	const {context, unreachable} = createFixture({a: [createNotRun('node-unreachable', 'x')], b: [answered]});
 	const outcome = await sendCall(context, createCall(unsafe));
 	assert.equal(outcome.verdict, 'ran');
 	assert.ok(unreachable.length <= 1);
 });
 
-/** One server whose node falls silent while a request is under way there, and that answers all the same, or never. */
+/** Two servers; the node of the first is reported silent while a request is in flight. That server answers all the same, or never if `isDead`. */
 function createSilentFixture(slack: number, isDead = false) {
 	let reportSilence = (): void => undefined;
 	const sent: string[] = [];
@@ -189,7 +189,7 @@
 	return {context, sent};
 }
 
-test('a call that may go elsewhere does not wait for a node that has fallen silent', async () => {
+test('a call that may be retried does not wait for a silent node', async () => {
 	const {context, sent} = createSilentFixture(100, true);
 	const outcome = await sendCall(context, createCall());
 	assert.equal(sent.length, 2);
@@ -197,7 +197,7 @@
 	assert.equal(outcome.attempts[0]?.outcome, 'superseded');
 });
 
-test('a call that may go nowhere else waits on for a node that has fallen silent', async () => {
+test('a call that may not be retried keeps waiting for a silent node', async () => {
 	const spent = createSilentFixture(0);
 	const outcome = await sendCall(spent.context, createCall());
 	assert.deepEqual([spent.sent.length, outcome.result.type], [1, 'answered']);
@@ -206,7 +206,7 @@
 	assert.deepEqual([once.sent.length, last.result.type], [1, 'answered']);
 });
 
-test('a call whose caller has left is not sent on', async () => {
+test('a call whose caller has disconnected is not sent again', async () => {
 	const {context, sent} = createFixture({a: [createNotRun('full', 'x')], b: [answered]}, {
 		gateClient: {
 			async send(call: RemoteCall) {
@@ -222,7 +222,7 @@
 	assert.equal(sent.length, 1);
 });
 
-test('a call that came back waits for less: an answer may be late before a slot is free', async () => {
+test('a call that its caller retries may wait less for a slot, because its answer would be late', async () => {
 	const full = createNotRun('full', 'x', 80);
 	const ask = async (ageMs: number): Promise<RemoteCall> => {
 		const {context, sent} = createFixture({a: [full, full], b: [full, full], c: [full, full]});
@@ -236,7 +236,7 @@
 	assert.ok(returning.mayWaitMs < fresh.mayWaitMs * 0.7);
 });
 
-test('a request whose server crashed goes to no other one, whatever may be repeated; one whose connection was lost does', async () => {
+test('a call whose server crashed is not sent to another server even if it is retryable; a call whose connection was lost is', async () => {
 	const crashed = createFixture({a: [createMayHaveRun('server-crashed', 'x')], b: [answered]});
 	const lost = createFixture({a: [createMayHaveRun('connection-lost', 'x')], b: [answered]});
 	const [first, second] = [await sendCall(crashed.context, createCall()), await sendCall(lost.context, createCall())];
@@ -244,13 +244,13 @@
 	assert.deepEqual([second.verdict, lost.sent.length], ['ran', 2]);
 });
 
-test('a request that a gate refuses since another of it is on trial there goes to no other one', async () => {
+test('a call that a gate refuses as quarantined is not sent to another server', async () => {
 	const {context, sent} = createFixture({a: [createNotRun('quarantined', 'x', 500)], b: [answered]});
 	const {result, verdict} = await sendCall(context, createCall());
 	assert.deepEqual([result.type === 'failed' ? result.reason : '', verdict, sent.length], ['quarantined', 'not-run', 1]);
 });
 
-test('a quarantined request is refused as not run before any gate is asked', async () => {
+test('a quarantined call is refused with the verdict not-run before any gate is asked', async () => {
 	const quarantine = createQuietQuarantine();
 	for (const startedAt of [1, 2, 3]) {
 		quarantine.noteCrash({id: toBackendServerId('i-1'), startedAt}, [createSampleMark()]);
@@ -262,13 +262,10 @@
 });
 
 /**
- * What was seen: ten seconds after the first crash a trial was due, and two servers ended under one page 0.1 s apart.
- *
- * How it came about: while the trial was ending its server, another copy came to that server's gate, found that the server refused connections, and was sent to the server that was now the first choice.
- *
- * Cause: a trial that was turned away was passed on like any call. The attempts in the nodes' logs showed it: `server-unreachable` at one server, `server-crashed` at the next.
+ * Guards against two crashes by one trial. While a trial of a quarantined request crashes its server, another copy of the request arrives at the
+ * gate of that server and finds that the server refuses connections. If that copy is passed on like any refused call, it crashes the next server as well.
  */
-test('a call on trial that is turned away is given up, and goes to no other server', async () => {
+test('a trial of a quarantined request that is refused is not sent to another server', async () => {
 	const quarantine = createQuietQuarantine();
 	quarantine.noteCrash({id: toBackendServerId('i-1'), startedAt: 1}, [createSampleMark()]);
 	const {context, sent} = createFixture({a: [createNotRun('server-unreachable', 'refused', 500)], b: [answered]});
--- a/src/lib/forwarding/send-call.ts
+++ b/src/lib/forwarding/send-call.ts
@@ -1,6 +1,6 @@
 /**
- * Sends a call until it is answered or nothing more may be tried. This is the
- * only place of a sidecar node that sends anything again.
+ * Sends a call until it is answered or no further attempt is allowed. This is the
+ * only module of a sidecar node that retries requests.
  *
  * @module
  */
@@ -22,7 +22,7 @@
 import {type CallOutcome, type OutgoingCall, type SendContext} from './outgoing-call.js';
 import {createRunningAttempts, type Attempt, type AttemptEvent} from './running-attempts.js';
 
-/** An attempt that is to begin. */
+/** A plan to start an attempt. */
 type PlannedAttempt = Extract<AttemptPlan, {readonly type: 'send'}>;
 
 function computeCallState(call: OutgoingCall, now: number): CallFacts {
@@ -32,7 +32,7 @@
 	};
 }
 
-/** Whether a call may crash whatever runs it, so that no other server is asked of its own accord: its server crashed, or its gate knows of crashes. */
+/** Whether the call may crash the servers that run it, so that it must not be sent to another one: its server crashed, or its gate knows of such crashes. */
 const mayCrashServers = (result: ForwardResult): boolean => result.type === 'failed' && (result.reason === 'server-crashed' || result.reason === 'quarantined');
 
 function chooseRetryReason(call: OutgoingCall, result: ForwardResult): RepeatReason {
@@ -46,9 +46,9 @@
 /**
  * Sends a call.
  *
- * @param context - What it is sent with.
+ * @param context - The dependencies for sending calls.
  * @param call - The call.
- * @returns How it ended. It is given up at once when nothing more may be tried.
+ * @returns The outcome, as soon as the call is answered or no further attempt is allowed.
  * @internal
  */
 export async function sendCall(context: SendContext, call: OutgoingCall): Promise<CallOutcome> {
@@ -58,10 +58,10 @@
 	const running = createRunningAttempts(context, call);
 	context.retryBudget.noteRequest(service, call.isNestedCall, readSteadyMs());
 
-	/** Arrivals at servers that may be: the first one, and one for each repeat that was taken from the allowance. */
+	/** How many servers the call may reach: one, plus one for each retry taken from the retry budget. */
 	let allowedArrivals = 1;
 
-	/** The attempt that began last may crash its server. */
+	/** Whether the latest attempt is a trial of a quarantined request, which may crash its server. */
 	let isTrial = false;
 
 	const hasAllowedArrival = (): boolean => progress.countArrivals() + running.count() < allowedArrivals;
@@ -94,7 +94,7 @@
 		switch (plan.type) {
 			case 'no-server': {
 				const fallback = progress.getFallback();
-				return fallback.type === 'failed' ? fallback : createNotRun('no-server', 'no other backend server is left');
+				return fallback.type === 'failed' ? fallback : createNotRun('no-server', 'no untried backend server is left');
 			}
 
 			case 'too-late': {
@@ -121,9 +121,9 @@
 		return progress.finishWithFallback();
 	};
 
-	/** Starts the next attempt; without one, what is under way may still be answered. Yields how the call ended if nothing is. */
+	/** Starts the next attempt. If none is allowed, returns the outcome of the call, or `undefined` while another attempt is in flight. */
 	const startNext = (): CallOutcome | undefined => {
-		// What the node has heard since the last attempt counts for the next one.
+		// Judged anew, because this node may have learned of crashes since the last attempt.
 		const judgement = context.quarantine.judge(call.fingerprint);
 		if (judgement.type === 'refused') {
 			return finishIfIdle(createNotRun('quarantined', describeQuarantine(judgement), judgement.retryAfterMs));
@@ -139,7 +139,7 @@
 		return finishIfIdle(describeRefusal(plan));
 	};
 
-	/** Whether another attempt may follow one that failed, or that was answered with a failure of the server's own. None does beside one that nobody doubts. */
+	/** Whether another attempt may follow one that failed or was answered with an error status. Never while a responsive attempt is in flight. */
 	const mayTryNext = (result: ForwardResult): boolean => {
 		const isSafeToResend = (isRetryable || progress.getVerdict() === 'not-run') && !mayCrashServers(result);
 		if (!isSafeToResend || scope.getEndReason() !== undefined || !running.areAllUnresponsive()) {
@@ -147,7 +147,7 @@
 		}
 
 		if (!hasArrived(result)) {
-			// Another copy may be what took the server away: to pass this one on would be a second trial beside it.
+			// A trial is not passed on: another copy of the request may have crashed the server that could not be reached, and this one would be a second trial beside it.
 			return !isTrial && hasAllowedArrival() && mayAskAnother({isBulk: isBulk(route.type)}, progress.refusals);
 		}
 
@@ -164,7 +164,7 @@
 			return running.count() > 0 ? undefined : progress.finishWithFallback();
 		}
 
-		// A refusal by a gate is the ordinary way to another; it stands in the call's last line.
+		// Refusals by gates are routine and only logged at debug level; the log line of the finished call contains them.
 		context.log.record(hasArrived(result) ? 'info' : 'debug', {
 			kind: 'attempt-failed', call: call.id, route: route.name, attempt: note, next: 'another server is tried',
 		});
@@ -172,16 +172,15 @@
 	};
 
 	/**
-	 * What may be repeated goes to another server as well when the nodes of all servers that are at work on it have fallen silent. The first attempt goes on: nodes whose links are full of large answers
-	 * are heard seldom and work all the same. To break it off first would leave calls with nowhere to go
-	 * where all other servers are full.
+	 * Starts another attempt of a retryable call if all attempts in flight are unresponsive. These continue: the heartbeats of a node whose link is saturated with large
+	 * answers are often lost while the node still works. Cancelling them first would leave the call without any server if all others are full.
 	 */
 	const handleUnresponsive = (): void => {
 		if (!isRetryable || running.count() === 0 || !running.areAllUnresponsive() || !mayAskAnother({isBulk: isBulk(route.type)}, progress.refusals)) {
 			return;
 		}
 
-		// Told ten times a second while the silence lasts: what is cheap is asked first.
+		// Reported ten times a second while a node is silent, so the cheap checks come first.
 		if (!hasAllowedArrival() && !mayTakeRetry('may-have-run')) {
 			return;
 		}
@@ -219,9 +218,11 @@
 }
 
 /**
- * @param failure - Why a call has no answer.
- * @param verdict - What holds for all of its attempts together.
- * @returns The status that the caller is told: only 503 promises that it has not run.
+ * Chooses the HTTP status of a failed call.
+ *
+ * @param failure - Why the call has no answer.
+ * @param verdict - The verdict over all of its attempts.
+ * @returns The status for the caller. Only 503 guarantees that the call has not run.
  * @internal
  */
 export function chooseFailureStatus(failure: ForwardFailure, verdict: Verdict): number {
--- a/src/lib/forwarding/silent-node.test.ts
+++ b/src/lib/forwarding/silent-node.test.ts
@@ -1,8 +1,7 @@
 /**
- * Callers of nodes that were shutting down got 502 for requests at which backend servers were at work. The entry had broken the
- * attempt off because it had not heard the server's node for a while, and only then looked for another server: all were
- * busy. The node was at work with a link full of large answers, on which its heartbeats were lost. The order showed it (the caller was
- * answered before the run was cut), and calls in the nodes' logs whose attempt was `superseded` and whose reason was `full`.
+ * Guards against failing calls that a backend server is still working on. The heartbeats of a node whose link is saturated with large answers may be lost
+ * while the node works. If the entry cancels the attempt at such a silent node before another server has accepted the call, and all others are
+ * busy, the caller gets 502, for example while its entry shuts down. In the logs such a call has an attempt that ended as `superseded`, and the reason `full`.
  */
 import assert from 'node:assert/strict';
 import test, {type TestContext} from 'node:test';
@@ -31,20 +30,20 @@
 
 type MeshFixture = {
 	readonly send: () => Promise<CallOutcome>;
-	/** Tells the calls that wait that the node of the first server is silent. */
+	/** Reports to the waiting calls that the node of the first server is silent. */
 	readonly reportSilence: () => void;
-	/** Has the first server answer. */
+	/** Makes the first server answer. */
 	readonly answer: (result?: ForwardResult) => void;
 	/** Requests that were sent, in order. */
 	readonly sent: readonly RemoteCall[];
-	/** Has every server but the first be known for a long queue. */
+	/** Records a long queue for every server but the first. */
 	readonly fillOtherQueues: () => void;
 };
 
-/** A server that works until the attempt is broken off. */
+/** Works until the attempt is cancelled. */
 const workUntilEnd = async ({scope}: RemoteCall): Promise<ForwardResult> => new Promise(resolve => {
 	scope.subscribe(reason => {
-		resolve(createMayHaveRun(reason, 'broken off'));
+		resolve(createMayHaveRun(reason, 'cancelled by the entry'));
 	});
 });
 
@@ -52,7 +51,7 @@
 	type: 'answered', status, headers: {}, body: new Uint8Array(),
 });
 
-/** Four servers: the one that is asked first works until it is told to answer, the others do as given. */
+/** Creates four servers: the first that gets the call works until `answer` is called, the others return what `answerOther` yields. */
 function createMesh(context: TestContext, answerOther: (call: RemoteCall) => Promise<ForwardResult>, slack = 100): MeshFixture {
 	const sent: RemoteCall[] = [];
 	const silenceHandlers = new Set<() => void>();
@@ -115,14 +114,14 @@
 	};
 }
 
-/** Lets everything that is ready go on. */
+/** Waits until all callbacks that are due have run. */
 const settle = async (): Promise<void> => new Promise(resolve => {
 	setImmediate(resolve);
 });
 
 const getStatus = ({result}: CallOutcome): number | string => result.type === 'answered' ? result.status : result.reason;
 
-/** Sends a call and has the node of the first server fall silent while that works. */
+/** Sends a call, and reports the node of the first server as silent while that server works. */
 async function sendAndReportSilence(mesh: MeshFixture): Promise<{readonly outcome: Promise<CallOutcome>}> {
 	const outcome = mesh.send();
 	await settle();
@@ -131,7 +130,7 @@
 	return {outcome};
 }
 
-test('a call at work on a silent node is still answered by it when no other server takes the call', async context => {
+test('a call in flight at a silent node is answered by that node if no other server accepts the call', async context => {
 	const mesh = createMesh(context, async () => createNotRun('full', 'all slots are taken', 50));
 	const {outcome} = await sendAndReportSilence(mesh);
 	mesh.answer();
@@ -139,7 +138,7 @@
 	assert.ok(mesh.sent.length > 1);
 });
 
-test('it waits on, too, once the others are known to be busy for long', async context => {
+test('a call in flight at a silent node keeps waiting for it once all other servers have long queues', async context => {
 	const mesh = createMesh(context, async () => {
 		mesh.fillOtherQueues();
 		return createNotRun('full', 'all slots are taken', 50);
@@ -150,7 +149,7 @@
 	assert.equal(mesh.sent.length, 2);
 });
 
-test('a call that has gone to another server is answered by the first if that is sooner, and the other is broken off', async context => {
+test('if the silent first server answers first, the attempt at the second server is cancelled', async context => {
 	const mesh = createMesh(context, workUntilEnd);
 	const {outcome} = await sendAndReportSilence(mesh);
 	mesh.answer();
@@ -158,7 +157,7 @@
 	assert.equal(mesh.sent[1]?.scope.getEndReason(), 'superseded');
 });
 
-test('a call that has gone to another server is answered by that if it is sooner, and the first is broken off', async context => {
+test('if the second server answers first, the attempt at the silent first server is cancelled', async context => {
 	let settleOther: (result: ForwardResult) => void = () => undefined;
 	const mesh = createMesh(context, async call => {
 		const toldResult = new Promise<ForwardResult>(resolve => {
@@ -172,7 +171,7 @@
 	assert.equal(mesh.sent[0]?.scope.getEndReason(), 'superseded');
 });
 
-test('a server that fails the call does not end it while another is at work on it', async context => {
+test('an error status from one server does not end the call while another server works on it', async context => {
 	const mesh = createMesh(context, async () => createAnswer(500));
 	const {outcome} = await sendAndReportSilence(mesh);
 	mesh.answer();
@@ -180,7 +179,7 @@
 	assert.equal(mesh.sent.length, 2);
 });
 
-test('a call goes to one other server at the most, however often its node is said to be silent', async context => {
+test('a call is sent to at most one other server, however often its node is reported as silent', async context => {
 	const mesh = createMesh(context, workUntilEnd);
 	const {outcome} = await sendAndReportSilence(mesh);
 	for (let round = 0; round < 5; round++) {
@@ -193,7 +192,7 @@
 	assert.equal(mesh.sent.length, 2);
 });
 
-test('a call for which no repeat is left waits on', async context => {
+test('a call keeps waiting for a silent node if the retry budget is used up', async context => {
 	const mesh = createMesh(context, async () => createAnswer(200), 0);
 	const {outcome} = await sendAndReportSilence(mesh);
 	mesh.answer();
--- a/src/lib/forwarding/slow-uploads.test.ts
+++ b/src/lib/forwarding/slow-uploads.test.ts
@@ -1,4 +1,4 @@
-/** A connection between nodes over which a body leaves slowly. */
+/** Guards against closing a connection between nodes while a large body is slowly sent over it. */
 import assert from 'node:assert/strict';
 import {createServer, type AddressInfo, type Socket} from 'node:net';
 import test from 'node:test';
@@ -10,7 +10,7 @@
 	setTimeout(resolve, milliseconds);
 });
 
-test('a connection over which a large body leaves slowly is not given up while bytes leave', async context => {
+test('a connection over which a large body is sent slowly is not closed while bytes are sent', async context => {
 	let receivedBytes = 0;
 	let peer: Socket | undefined;
 	const server = createServer(socket => {
@@ -45,7 +45,7 @@
 
 	const receivedByCheck: number[] = [];
 	for (let checks = 1; checks <= 12; checks++) {
-		// One piece of 64 KB for each half second: half a link of 2 Mbit/s.
+		// One chunk of 64 KB per half second, which is half the capacity of a 2 Mbit/s link.
 		peer?.resume();
 		await wait(40);
 		receivedByCheck.push(receivedBytes);
@@ -54,7 +54,7 @@
 	}
 
 	await wait(40);
-	context.diagnostic(`read so far: ${receivedByCheck.join(' ')}; unresponsiveReports ${unresponsiveReports}; ${JSON.stringify(result)}`);
+	context.diagnostic(`bytes received by each check: ${receivedByCheck.join(' ')}; reports as unresponsive: ${unresponsiveReports}; result: ${JSON.stringify(result)}`);
 	assert.ok(receivedByCheck.at(-1)! > receivedByCheck[1]!);
 	assert.equal(result, 'waiting');
 });
--- a/src/lib/forwarding/two-attempts.test.ts
+++ b/src/lib/forwarding/two-attempts.test.ts
@@ -1,4 +1,4 @@
-/** A call that is at work at one server and was sent to another one as well, since the first one's node is silent. */
+/** Calls with a second attempt in flight because the node of the first one is silent. */
 import assert from 'node:assert/strict';
 import test, {type TestContext} from 'node:test';
 import {
@@ -28,7 +28,7 @@
 
 type SentRequest = {readonly call: RemoteCall; readonly settle: (result: ForwardResult) => void};
 
-/** Four servers that work until they are told how their request ends, or it is broken off. */
+/** Creates four servers; each request stays in flight until the test settles it or the entry cancels it. */
 function createMesh(context: TestContext, maxAttempts: number, timeMs = 1000, type: 'safe' | 'unsafe' = 'safe'): {
 	readonly sent: readonly SentRequest[]; readonly send: () => Promise<CallOutcome>; readonly reportSilence: (node: string) => void;
 } {
@@ -88,9 +88,9 @@
 for (const [description, firstResult] of [
 	['could not be reached', createNotRun('node-unreachable', 'no connection within 300 ms')],
 	['had no slot', createNotRun('full', 'all slots are taken', 50)],
-	['was leaving', createNotRun('draining', 'takes no new work')],
+	['was draining', createNotRun('draining', 'takes no new work')],
 ] as const) {
-	test(`a call that another server is at work on goes to no third when the first ${description}`, async context => {
+	test(`a call in flight at a second server is not sent to a third when the first ${description}`, async context => {
 		const mesh = createMesh(context, 2);
 		const outcome = mesh.send();
 		await settle();
@@ -105,11 +105,11 @@
 			type: 'answered', status: 200, headers: {}, body: new Uint8Array(),
 		});
 		await outcome;
-		assert.equal(count, 2, 'a third server was put to work beside the second, which nobody doubts');
+		assert.equal(count, 2, 'the call was sent to a third server although the second is responsive');
 	});
 }
 
-test('a failure that a server answered with is not replaced by the time-out of another', async context => {
+test('an error status from one server is not replaced by the timeout of another', async context => {
 	const mesh = createMesh(context, 2, 200);
 	const outcome = mesh.send();
 	await settle();
@@ -122,7 +122,7 @@
 	assert.equal(result.type === 'answered' ? result.status : result.reason, 500);
 });
 
-test('a call whose two nodes are both silent goes to a third server if the route allows three', async context => {
+test('a call whose two nodes are both silent is sent to a third server if the route allows three attempts', async context => {
 	const mesh = createMesh(context, 3);
 	const outcome = mesh.send();
 	await settle();
@@ -143,7 +143,7 @@
 	assert.equal(count, 3);
 });
 
-test('a call that may run once only is sent nowhere else when its node falls silent', async context => {
+test('a call that is not retryable is not sent to another server when its node falls silent', async context => {
 	const mesh = createMesh(context, 3, 1000, 'unsafe');
 	const outcome = mesh.send();
 	await settle();
