--- a/src/lib/forwarding/call-progress.ts
+++ b/src/lib/forwarding/call-progress.ts
@@ -1,5 +1,5 @@
 /**
- * What a call has been through: its attempts, what holds for all of them together, and the best that its caller can be told.
+ * Tracks the attempts of a call, the verdict over all of them, and the result that the caller gets if no attempt succeeds.
  *
  * @module
  */
@@ -14,24 +14,26 @@
 
 /** @internal */
 export type CallProgress = AttemptHistory & {
+	/** Returns the verdict over all attempts that have ended. */
 	readonly getVerdict: () => Verdict;
-	/** Servers at which it arrived. */
+	/** Returns how many ended attempts reached a backend server. */
 	readonly countArrivals: () => number;
+	/** Returns the result that the caller gets if no further attempt is made. */
 	readonly getFallback: () => ForwardResult;
-	readonly noteStart: (attempt: Attempt) => void;
-	/** Takes in how an attempt ended; yields what the log tells of it. */
-	readonly noteEnd: (attempt: Attempt, result: ForwardResult) => AttemptNote;
-	/** Takes in why no other attempt is begun. */
-	readonly noteRefusal: (failure: ForwardFailure) => void;
-	/** Ends it with the answer of one attempt, for which others were broken off. */
-	readonly finish: (result: ForwardResult, brokenOff: readonly Attempt[]) => CallOutcome;
-	/** Ends it with the best that can be told its caller. */
-	readonly giveUp: () => CallOutcome;
+	readonly recordStart: (attempt: Attempt) => void;
+	/** Records how an attempt ended and returns its summary for the log. */
+	readonly recordEnd: (attempt: Attempt, result: ForwardResult) => AttemptNote;
+	/** Records why no further attempt is started. */
+	readonly recordRefusal: (failure: ForwardFailure) => void;
+	/** Ends the call with the answer of one attempt; the superseded attempts were cancelled because of it. */
+	readonly finish: (result: ForwardResult, superseded: readonly Attempt[]) => CallOutcome;
+	/** Ends the call with the fallback. */
+	readonly finishWithFallback: () => CallOutcome;
 };
 
 /**
- * @param result - How an attempt ended.
- * @returns Whether the call arrived at a backend server, which counts against the retry budget.
+ * @param result - The result of an attempt.
+ * @returns Whether the attempt reached a backend server, which counts against the retry budget.
  * @internal
  */
 export const hasArrived = (result: ForwardResult): boolean => result.type === 'answered' || result.hasArrived;
@@ -40,8 +42,8 @@
 
 const describeOutcome = (result: ForwardResult): string => result.type === 'answered' ? String(result.status) : result.reason;
 
-/** An answer with a failure of the server's own says more than any failure to get one. */
-const isWorseThan = (failure: ForwardResult, fallback: ForwardResult): boolean =>
+/** An answer from a server, even an error status, tells the caller more than a failure to get an answer. */
+const isLessInformative = (failure: ForwardResult, fallback: ForwardResult): boolean =>
 	failure.type === 'failed' && fallback.type === 'answered';
 
 function describeAttempt({target, startedAt}: Attempt, verdict: Verdict, outcome: string): AttemptNote {
@@ -51,34 +53,36 @@
 }
 
 /**
+ * Creates the progress of a call that has not been sent yet.
+ *
  * @param service - The service that is called.
- * @returns The progress of a call that has not been sent yet.
+ * @returns The progress, without attempts.
  * @internal
  */
 export function createCallProgress(service: string): CallProgress {
 	const tried = new Set<LifetimeKey>();
 	const full = new Set<LifetimeKey>();
-	/** In the order in which the attempts began. */
-	const notes = new Map<Attempt, AttemptNote>();
+	/** In the order in which the attempts started. */
+	const attemptNotes = new Map<Attempt, AttemptNote>();
 	let verdict: Verdict = 'not-run';
 	let arrivals = 0;
 	let refusals = 0;
-	/** The soonest that a gate said to come back, in milliseconds; 0 if none did. */
+	/** The shortest retry delay that a gate returned, in milliseconds; 0 if none did. */
 	let retryAfterMs = 0;
 	let fallback: ForwardResult = createNotRun('no-server', `no backend server of ${service} is known that could take the request`);
 
-	const noteResult = (result: ForwardResult): void => {
+	const mergeResult = (result: ForwardResult): void => {
 		verdict = joinVerdicts(verdict, getVerdict(result));
 		if (result.type === 'failed' && result.retryAfterMs > 0) {
 			retryAfterMs = retryAfterMs === 0 ? result.retryAfterMs : Math.min(retryAfterMs, result.retryAfterMs);
 		}
 
-		if (!isWorseThan(result, fallback)) {
+		if (!isLessInformative(result, fallback)) {
 			fallback = result;
 		}
 	};
 
-	const describe = (result: ForwardResult): CallOutcome => ({result, verdict, attempts: [...notes.values()]});
+	const createOutcome = (result: ForwardResult): CallOutcome => ({result, verdict, attempts: [...attemptNotes.values()]});
 
 	return {
 		tried,
@@ -89,11 +93,11 @@
 		getVerdict: () => verdict,
 		countArrivals: () => arrivals,
 		getFallback: () => fallback,
-		noteStart(attempt) {
+		recordStart(attempt) {
 			tried.add(attempt.target.lifetime);
-			notes.set(attempt, describeAttempt(attempt, 'may-have-run', 'under way'));
+			attemptNotes.set(attempt, describeAttempt(attempt, 'may-have-run', 'under way'));
 		},
-		noteEnd(attempt, result) {
+		recordEnd(attempt, result) {
 			const {target, mayWaitMs} = attempt;
 			if (result.type === 'failed' && result.reason === 'full' && mayWaitMs === 0) {
 				tried.delete(target.lifetime);
@@ -102,26 +106,26 @@
 
 			arrivals += hasArrived(result) ? 1 : 0;
 			refusals += hasArrived(result) ? 0 : 1;
-			noteResult(result);
+			mergeResult(result);
 			const note = describeAttempt(attempt, getVerdict(result), describeOutcome(result));
-			notes.set(attempt, note);
+			attemptNotes.set(attempt, note);
 			return note;
 		},
-		noteRefusal(failure) {
+		recordRefusal(failure) {
 			refusals++;
-			noteResult(failure);
+			mergeResult(failure);
 		},
-		finish(result, brokenOff) {
-			for (const attempt of brokenOff) {
-				notes.set(attempt, describeAttempt(attempt, 'may-have-run', 'superseded'));
+		finish(result, superseded) {
+			for (const attempt of superseded) {
+				attemptNotes.set(attempt, describeAttempt(attempt, 'may-have-run', 'superseded'));
 			}
 
-			return describe(result);
+			return createOutcome(result);
 		},
-		giveUp() {
+		finishWithFallback() {
 			return fallback.type === 'failed' && fallback.verdict === 'not-run'
-				? describe({...fallback, retryAfterMs: Math.max(fallback.retryAfterMs, retryAfterMs)})
-				: describe(fallback);
+				? createOutcome({...fallback, retryAfterMs: Math.max(fallback.retryAfterMs, retryAfterMs)})
+				: createOutcome(fallback);
 		},
 	};
 }
--- a/src/lib/forwarding/entry-server.ts
+++ b/src/lib/forwarding/entry-server.ts
@@ -1,7 +1,7 @@
 /**
- * Takes the requests of callers on this VM and of the backend server beside
- * this node, and answers each with the whole answer of a backend server, or
- * with a failure that says whether it may have run.
+ * The HTTP server for callers on this VM and for the backend server beside this
+ * node. Answers each request with the complete answer of a backend server, or with
+ * a failure that says whether the request may have run.
  *
  * @module
  */
@@ -23,19 +23,19 @@
 import {type CallerRetryDetector} from '../decisions/caller-retry-detector.js';
 import {createLazyFingerprint} from '../quarantine/lazy-fingerprint.js';
 import {createByteBudget} from './byte-budget.js';
-import {createCallScope, endGraceMs, type CallScope} from './call-scope.js';
+import {createCallScope, deadlineGraceMs, type CallScope} from './call-scope.js';
 import {
-	filterCallHeaders, getAmount, getText, type WireHeaders,
+	removeHopByHopHeaders, getNumberHeader, getStringHeader, type CallHeaderNames,
 } from './call-headers.js';
 import {watchConnections} from './connection-scopes.js';
 import {type ForwardResponse, type ForwardFailure} from './forward-result.js';
 import {
-	BodyTooLargeError, BodyTooLateError, hasBody, NoRoomForBodyError, readBody,
+	BodyTooLargeError, BodyTimeoutError, hasBody, BodyMemoryError, readBody,
 } from './read-body.js';
 import {type CallOutcome, type SendContext} from './outgoing-call.js';
 import {chooseFailureStatus, sendCall} from './send-call.js';
 
-/** A call that has ended, for logs and metrics. @internal */
+/** A finished call, for logs and metrics. @internal */
 export type FinishedCall = {
 	readonly id: string;
 	readonly route: string;
@@ -51,19 +51,19 @@
 
 /** @internal */
 export type EntryContext = SendContext & {
-	readonly wire: WireHeaders;
+	readonly headerNames: CallHeaderNames;
 	readonly getConfig: () => ActiveConfig | undefined;
-	/** Whether a newer configuration is known of than that one. */
-	readonly isBehind: () => boolean;
-	/** Waits until it is here, or a moment has passed. */
-	readonly waitForNewer: () => Promise<void>;
+	/** Whether this node knows of a newer configuration than the one it holds. */
+	readonly isConfigOutdated: () => boolean;
+	/** Waits until the newer configuration has been applied, or for a short time at most. */
+	readonly waitForNewerConfig: () => Promise<void>;
 	readonly splitter: WeightedRoundRobin;
-	readonly returningCallers: CallerRetryDetector;
-	readonly awaitedRoutes: NestedCallDetector;
+	readonly callerRetryDetector: CallerRetryDetector;
+	readonly nestedCallDetector: NestedCallDetector;
 	readonly log: MeshLog;
-	/** Waits until the work on a request may begin: whatever has arrived meanwhile is heard first if this process lags behind. */
-	readonly waitForWork: (isNewConnection: boolean) => Promise<void>;
-	/** For how long a request that was read just now may have lain unread, in milliseconds. */
+	/** If this process lags behind, waits until input that had already arrived was read, so that the disconnect of a caller is noticed before work on its request starts. */
+	readonly waitForPendingInput: (isNewConnection: boolean) => Promise<void>;
+	/** Estimates how long a request that was read just now may have waited unread, in milliseconds. */
 	readonly estimateUnreadMs: LoopLag['estimateUnreadMs'];
 	readonly handleFinished: (call: FinishedCall) => void;
 };
@@ -73,47 +73,49 @@
 	readonly server: Server;
 	readonly applyLimits: (limits: CallerLimits) => void;
 	readonly countCalls: () => number;
-	/** Connections of callers who have not read their answers yet. */
-	readonly countUnsent: () => number;
-	/** From here on each answer closes its connection. */
+	/** Returns the number of connections on which bytes of answers have not been sent yet. */
+	readonly countUnsentAnswers: () => number;
+	/** Makes each answer from now on close its connection. */
 	readonly startClosing: () => void;
-	/** Takes no more connections, and closes those that carry nothing. */
+	/** Stops accepting connections and closes the idle ones. */
 	readonly stopListening: () => void;
 };
 
-/** One request of a caller on its way. */
+/** A request of a caller, with its response. */
 type EntryCall = {
 	readonly id: string;
 	readonly request: IncomingMessage;
 	readonly response: ServerResponse;
+	/** In milliseconds of the steady clock, with the estimated time unread subtracted. */
 	readonly receivedAt: number;
-	readonly askForBody: () => void;
+	/** Sends `100 Continue` if the caller waits for it. */
+	readonly sendContinue: () => void;
 };
 
-/** The largest head that is taken before a configuration says otherwise. Bytes. */
+/** The largest request head that is accepted. */
 const maxHeaderBytes = 65_536;
 
-/** Connections are kept this much longer than callers are told, in milliseconds: a request may be on its way when the time is over. */
-const idleGraceMs = 1000;
+/** Idle connections are kept this much longer than the configured idle timeout, because a request may be on its way when that expires. */
+const keepAliveGraceMs = 1000;
 
-/** What bodies may hold of this node's memory together. Bytes: a third of what the smallest VMs of the users give a process. */
-const maxHeldBytes = 83_886_080;
+/** Limit for the bodies of all requests together: a third of the memory that a process has on the smallest VMs of the users. */
+const maxBufferedBodyBytes = 83_886_080;
 
-/** When memory for a large body may be free again. Milliseconds. */
-const bodyRetryMs = 1000;
+/** Retry delay for a request that is refused because the memory for bodies is in use. */
+const bodyMemoryRetryMs = 1000;
 
-/** When a node without a configuration is worth asking again, in milliseconds. */
-const notReadyRetryMs = 250;
+/** Retry delay while this node has no configuration. */
+const noConfigRetryMs = 250;
 
-/** When a node that is behind is worth asking again, in milliseconds: most get a newer configuration sooner. */
-const behindRetryMs = 300;
+/** Retry delay while this node has an outdated configuration. Most nodes get the newer one within this time. */
+const outdatedConfigRetryMs = 300;
 
-/** When a route that leads nowhere may lead somewhere again: with the next configuration. Milliseconds: changes come many times an hour, not many times a second. */
-const unreadRetryMs = 1000;
+/** Retry delay for a route that cannot be used until the configuration changes, which happens many times an hour, not many times a second. */
+const unusableRouteRetryMs = 1000;
 
-/** What a caller is told whose body was not taken: none of these was run. */
-function chooseBodyStatus(error: unknown): number {
-	if (error instanceof BodyTooLateError) {
+/** Returns the status for a request whose body could not be read. Such a request has not run. */
+function chooseBodyErrorStatus(error: unknown): number {
+	if (error instanceof BodyTimeoutError) {
 		return 408;
 	}
 
@@ -123,24 +125,24 @@
 /**
  * Creates the server for callers.
  *
- * @param context - What it works with.
+ * @param context - The configuration, the logs and everything needed to send calls.
  * @returns The server, not listening yet.
  * @internal
  */
 export function createEntryServer(context: EntryContext): EntryServer {
-	const {wire, log, random} = context;
+	const {headerNames, log, random} = context;
 	const server = createServer({
 		maxHeaderSize: maxHeaderBytes, noDelay: true, requestTimeout: 0, connectionsCheckingInterval: 1000,
 	});
 	const connections = watchConnections(server);
 	let calls = 0;
-	const heldBodies = createByteBudget(maxHeldBytes);
+	const bodyBudget = createByteBudget(maxBufferedBodyBytes);
 	let isClosing = false;
 
 	const getClosingHeaders = (request: IncomingMessage): {readonly connection?: string} =>
 		isClosing || !request.complete ? {connection: 'close'} : {};
 
-	const refuse = ({id, request, response}: EntryCall, status: number, reason: string, comeBackMs = 0): void => {
+	const refuse = ({id, request, response}: EntryCall, status: number, reason: string, retryAfterMs = 0): void => {
 		if (response.destroyed || response.headersSent) {
 			return;
 		}
@@ -149,8 +151,8 @@
 		response.writeHead(status, {
 			'content-type': 'application/json',
 			'content-length': body.length,
-			[wire.callId]: id,
-			...comeBackMs > 0 ? {'retry-after': (comeBackMs / 1000).toFixed(3)} : {},
+			[headerNames.callId]: id,
+			...retryAfterMs > 0 ? {'retry-after': (retryAfterMs / 1000).toFixed(3)} : {},
 			...getClosingHeaders(request),
 		});
 		response.end(body);
@@ -173,53 +175,53 @@
 		return status;
 	};
 
-	const refuseEarly = (call: EntryCall, version: number, status: number, reason: string, comeBackMs = 0): void => {
+	const refuseAndLog = (call: EntryCall, version: number, status: number, reason: string, retryAfterMs = 0): void => {
 		log.record('info', {
 			kind: 'request-refused', call: call.id, status, reason, host: call.request.headers.host ?? '', path: call.request.url ?? '', version,
 		});
-		refuse(call, status, reason, comeBackMs);
+		refuse(call, status, reason, retryAfterMs);
 	};
 
-	/** Refuses a request that no known route matches; one that may be meant for a route that could not be read, or that is not here yet, is not told that there is none. */
-	const refuseUnrouted = (call: EntryCall, {config: {version, unreadHosts}}: ActiveConfig): void => {
+	/** Refuses a request that matches no known route. Answers 503 instead of 404 if the route may exist: one of its host could not be read, or a newer configuration may contain it. */
+	const refuseUnmatched = (call: EntryCall, {config: {version, unreadHosts}}: ActiveConfig): void => {
 		if (unreadHosts.has(normalizeHost(call.request.headers.host ?? ''))) {
-			refuseEarly(call, version, 503, 'no route that this node can read matches host and path', unreadRetryMs);
+			refuseAndLog(call, version, 503, 'no route that this node can read matches host and path', unusableRouteRetryMs);
 			return;
 		}
 
-		if (context.isBehind()) {
-			refuseEarly(call, version, 503, 'no route matches host and path, and a newer version is known of that is not here yet', behindRetryMs);
+		if (context.isConfigOutdated()) {
+			refuseAndLog(call, version, 503, 'no route matches host and path, but this node has not received the newest configuration version yet', outdatedConfigRetryMs);
 			return;
 		}
 
-		refuseEarly(call, version, 404, 'no route matches host and path');
+		refuseAndLog(call, version, 404, 'no route matches host and path');
 	};
 
-	const takeBody = async (call: EntryCall, maxBodyBytes: number, scope: CallScope): Promise<Uint8Array | undefined | 'refused'> => {
+	const readCallBody = async (call: EntryCall, maxBodyBytes: number, scope: CallScope): Promise<Uint8Array | undefined | 'refused'> => {
 		if (!hasBody(call.request)) {
 			return undefined;
 		}
 
-		call.askForBody();
+		call.sendContinue();
 		try {
-			return await readBody(call.request, maxBodyBytes, heldBodies, handleEnd => scope.subscribe(reason => {
-				// A connection that has closed is told by the request itself.
+			return await readBody(call.request, maxBodyBytes, bodyBudget, handleEnd => scope.subscribe(reason => {
+				// If the connection closes, the request itself reports that.
 				if (reason === 'timeout') {
 					handleEnd();
 				}
 			}));
 		} catch (error) {
-			if (error instanceof NoRoomForBodyError) {
-				refuseEarly(call, context.getConfig()?.config.version ?? 0, 503, error.message, bodyRetryMs);
+			if (error instanceof BodyMemoryError) {
+				refuseAndLog(call, context.getConfig()?.config.version ?? 0, 503, error.message, bodyMemoryRetryMs);
 				return 'refused';
 			}
 
-			refuseEarly(call, context.getConfig()?.config.version ?? 0, chooseBodyStatus(error), (error as Error).message);
+			refuseAndLog(call, context.getConfig()?.config.version ?? 0, chooseBodyErrorStatus(error), (error as Error).message);
 			return 'refused';
 		}
 	};
 
-	const finish = (call: EntryCall, scope: CallScope, held: ActiveConfig, outcome: CallOutcome & {readonly route: RouteRule; readonly service: string}): void => {
+	const finish = (call: EntryCall, scope: CallScope, activeConfig: ActiveConfig, outcome: CallOutcome & {readonly route: RouteRule; readonly service: string}): void => {
 		const {result, verdict, attempts} = outcome;
 		const now = readSteadyMs();
 		const status = result.type === 'answered' ? result.status : sendFailure(call, result, verdict, outcome.route.targetLatencyMs);
@@ -228,75 +230,75 @@
 		}
 
 		context.handleFinished({
-			id: call.id, route: outcome.route.name, service: outcome.service, version: held.config.version, status, verdict, attempts,
+			id: call.id, route: outcome.route.name, service: outcome.service, version: activeConfig.config.version, status, verdict, attempts,
 			reason: result.type === 'answered' ? 'answered' : `${result.reason}: ${result.detail}`,
 			tookMs: Math.round(now - call.receivedAt),
-			leftMs: Math.round(scope.endsAt - now),
+			leftMs: Math.round(scope.deadlineAt - now),
 		});
 	};
 
 	const findRouteIn = ({index}: ActiveConfig, {headers, url}: IncomingMessage): RouteRule | undefined => findRoute(index, headers.host ?? '', url ?? '/');
 
-	/** The configuration that a request is handled by: if no route of the one in force matches it and a newer one is known of, that one is waited for. */
+	/** Returns the configuration to handle a request with. Waits for a newer configuration if one is known and the active one has no matching route. */
 	const chooseConfig = async (request: IncomingMessage): Promise<ActiveConfig | undefined> => {
-		const held = context.getConfig();
-		if (held === undefined || !context.isBehind() || findRouteIn(held, request) !== undefined) {
-			return held;
+		const activeConfig = context.getConfig();
+		if (activeConfig === undefined || !context.isConfigOutdated() || findRouteIn(activeConfig, request) !== undefined) {
+			return activeConfig;
 		}
 
-		await context.waitForNewer();
+		await context.waitForNewerConfig();
 		return context.getConfig();
 	};
 
-	const run = async (call: EntryCall): Promise<void> => {
+	const runCall = async (call: EntryCall): Promise<void> => {
 		const {request} = call;
-		const held = context.isBehind() ? await chooseConfig(request) : context.getConfig();
-		if (held === undefined) {
-			refuseEarly(call, 0, 503, 'this node has no configuration yet', notReadyRetryMs);
+		const activeConfig = context.isConfigOutdated() ? await chooseConfig(request) : context.getConfig();
+		if (activeConfig === undefined) {
+			refuseAndLog(call, 0, 503, 'this node has no configuration yet', noConfigRetryMs);
 			return;
 		}
 
-		const {version, limits} = held.config;
-		const route = findRouteIn(held, request);
+		const {version, limits} = activeConfig.config;
+		const route = findRouteIn(activeConfig, request);
 		if (route === undefined) {
-			refuseUnrouted(call, held);
+			refuseUnmatched(call, activeConfig);
 			return;
 		}
 
 		if (call.id === '') {
-			refuseEarly(call, version, 400, `the request lacks the header ${wire.callId}`);
+			refuseAndLog(call, version, 400, `the request lacks the header ${headerNames.callId}`);
 			return;
 		}
 
 		const service = context.splitter.pick(route);
 		if (service === undefined) {
-			refuseEarly(call, version, 503, 'no part of the route takes traffic', unreadRetryMs);
+			refuseAndLog(call, version, 503, 'the route has no service with a weight above 0', unusableRouteRetryMs);
 			return;
 		}
 
-		const callerWaitsMs = getAmount(request.headers, wire.timeLeft) ?? route.timeoutMs;
-		const isAwaited = context.awaitedRoutes.recordCall(service, route.name, route.targetLatencyMs);
-		// The time left of calls that backend servers make is that of their own callers.
-		const ageMs = isAwaited ? 0 : context.returningCallers.recordCall(route.name, callerWaitsMs);
-		const timeLeftMs = Math.min(callerWaitsMs, route.timeoutMs);
-		let heldBytes = 0;
-		const scope = createCallScope(call.receivedAt + timeLeftMs + endGraceMs);
-		const forget = connections.add(request.socket, scope);
+		const callerTimeoutMs = getNumberHeader(request.headers, headerNames.timeLeft) ?? route.timeoutMs;
+		const isNestedCall = context.nestedCallDetector.recordCall(service, route.name, route.targetLatencyMs);
+		// A call that a backend server makes passes on the remaining time of its own caller, which says nothing about a retry.
+		const ageMs = isNestedCall ? 0 : context.callerRetryDetector.recordCall(route.name, callerTimeoutMs);
+		const timeLeftMs = Math.min(callerTimeoutMs, route.timeoutMs);
+		let bufferedBytes = 0;
+		const scope = createCallScope(call.receivedAt + timeLeftMs + deadlineGraceMs);
+		const removeFromConnection = connections.add(request.socket, scope);
 		try {
-			await context.waitForWork(request.socket.bytesWritten === 0);
-			if (scope.getEnd() === 'cancelled') {
+			await context.waitForPendingInput(request.socket.bytesWritten === 0);
+			if (scope.getEndReason() === 'cancelled') {
 				log.record('info', {
 					kind: 'caller-left', call: call.id, route: route.name, waitedMs: Math.round(readSteadyMs() - call.receivedAt),
 				});
 				return;
 			}
 
-			const body = await takeBody(call, limits.maxBodyBytes, scope);
+			const body = await readCallBody(call, limits.maxBodyBytes, scope);
 			if (body === 'refused') {
 				return;
 			}
 
-			heldBytes = body?.length ?? 0;
+			bufferedBytes = body?.length ?? 0;
 
 			const {method = 'GET', url: target = '/'} = request;
 			const outcome = await sendCall(context, {
@@ -305,30 +307,30 @@
 				service,
 				method,
 				target,
-				headers: filterCallHeaders(request.headers),
+				headers: removeHopByHopHeaders(request.headers),
 				body,
-				mark: createLazyFingerprint({
+				fingerprint: createLazyFingerprint({
 					method, host: request.headers.host ?? '', target, body,
 				}),
 				receivedAt: call.receivedAt,
-				isAwaited,
+				isNestedCall,
 				ageMs,
 				scope,
 			});
-			finish(call, scope, held, {...outcome, route, service});
+			finish(call, scope, activeConfig, {...outcome, route, service});
 		} finally {
-			heldBodies.release(heldBytes);
-			forget();
+			bodyBudget.release(bufferedBytes);
+			removeFromConnection();
 			scope.dispose();
 		}
 	};
 
-	const runSafely = async (call: EntryCall): Promise<void> => {
+	const runAndCatch = async (call: EntryCall): Promise<void> => {
 		calls++;
 		try {
-			await run(call);
+			await runCall(call);
 		} catch (error) {
-			// A fault of this program: the caller must not take what it has so far for an answer.
+			// A bug in this program. Destroys the connection, so that the caller does not take a partial response for an answer.
 			log.record('error', {kind: 'node-failed', reason: (error as Error).stack ?? String(error)});
 			call.response.destroy();
 		} finally {
@@ -336,10 +338,10 @@
 		}
 	};
 
-	const handle = (request: IncomingMessage, response: ServerResponse, askForBody: () => void): void => {
-		const id = getText(request.headers, wire.callId) ?? '';
-		void runSafely({
-			id, request, response, receivedAt: readSteadyMs() - context.estimateUnreadMs(), askForBody,
+	const handle = (request: IncomingMessage, response: ServerResponse, sendContinue: () => void): void => {
+		const id = getStringHeader(request.headers, headerNames.callId) ?? '';
+		void runAndCatch({
+			id, request, response, receivedAt: readSteadyMs() - context.estimateUnreadMs(), sendContinue,
 		});
 	};
 
@@ -355,16 +357,16 @@
 	return {
 		server,
 		applyLimits(limits) {
-			server.keepAliveTimeout = limits.idleTimeoutMs + idleGraceMs;
+			server.keepAliveTimeout = limits.idleTimeoutMs + keepAliveGraceMs;
 			server.headersTimeout = limits.headerTimeoutMs;
 		},
 		countCalls: () => calls,
-		countUnsent: connections.countUnsent,
+		countUnsentAnswers: connections.countUnsent,
 		startClosing() {
 			isClosing = true;
 		},
 		stopListening() {
-			// The HTTP server's own `close` takes a connection for idle once its answer is handed over, and cuts what has not left yet.
+			// The HTTP server's own `close` treats a connection as idle once its answer was handed to the socket, and would cut off bytes that were not sent yet.
 			NetServer.prototype.close.call(server);
 			connections.closeIdle();
 		},
--- a/src/lib/forwarding/exchange.ts
+++ b/src/lib/forwarding/exchange.ts
@@ -5,7 +5,7 @@
  */
 import {type IncomingHttpHeaders, type OutgoingHttpHeaders} from 'node:http';
 import {createResponseParser, type CompleteResponse} from './response-parser.js';
-import {type CallScope, type ScopeEnd} from './call-scope.js';
+import {type CallScope, type ScopeEndReason} from './call-scope.js';
 import {type AssignedCall, type ServerConnection, type ServerConnectionPool} from './server-connection-pool.js';
 
 /** A request to the backend server. @internal */
@@ -37,7 +37,7 @@
 	readonly type: 'failed';
 	/** Whether any byte of the request may have reached the server. */
 	readonly isSent: boolean;
-	readonly reason: 'unreachable' | 'connection-lost' | 'wrong-answer' | ScopeEnd;
+	readonly reason: 'unreachable' | 'connection-lost' | 'wrong-answer' | ScopeEndReason;
 	readonly detail: string;
 };
 
--- a/src/lib/forwarding/full-link.test.ts
+++ b/src/lib/forwarding/full-link.test.ts
@@ -156,7 +156,7 @@
 
 	assert.equal(await send(), 'not-run node-unreachable');
 	// A node renews the connections of a node that it could not reach.
-	client.renew(address, 'unreachable');
+	client.renewConnections(address, 'unreachable');
 	await sleep(300);
 	assert.deepEqual(received, []);
 	assert.equal(await send(), 'not-run full');
@@ -176,7 +176,7 @@
 	context.after(client.dispose);
 	const scopes = [createCallScope(readSteadyMs() + 1000), createCallScope(readSteadyMs() + 1000)];
 	const first = client.fetchConfig(address, 7, scopes[0]!);
-	client.renew(address, 'back');
+	client.renewConnections(address, 'back');
 	const second = await client.fetchConfig(address, 7, scopes[1]!);
 	assert.ok(second.isOk());
 	scopes[0]!.end('cancelled');
@@ -200,7 +200,7 @@
 				}
 			}
 
-			partialBytes = reader.countHeldBytes();
+			partialBytes = reader.countBufferedBytes();
 		});
 		socket.on('error', () => undefined);
 	}));
--- a/src/lib/forwarding/gate-server.ts
+++ b/src/lib/forwarding/gate-server.ts
@@ -216,7 +216,7 @@
 			handleFrame(connection, frame);
 		}
 
-		updateBufferedBytes(connection, reader.countHeldBytes());
+		updateBufferedBytes(connection, reader.countBufferedBytes());
 		if (bufferedBytes > maxBufferedBytes) {
 			throw new FloodError(`more than ${maxBufferedBytes} bytes of incomplete frames over all connections`);
 		}
--- a/src/lib/forwarding/local-gate.ts
+++ b/src/lib/forwarding/local-gate.ts
@@ -21,7 +21,7 @@
 import {describeRefusal as describeQuarantine, type Quarantine} from '../quarantine/quarantine.js';
 import {type ServerReport, type ServerState} from '../peers/peer-report.js';
 import {type MeshLog} from '../timeline/mesh-log.js';
-import {type WireHeaders} from './call-headers.js';
+import {type CallHeaderNames} from './call-headers.js';
 import {
 	createNotRun, type ForwardFailure, type ForwardResult, type GateLoad, type GateResult,
 } from './forward-result.js';
@@ -48,7 +48,7 @@
 
 /** @internal */
 export type LocalGateContext = {
-	readonly wire: WireHeaders;
+	readonly wire: CallHeaderNames;
 	readonly log: MeshLog;
 	/** Called when a change should be announced to the other nodes at once. */
 	readonly handleChange: () => void;
@@ -212,7 +212,7 @@
 	};
 
 	const createSlotRequest = ({rank, mayWaitMs, scope}: GateCall): SlotRequest => ({
-		rank, mayWaitMs, lastAt: scope.endsAt - refusalMarginMs, listenForCancel: scope.subscribe,
+		rank, mayWaitMs, lastAt: scope.deadlineAt - refusalMarginMs, listenForCancel: scope.subscribe,
 	});
 
 	const handleSlotRefusal = (call: GateCall, outcome: Exclude<SlotOutcome, {readonly type: 'run'}>, reason: string): ForwardFailure => {
@@ -226,7 +226,7 @@
 			}
 
 			case 'cancelled': {
-				return createNotRun(call.scope.getEnd() ?? 'cancelled', 'call was cancelled');
+				return createNotRun(call.scope.getEndReason() ?? 'cancelled', 'call was cancelled');
 			}
 		}
 	};
--- a/src/lib/forwarding/peer-channel.ts
+++ b/src/lib/forwarding/peer-channel.ts
@@ -1,5 +1,5 @@
 /**
- * One connection to the gate of another node, which many requests share.
+ * A connection to the gate of another node, which many requests share.
  *
  * @module
  */
@@ -8,28 +8,28 @@
 import {parseAddress} from '../common/address.js';
 import {readSteadyMs} from '../common/clock.js';
 import {type Address} from '../common/ids.js';
-import {type CallScope, type ScopeEnd} from './call-scope.js';
+import {type CallScope, type ScopeEndReason} from './call-scope.js';
 import {createFrameReader, writeFrame, type Frame} from './frame.js';
 import {type LinkWriter} from './link-writer.js';
 
-/** What is asked of the other node. @internal */
+/** A request to the other node. @internal */
 export type ChannelRequest = {
 	readonly type: 'request' | 'offer' | 'config';
 	readonly head: unknown;
 	readonly body: Uint8Array | undefined;
 	readonly scope: CallScope;
-	/** Told, now and then, while the connection is in doubt: an answer may still come on it, or never. */
-	readonly handleDoubt?: () => void;
+	/** Called repeatedly while the connection is unresponsive. An answer may still arrive on it. */
+	readonly handleUnresponsive?: () => void;
 };
 
-/** How it ended. @internal */
+/** The result of a request. @internal */
 export type ChannelResult =
 	| {readonly type: 'answered'; readonly head: unknown; readonly body: Uint8Array}
 	| {
 		readonly type: 'failed';
-		/** Whether the request, with its body, may have arrived. */
+		/** Whether the request, with its body, may have reached the other node. */
 		readonly isSent: boolean;
-		readonly reason: 'unreachable' | 'connection-lost' | ScopeEnd;
+		readonly reason: 'unreachable' | 'connection-lost' | ScopeEndReason;
 		readonly detail: string;
 	};
 
@@ -38,109 +38,110 @@
 	readonly gate: Address;
 	readonly send: (request: ChannelRequest) => Promise<ChannelResult>;
 	readonly isUsable: () => boolean;
-	/** The connection is not up yet. */
-	readonly isOpening: () => boolean;
-	/** When bytes last arrived, in steady milliseconds; 0 if none have. */
-	readonly getReceivedAt: () => number;
+	/** Returns whether the connection is still being opened. */
+	readonly isConnecting: () => boolean;
+	/** Returns when bytes last arrived, in milliseconds of the steady clock; 0 if none have. */
+	readonly getLastReceivedAt: () => number;
 	/**
-	 * Doubts the connection if nothing arrives on it any more although the other node has given a sign of life since, and closes it later. Called every now
-	 * and then, with when that node was last heard, in steady milliseconds.
+	 * Probes the connection if nothing arrives while requests are in flight. Without an answer it takes the connection out of use, and closes it later, provided that
+	 * the other node was heard after the probe was sent. Must be called periodically. `getHeardAt` returns when that node was last heard, in milliseconds
+	 * of the steady clock.
 	 */
-	readonly checkSilence: (now: number, getHeardAt: () => number | undefined) => void;
-	/** Takes no more requests, and closes when those under way have ended. */
+	readonly checkLiveness: (now: number, getHeardAt: () => number | undefined) => void;
+	/** Accepts no more requests, and closes the connection once those in flight have ended. */
 	readonly retire: () => void;
 	readonly dispose: () => void;
 };
 
-/** Nothing has arrived for this long while requests wait: the connection is asked whether it works. Milliseconds: most answers are sooner. */
-const quietMs = 300;
+/** The connection is probed if nothing arrives for this long while requests are in flight. Most answers arrive sooner. */
+const probeAfterQuietMs = 300;
 
 /**
- * How long a node may take to answer that, from its next sign of life on. Milliseconds: a process that is eight times slower than usual still does.
- * That it was heard a while ago shows nothing: a node that stands still for a second, as small ones do under load, is heard as little as its
- * connections: to give these up fails requests that it would have answered.
+ * How long a node may take to answer a probe, counted from the first time it is heard after the probe was sent. A process that is eight times slower than usual
+ * still answers in time. An earlier heartbeat proves nothing: a node that pauses for a second, as small VMs do under load, sends neither heartbeats nor
+ * answers, and closing its connections would fail requests that it would have answered.
  */
-const pongMs = 800;
+const pongTimeoutMs = 800;
 
 /**
- * How much later than its node's sign of life a connection on which nothing arrives is given up with all that waits on it. Milliseconds: TCP, which starts
- * at 200 ms and doubles, has sent four times again by then. Until then its requests go elsewhere if they may, and what is answered all the same is delivered:
- * lost packets look like a connection that is gone, and breaking off costs the work.
+ * How long after its node was heard a connection without an answer to its probe is closed, which fails its requests. TCP, whose retransmission timeout starts at
+ * 200 ms and doubles, has retransmitted four times by then. Until then, requests that may be retried are also sent elsewhere, and answers that
+ * arrive are still delivered: packet loss looks like a lost connection, and closing wastes the work already done.
  */
-const lostMs = 3000;
+const connectionLostMs = 3000;
 
 /**
- * A question that has not left after this long waits behind a body that leaves slowly, or not at all, which nothing here tells apart. Milliseconds: the connection takes
- * nothing new then, and what waits on it goes elsewhere as well if it may; it is not given up, since the body may be one that must not be sent twice.
+ * A probe that was not written after this long is queued behind a body that is sent slowly or not at all; the two cases cannot be told apart here. The connection then
+ * takes no new requests, and requests that may be retried are also sent elsewhere. It is not closed, because the body may be one that must not be sent twice.
  */
-const stuckMs = 2000;
-
-/** Whether the connection works, asked on it. Steady milliseconds. */
-type Question = {
-	readonly askedAt: number;
-	/** The system has taken it. */
-	hasLeft: boolean;
-	/** When that was first seen. */
-	leftAt: number | undefined;
-	/** When a sign of life of the other node was first seen after that. */
-	livedAt: number | undefined;
+const probeWriteTimeoutMs = 2000;
+
+/** A `ping` that checks whether the connection is alive. Times are in milliseconds of the steady clock. */
+type LivenessProbe = {
+	readonly queuedAt: number;
+	/** Whether the operating system has accepted the ping. */
+	isWritten: boolean;
+	/** When a check first saw that. */
+	writtenAt: number | undefined;
+	/** When a check first saw that the other node was heard after `writtenAt`. */
+	nodeHeardAt: number | undefined;
 };
 
-/** Opens a connection. @internal */
+/** Opens a TCP connection. @internal */
 export type OpenSocket = (options: NetConnectOpts) => Socket;
 
 /** How connections are opened and written to. @internal */
-export type ChannelSurroundings = {
+export type ChannelOptions = {
 	readonly openSocket?: OpenSocket;
-	/** Writes to the link of this VM. */
+	/** Writes frames at the pace of the network link of this VM. */
 	readonly link?: Pick<LinkWriter, 'write' | 'cancel'>;
 };
 
-/** A link of which nothing is known: everything is written at once. */
-const openLink: Pick<LinkWriter, 'write' | 'cancel'> = {write: writeFrame, cancel: () => undefined};
+/** Used if the speed of the link is unknown: writes everything at once. */
+const unpacedLink: Pick<LinkWriter, 'write' | 'cancel'> = {write: writeFrame, cancel: () => undefined};
 
-type Pending = {
+type PendingRequest = {
 	readonly request: ChannelRequest;
 	readonly settle: (result: ChannelResult) => void;
-	/** Whether the request, with its body, may have left. */
+	/** Whether the request, with its body, may have been sent. */
 	isSent: boolean;
-	/** Runs while the request waits for the connection. */
-	openTimer: NodeJS.Timeout | undefined;
+	/** Set while the request waits for the connection to open. */
+	connectWaitTimer: NodeJS.Timeout | undefined;
 };
 
 /**
- * How long a connection may take to open. Milliseconds: over a link that is full it takes as long as what waits there, and to give up and begin anew would
- * never get through. Packets are sent again after one second.
+ * How long a connection may take to open. On a saturated link that takes as long as the queue in front of it, and aborting to start over would never
+ * succeed. The connection request is retransmitted after one second.
  */
-const openMs = 2000;
+const connectTimeoutMs = 2000;
 
 /**
  * Opens a channel.
  *
- * @param address - Where the gate listens.
- * @param connectMs - Milliseconds that a call of a caller waits for the connection; it goes elsewhere then, and the connection goes on opening for others.
- * @param handleClosed - Called once when it has ended.
- * @param surroundings - How it is opened and written to.
- * @returns The channel, connecting.
+ * @param address - The address of the gate.
+ * @param connectWaitMs - How long a call waits for the connection, in milliseconds. The call then fails as not sent, while the connection continues to open for others.
+ * @param handleClosed - Called once when the connection has closed.
+ * @param options - How the connection is opened and written to.
+ * @returns The channel, whose connection is being opened.
  * @internal
  */
-export function openPeerChannel(address: Address, connectMs: number, handleClosed: () => void, {openSocket = connect, link = openLink}: ChannelSurroundings = {}): PeerChannel {
+export function openPeerChannel(address: Address, connectWaitMs: number, handleClosed: () => void, {openSocket = connect, link = unpacedLink}: ChannelOptions = {}): PeerChannel {
 	const {host, port} = parseAddress(address);
 	const socket = openSocket({host, port, noDelay: true});
 	const reader = createFrameReader();
-	const pending = new Map<number, Pending>();
+	const pending = new Map<number, PendingRequest>();
 	let nextId = 1;
 	let isConnected = false;
 	let isRetired = false;
-	let failure = '';
-	/** When something last arrived, or when the first of the requests that wait was sent. Steady milliseconds. */
+	let failureDetail = '';
+	/** When bytes last arrived, the connection opened, or a request was sent while none was in flight, whichever is latest. In milliseconds of the steady clock. */
 	let quietSince = 0;
-	let receivedAt = 0;
-	let question: Question | undefined;
+	let lastReceivedAt = 0;
+	let probe: LivenessProbe | undefined;
 
-	const timer = setTimeout(() => {
-		socket.destroy(new Error(`no connection within ${openMs} ms`));
-	}, Math.max(openMs, connectMs));
+	const connectTimer = setTimeout(() => {
+		socket.destroy(new Error(`no connection within ${connectTimeoutMs} ms`));
+	}, Math.max(connectTimeoutMs, connectWaitMs));
 
 	const closeIfIdle = (): void => {
 		if (isRetired && pending.size === 0) {
@@ -149,9 +150,9 @@
 	};
 
 	const finish = (id: number, result: ChannelResult): void => {
-		const one = pending.get(id);
+		const pendingRequest = pending.get(id);
 		pending.delete(id);
-		one?.settle(result);
+		pendingRequest?.settle(result);
 		closeIfIdle();
 	};
 
@@ -159,48 +160,48 @@
 		for (const [id, {isSent}] of pending) {
 			finish(id, isConnected
 				? {
-					type: 'failed', isSent, reason: 'connection-lost', detail: failure,
+					type: 'failed', isSent, reason: 'connection-lost', detail: failureDetail,
 				}
 				: {
-					type: 'failed', isSent: false, reason: 'unreachable', detail: failure,
+					type: 'failed', isSent: false, reason: 'unreachable', detail: failureDetail,
 				});
 		}
 	};
 
-	/** Writes a request. Before the connection is up nothing is, so that what is given up meanwhile never leaves. */
-	const sendFrame = (id: number, one: Pending): void => {
-		const {type, head, body} = one.request;
-		clearTimeout(one.openTimer);
-		one.isSent = type !== 'offer';
+	/** Writes a request. Nothing is written before the connection is open, so that a request that is given up meanwhile is never sent. */
+	const sendFrame = (id: number, pendingRequest: PendingRequest): void => {
+		const {type, head, body} = pendingRequest.request;
+		clearTimeout(pendingRequest.connectWaitTimer);
+		pendingRequest.isSent = type !== 'offer';
 		link.write(socket, {
-			type, id, head, ...one.isSent && body !== undefined ? {body} : {},
+			type, id, head, ...pendingRequest.isSent && body !== undefined ? {body} : {},
 		});
 	};
 
-	const waitForOpening = (id: number, one: Pending): void => {
-		if (one.request.type === 'config') {
+	const startConnectWait = (id: number, pendingRequest: PendingRequest): void => {
+		if (pendingRequest.request.type === 'config') {
 			return;
 		}
 
-		one.openTimer = setTimeout(() => {
+		pendingRequest.connectWaitTimer = setTimeout(() => {
 			finish(id, {
-				type: 'failed', isSent: false, reason: 'unreachable', detail: `no connection within ${connectMs} ms`,
+				type: 'failed', isSent: false, reason: 'unreachable', detail: `no connection within ${connectWaitMs} ms`,
 			});
-		}, connectMs);
+		}, connectWaitMs);
 	};
 
 	const sendBody = (id: number): void => {
-		const one = pending.get(id);
-		if (one !== undefined && !one.isSent) {
-			one.isSent = true;
-			link.write(socket, {type: 'body', id, body: one.request.body ?? Buffer.alloc(0)});
+		const pendingRequest = pending.get(id);
+		if (pendingRequest !== undefined && !pendingRequest.isSent) {
+			pendingRequest.isSent = true;
+			link.write(socket, {type: 'body', id, body: pendingRequest.request.body ?? Buffer.alloc(0)});
 		}
 	};
 
 	const handleFrame = ({type, id, head, body}: Frame): void => {
 		switch (type) {
 			case 'answer': {
-				// Joined chunks may be large: an answer that is kept must not keep them.
+				// The body is a view of the joined chunks, which may be large: code that keeps an answer for long must copy it.
 				finish(id, {type: 'answered', head, body});
 				break;
 			}
@@ -220,41 +221,41 @@
 			case 'cancel':
 			case 'config':
 			case 'ping': {
-				socket.destroy(new Error(`a frame of type ${type} from a gate`));
+				socket.destroy(new Error(`unexpected frame of type ${type} from a gate`));
 				break;
 			}
 		}
 	};
 
-	const doubtAll = (): void => {
+	const reportUnresponsive = (): void => {
 		isRetired = true;
 		for (const {request} of pending.values()) {
-			request.handleDoubt?.();
+			request.handleUnresponsive?.();
 		}
 	};
 
-	const askWhetherItWorks = (now: number): void => {
-		const next: Question = {
-			askedAt: now, hasLeft: false, leftAt: undefined, livedAt: undefined,
+	const sendProbe = (now: number): void => {
+		const next: LivenessProbe = {
+			queuedAt: now, isWritten: false, writtenAt: undefined, nodeHeardAt: undefined,
 		};
-		question = next;
+		probe = next;
 		link.write(socket, {type: 'ping', id: 0}, () => {
-			next.hasLeft = true;
+			next.isWritten = true;
 		});
 	};
 
 	socket.on('connect', () => {
-		clearTimeout(timer);
+		clearTimeout(connectTimer);
 		isConnected = true;
 		quietSince = readSteadyMs();
-		for (const [id, one] of pending) {
-			sendFrame(id, one);
+		for (const [id, pendingRequest] of pending) {
+			sendFrame(id, pendingRequest);
 		}
 	});
 	socket.on('data', (bytes: Uint8Array) => {
-		receivedAt = readSteadyMs();
-		quietSince = receivedAt;
-		question = undefined;
+		lastReceivedAt = readSteadyMs();
+		quietSince = lastReceivedAt;
+		probe = undefined;
 		try {
 			for (const frame of reader.read(bytes)) {
 				handleFrame(frame);
@@ -264,14 +265,14 @@
 		}
 	});
 	socket.on('error', error => {
-		failure = error.message;
+		failureDetail = error.message;
 	});
 	socket.on('end', () => {
 		socket.destroy();
 	});
 	socket.once('close', () => {
-		clearTimeout(timer);
-		failure ||= 'the other node closed the connection';
+		clearTimeout(connectTimer);
+		failureDetail ||= 'the other node closed the connection';
 		failAll();
 		handleClosed();
 	});
@@ -284,79 +285,79 @@
 				const {scope} = request;
 				if (pending.size === 0) {
 					quietSince = readSteadyMs();
-					question = undefined;
+					probe = undefined;
 				}
 
 				let stopListening = (): void => undefined;
-				const one: Pending = {
+				const pendingRequest: PendingRequest = {
 					request,
 					isSent: false,
-					openTimer: undefined,
+					connectWaitTimer: undefined,
 					settle(result) {
-						clearTimeout(one.openTimer);
+						clearTimeout(pendingRequest.connectWaitTimer);
 						stopListening();
 						resolve(result);
 					},
 				};
-				pending.set(id, one);
+				pending.set(id, pendingRequest);
 				if (isConnected) {
-					sendFrame(id, one);
+					sendFrame(id, pendingRequest);
 				} else {
-					waitForOpening(id, one);
+					startConnectWait(id, pendingRequest);
 				}
 
 				stopListening = scope.subscribe(reason => {
-					const {isSent} = one;
+					const {isSent} = pendingRequest;
 					if (isConnected) {
 						link.cancel(socket, id);
 						link.write(socket, {type: 'cancel', id});
 					}
 
 					finish(id, {
-						type: 'failed', isSent, reason, detail: reason === 'timeout' ? 'no answer in time' : 'the caller has gone',
+						type: 'failed', isSent, reason, detail: reason === 'timeout' ? 'no answer before the deadline' : 'the caller no longer waits for the answer',
 					});
 				});
 			});
 		},
 		isUsable: () => !isRetired && !socket.destroyed,
-		isOpening: () => !isConnected && !socket.destroyed,
-		getReceivedAt: () => receivedAt,
-		checkSilence(now, getHeardAt) {
-			if (!isConnected || pending.size === 0 || now - quietSince < quietMs) {
+		isConnecting: () => !isConnected && !socket.destroyed,
+		getLastReceivedAt: () => lastReceivedAt,
+		checkLiveness(now, getHeardAt) {
+			if (!isConnected || pending.size === 0 || now - quietSince < probeAfterQuietMs) {
 				return;
 			}
 
-			if (question === undefined) {
-				askWhetherItWorks(now);
+			if (probe === undefined) {
+				sendProbe(now);
 				return;
 			}
 
-			if (!question.hasLeft) {
-				if (now - question.askedAt > stuckMs) {
-					doubtAll();
+			if (!probe.isWritten) {
+				if (now - probe.queuedAt > probeWriteTimeoutMs) {
+					reportUnresponsive();
 				}
 
 				return;
 			}
 
-			question.leftAt ??= now;
-			question.livedAt ??= (getHeardAt() ?? 0) > question.leftAt ? now : undefined;
-			const {livedAt} = question;
-			if (livedAt === undefined || now - livedAt <= pongMs) {
+			probe.writtenAt ??= now;
+			probe.nodeHeardAt ??= (getHeardAt() ?? 0) > probe.writtenAt ? now : undefined;
+			const {nodeHeardAt} = probe;
+			if (nodeHeardAt === undefined || now - nodeHeardAt <= pongTimeoutMs) {
 				return;
 			}
 
-			if (now - livedAt > lostMs) {
-				socket.destroy(new Error('nothing arrives on the connection although the node is heard'));
+			if (now - nodeHeardAt > connectionLostMs) {
+				socket.destroy(new Error('nothing arrives on the connection although heartbeats of the node arrive'));
 				return;
 			}
 
-			doubtAll();
+			reportUnresponsive();
 		},
 		retire() {
 			isRetired = true;
 			closeIfIdle();
-			// A process that has restarted resets the connection when it gets this, and what waits for its earlier run ends at once.
+			// If the process at the other end has restarted, its system answers the ping with a reset, which ends the requests that wait for the earlier process at once.
 			link.write(socket, {type: 'ping', id: 0});
 		},
 		dispose() {
--- a/src/lib/forwarding/peer-messages.ts
+++ b/src/lib/forwarding/peer-messages.ts
@@ -1,5 +1,5 @@
 /**
- * What nodes say to one another about a request, as heads of frames.
+ * Messages by which nodes exchange a request and its result, as heads of frames.
  *
  * @module
  */
@@ -12,48 +12,48 @@
 import {
 	createMayHaveRun, parseForwardReason, type ForwardResponse, type ForwardFailure, type GateLoad, type GateResult,
 } from './forward-result.js';
-import {readHeaders, type PassedHeaders} from './read-headers.js';
+import {readHeaders, type ForwardedHeaders} from './read-headers.js';
 
-/** A request for the backend server beside another node. @internal */
+/** A request to the backend server beside another node. @internal */
 export type PeerRequest = {
-	/** The caller's id of it. */
+	/** The id that the caller gave the request. */
 	readonly id: string;
 	readonly server: BackendServerId;
 	readonly method: string;
 	readonly target: string;
-	readonly headers: PassedHeaders;
+	readonly headers: ForwardedHeaders;
 	readonly hasBody: boolean;
 	readonly callerService: string;
-	/** 0 goes first. */
+	/** Priority in the queue of the gate; lower ranks go first. */
 	readonly rank: number;
 	/** Milliseconds until the caller gives up. */
 	readonly leftMs: number;
-	/** Milliseconds that it may be expected to wait for a slot. */
+	/** The gate queues the request only if its expected wait for a slot is at most this long, in milliseconds. */
 	readonly mayWaitMs: number;
-	/** Milliseconds that its answer may be expected to wait for the link, if it is large; `undefined` if it is not. */
+	/** The gate accepts a request with a large answer only if the expected wait of the answer for the link is at most this long, in milliseconds; `undefined` if the answer is not large. */
 	readonly answerMayWaitMs?: number | undefined;
 };
 
 const roundToTenth = (value: number): number => Math.round(value * 10) / 10;
 
-const isText = (value: unknown): value is string => typeof value === 'string';
-const isAmount = (value: unknown): value is number => typeof value === 'number' && Number.isFinite(value) && value >= 0;
+const isString = (value: unknown): value is string => typeof value === 'string';
+const isNonNegativeNumber = (value: unknown): value is number => typeof value === 'number' && Number.isFinite(value) && value >= 0;
 
-/** The longest time that a message may name; whatever waits for it bounds its own timers. Milliseconds. */
-const longestMs = Number.MAX_SAFE_INTEGER;
+/** The longest time in a message. Code that sets a timer for it limits the delay itself. */
+const maxTimeMs = Number.MAX_SAFE_INTEGER;
 
-/** The longest time after which a call may be said to be worth trying again. Milliseconds. */
-const longestRetryMs = 3_600_000;
+/** Longer retry delays are reduced to this. */
+const maxRetryAfterMs = 3_600_000;
 
-/** Statuses that end a request. */
-const leastStatus = 200;
-const mostStatus = 999;
+/** Range of the final HTTP statuses; lower ones are informational. */
+const minFinalStatus = 200;
+const maxStatus = 999;
 
-/** Characters of what another node says for people. */
-const detailLength = 300;
+/** Longer details from another node are cut to this many characters. */
+const maxDetailLength = 300;
 
 /**
- * Encodes a request as a list: the names of its fields would be a third of its bytes.
+ * Encodes a request. The head is a list, because field names would take a third of its bytes.
  *
  * @param request - The request.
  * @returns The head of its frame.
@@ -65,18 +65,20 @@
 	return [id, server, method, target, headers, hasBody ? 1 : 0, callerService, rank, roundToTenth(Math.max(0, leftMs)), roundToTenth(Math.max(0, mayWaitMs)), answerWait];
 }
 
-/** A body that is announced and does not come would be taken from the next request on the connection to the backend server. */
-function checkLength(headers: PassedHeaders, hasBody: boolean): void {
+/** Rejects a content length without a body: the backend server would read the missing body from the next request on the same connection. */
+function checkContentLength(headers: ForwardedHeaders, hasBody: boolean): void {
 	const length = headers['content-length'];
 	if (!hasBody && length !== undefined && length !== '0') {
-		throw new FieldError('request.headers.content-length', length, '0, since no body follows');
+		throw new FieldError('request.headers.content-length', length, '0, because no body follows');
 	}
 }
 
 /**
+ * Decodes a request.
+ *
  * @param head - The head of a frame.
  * @returns The request.
- * @throws FieldError when the head is none: the connection is of no use then.
+ * @throws FieldError when the head is malformed. The connection cannot be used any further then.
  * @internal
  */
 export function decodePeerRequest(head: unknown): PeerRequest {
@@ -89,12 +91,12 @@
 		headers: readHeaders(headers, 'request.headers'),
 		hasBody: readFlag(hasBody, 'request.hasBody'),
 		callerService: readText(callerService, 'request.callerService'),
-		rank: readAmount(rank, 'request.rank', longestMs),
-		leftMs: readAmount(leftMs, 'request.leftMs', longestMs),
-		mayWaitMs: readAmount(mayWaitMs, 'request.mayWaitMs', longestMs),
-		...answerMayWaitMs === undefined || answerMayWaitMs === null ? {} : {answerMayWaitMs: readAmount(answerMayWaitMs, 'request.answerMayWaitMs', longestMs)},
+		rank: readAmount(rank, 'request.rank', maxTimeMs),
+		leftMs: readAmount(leftMs, 'request.leftMs', maxTimeMs),
+		mayWaitMs: readAmount(mayWaitMs, 'request.mayWaitMs', maxTimeMs),
+		...answerMayWaitMs === undefined || answerMayWaitMs === null ? {} : {answerMayWaitMs: readAmount(answerMayWaitMs, 'request.answerMayWaitMs', maxTimeMs)},
 	};
-	checkLength(request.headers, request.hasBody);
+	checkContentLength(request.headers, request.hasBody);
 	return request;
 }
 
@@ -103,7 +105,7 @@
 }
 
 function decodeLoad(value: unknown): GateLoad | undefined {
-	if (!Array.isArray(value) || value.length !== 4 || !value.every(amount => isAmount(amount))) {
+	if (!Array.isArray(value) || value.length !== 4 || !value.every(amount => isNonNegativeNumber(amount))) {
 		return undefined;
 	}
 
@@ -114,7 +116,9 @@
 }
 
 /**
- * @param gateResult - How a request ended at the gate.
+ * Encodes the result of a request.
+ *
+ * @param gateResult - The result at the gate, with the load of its backend server.
  * @returns Head and body of the answer's frame.
  * @internal
  */
@@ -125,9 +129,9 @@
 		: {head: [result.verdict, loadPart, result.reason, result.hasArrived ? 1 : 0, Math.round(result.retryAfterMs), result.detail]};
 }
 
-/** An answer of a backend server; `undefined` if the head is that of none, or could not be written to a caller as it is. */
+/** Decodes an answer of a backend server. Returns `undefined` if it is malformed or could not be written to a caller unchanged. */
 function decodeAnswered([status, headers]: readonly unknown[], body: Uint8Array): ForwardResponse | undefined {
-	if (!Number.isInteger(status) || (status as number) < leastStatus || (status as number) > mostStatus) {
+	if (!Number.isInteger(status) || (status as number) < minFinalStatus || (status as number) > maxStatus) {
 		return undefined;
 	}
 
@@ -136,42 +140,42 @@
 			type: 'answered', status: status as number, headers: readHeaders(headers, 'answer.headers'), body,
 		};
 	} catch {
-		// What is wrong with it helps nobody who waits for the answer.
+		// The error is dropped, because the caller can do nothing with it.
 		return undefined;
 	}
 }
 
-const unreadable = createMayHaveRun('wrong-answer', 'an answer that cannot be read');
+const unreadableAnswer = createMayHaveRun('wrong-answer', 'the answer of the node is malformed');
 
 function decodeFailed(verdict: Exclude<Verdict, 'ran'>, [reason, hasArrived, retryAfterMs, detail]: readonly unknown[]): ForwardFailure {
-	if (!isText(reason) || (hasArrived !== 0 && hasArrived !== 1)) {
-		return unreadable;
+	if (!isString(reason) || (hasArrived !== 0 && hasArrived !== 1)) {
+		return unreadableAnswer;
 	}
 
 	return {
 		type: 'failed', verdict,
 		reason: parseForwardReason(reason),
-		detail: isText(detail) ? detail.slice(0, detailLength) : '',
-		retryAfterMs: isAmount(retryAfterMs) ? Math.min(longestRetryMs, retryAfterMs) : 0,
+		detail: isString(detail) ? detail.slice(0, maxDetailLength) : '',
+		retryAfterMs: isNonNegativeNumber(retryAfterMs) ? Math.min(maxRetryAfterMs, retryAfterMs) : 0,
 		hasArrived: hasArrived === 1,
 	};
 }
 
 /**
- * Decodes an answer. What cannot be read promises nothing.
+ * Decodes the result of a request. A malformed answer counts as one after which the request may have run.
  *
- * @param head - Head of the answer's frame.
- * @param body - Its body.
- * @returns How the request ended.
+ * @param head - The head of the answer's frame.
+ * @param body - The body of the answer's frame.
+ * @returns The result at the gate, with the load of its backend server.
  * @internal
  */
 export function decodePeerAnswer(head: unknown, body: Uint8Array): GateResult {
 	const [verdictText, loadPart, ...rest] = Array.isArray(head) ? head as unknown[] : [];
 	const load = decodeLoad(loadPart);
-	const verdict = parseVerdict(isText(verdictText) ? verdictText : undefined);
+	const verdict = parseVerdict(isString(verdictText) ? verdictText : undefined);
 	switch (verdict) {
 		case 'ran': {
-			return {load, result: decodeAnswered(rest, body) ?? unreadable};
+			return {load, result: decodeAnswered(rest, body) ?? unreadableAnswer};
 		}
 
 		case 'not-run':
--- a/src/lib/forwarding/read-body.test.ts
+++ b/src/lib/forwarding/read-body.test.ts
@@ -4,12 +4,12 @@
 import test from 'node:test';
 import {createByteBudget} from './byte-budget.js';
 import {
-	BodyTooLargeError, BodyTooLateError, NoRoomForBodyError, readBody,
+	BodyTooLargeError, BodyTimeoutError, BodyMemoryError, readBody,
 } from './read-body.js';
 
 const createRequest = (): PassThrough & IncomingMessage => new PassThrough() as unknown as PassThrough & IncomingMessage;
 
-test('a body is read whole, and holds its bytes until they are released', async () => {
+test('a body is read completely, and its bytes stay taken from the budget until they are released', async () => {
 	const budget = createByteBudget(10);
 	const request = createRequest();
 	const reading = readBody(request, 100, budget);
@@ -21,13 +21,13 @@
 	assert.equal(budget.tryAcquire(10), true);
 });
 
-test('a body for which there is no room, one that is too large, and one that ends early give back what they took', async () => {
+test('a body that exceeds the budget, one that is too large and one that is cut off release their bytes', async () => {
 	const budget = createByteBudget(10);
 	const crowded = createRequest();
 	const reading = readBody(crowded, 100, budget);
 	crowded.write('12345678');
 	crowded.write('9abc');
-	await assert.rejects(reading, NoRoomForBodyError);
+	await assert.rejects(reading, BodyMemoryError);
 	const large = createRequest();
 	const readingLarge = readBody(large, 5, budget);
 	large.write('123');
@@ -43,7 +43,7 @@
 	assert.equal(budget.tryAcquire(10), true);
 });
 
-test('a body that has not come when nobody waits any more gives back what it took', async () => {
+test('a body that has not arrived at the deadline releases its bytes', async () => {
 	const budget = createByteBudget(10);
 	const request = createRequest();
 	let end = (): void => undefined;
@@ -57,6 +57,6 @@
 	});
 	assert.equal(budget.tryAcquire(6), false);
 	end();
-	await assert.rejects(reading, BodyTooLateError);
+	await assert.rejects(reading, BodyTimeoutError);
 	assert.equal(budget.tryAcquire(10), true);
 });
--- a/src/lib/forwarding/running-attempts.ts
+++ b/src/lib/forwarding/running-attempts.ts
@@ -1,6 +1,5 @@
 /**
- * The attempts of one call that are under way. Mostly there is one; beside one whose node has fallen silent there may be another,
- * and whichever is answered first counts.
+ * Runs the attempts of one call. Usually one attempt is in flight; a second may be started while the first is unresponsive, and the first answer wins.
  *
  * @module
  */
@@ -8,43 +7,43 @@
 import {isBulk} from '../route-config/route-config.js';
 import {computeRank} from '../decisions/call-rank.js';
 import {type Candidate} from '../decisions/rank-servers.js';
-import {createInnerScope, type CallScope} from './call-scope.js';
+import {createChildScope, type CallScope} from './call-scope.js';
 import {createMayHaveRun, type ForwardResult, type GateResult} from './forward-result.js';
 import {type OutgoingCall, type SendContext} from './outgoing-call.js';
 
-/** One attempt of a call, at one server. @internal */
+/** One attempt of a call, at one backend server. @internal */
 export type Attempt = {
 	readonly target: Candidate;
-	/** Milliseconds that it may wait for a slot. */
+	/** The gate queues the request only if its expected wait for a slot is at most this long, in milliseconds. */
 	readonly mayWaitMs: number;
-	/** Milliseconds that its answer may wait for the link, if it is large. */
+	/** The gate accepts a request with a large answer only if the expected wait of the answer for the link is at most this long, in milliseconds; `undefined` if the answer is not large. */
 	readonly answerMayWaitMs: number | undefined;
-	/** Steady milliseconds. */
+	/** In milliseconds of the steady clock. */
 	readonly startedAt: number;
-	/** The same by the clock that stands still while this VM is suspended. */
+	/** In milliseconds of the clock that does not advance while this VM is suspended. */
 	readonly startedAwakeAt: number;
 	readonly scope: CallScope;
 };
 
-/** What happens to an attempt. @internal */
+/** An event of an attempt. @internal */
 export type AttemptEvent =
 	| {readonly type: 'ended'; readonly attempt: Attempt; readonly result: ForwardResult}
-	/** Nothing is heard of the server's node, or nothing arrives on the connection to it. The server may be at work all the same. */
-	| {readonly type: 'doubted'; readonly attempt: Attempt};
+	/** The node of the server sends no heartbeats, or nothing arrives on the connection to it. The server may still be running the request. */
+	| {readonly type: 'unresponsive'; readonly attempt: Attempt};
 
 /** @internal */
 export type RunningAttempts = {
 	readonly count: () => number;
-	/** Whether nothing is heard of the nodes of all of them; so it is of none. */
-	readonly hasOnlyDoubted: () => boolean;
+	/** Returns whether all attempts in flight have been reported as unresponsive; true if there are none. */
+	readonly areAllUnresponsive: () => boolean;
 	readonly start: (planned: Pick<Attempt, 'target' | 'mayWaitMs' | 'answerMayWaitMs'>) => Attempt;
-	/** Waits for what happens next to any of them. */
+	/** Waits for the next event of any attempt. */
 	readonly waitForEvent: () => Promise<AttemptEvent>;
-	/** Breaks off all that are under way, since the call has its answer; yields them. */
-	readonly breakOff: () => readonly Attempt[];
+	/** Cancels all attempts in flight because the call has its answer, and returns them. */
+	readonly cancelAll: () => readonly Attempt[];
 };
 
-async function sendOnce(context: SendContext, call: OutgoingCall, {target, mayWaitMs, answerMayWaitMs, scope}: Attempt, handleDoubt: () => void): Promise<GateResult> {
+async function sendToGate(context: SendContext, call: OutgoingCall, {target, mayWaitMs, answerMayWaitMs, scope}: Attempt, handleUnresponsive: () => void): Promise<GateResult> {
 	const common = {
 		id: call.id, server: target.id, method: call.method, target: call.target, headers: call.headers, callerService: context.callerService,
 		mayWaitMs, rank: computeRank(call.route), scope,
@@ -54,12 +53,12 @@
 			...common, hasBody: call.body !== undefined, isLargeUpload: false, readBody: async () => call.body,
 		})
 		: context.gateClient.send({
-			...common, answerMayWaitMs, gate: target.gate, body: call.body, isBulk: isBulk(call.route.type), handleDoubt,
+			...common, answerMayWaitMs, gate: target.gate, body: call.body, isBulk: isBulk(call.route.type), handleUnresponsive,
 		});
 }
 
-/** What a call saw of a node goes before what the node says of itself. */
-function noteNode(context: SendContext, target: Candidate, result: ForwardResult): void {
+/** Reports whether the node could be reached: what a call observed takes precedence over the node's own reports. */
+function reportReachability(context: SendContext, target: Candidate, result: ForwardResult): void {
 	if (target.isLocal) {
 		return;
 	}
@@ -72,18 +71,20 @@
 }
 
 /**
- * @param context - What calls are sent with.
+ * Creates the attempts of a call.
+ *
+ * @param context - The dependencies for sending calls.
  * @param call - The call.
- * @returns Its attempts, none started yet.
+ * @returns The attempts; none has started.
  * @internal
  */
 export function createRunningAttempts(context: SendContext, call: OutgoingCall): RunningAttempts {
 	const running = new Set<Attempt>();
-	const doubted = new WeakSet<Attempt>();
+	const unresponsive = new WeakSet<Attempt>();
 	const events: AttemptEvent[] = [];
 	let handleEvent: ((event: AttemptEvent) => void) | undefined;
 
-	const tell = (event: AttemptEvent): void => {
+	const dispatchEvent = (event: AttemptEvent): void => {
 		if (handleEvent === undefined) {
 			events.push(event);
 			return;
@@ -93,7 +94,7 @@
 		handleEvent = undefined;
 	};
 
-	const noteLoad = ({target, startedAwakeAt}: Attempt, load: GateResult['load']): void => {
+	const recordLoad = ({target, startedAwakeAt}: Attempt, load: GateResult['load']): void => {
 		if (load === undefined) {
 			return;
 		}
@@ -103,19 +104,19 @@
 		context.loads.recordRoundTrip(target.lifetime, call.route.name, readAwakeMs() - startedAwakeAt - tookMs);
 	};
 
-	const sendWatched = async (attempt: Attempt): Promise<ForwardResult> => {
+	const sendAttempt = async (attempt: Attempt): Promise<ForwardResult> => {
 		const {target, scope} = attempt;
-		const handleDoubt = (): void => {
-			doubted.add(attempt);
-			tell({type: 'doubted', attempt});
+		const handleUnresponsive = (): void => {
+			unresponsive.add(attempt);
+			dispatchEvent({type: 'unresponsive', attempt});
 		};
 
-		const unwatch = target.isLocal ? (): void => undefined : context.watchSilence(target.node, handleDoubt);
+		const unwatch = target.isLocal ? (): void => undefined : context.watchSilence(target.node, handleUnresponsive);
 		context.loads.recordStart(target.lifetime);
 		try {
-			const {result, load} = await sendOnce(context, call, attempt, handleDoubt);
-			noteLoad(attempt, load);
-			noteNode(context, target, result);
+			const {result, load} = await sendToGate(context, call, attempt, handleUnresponsive);
+			recordLoad(attempt, load);
+			reportReachability(context, target, result);
 			return result;
 		} finally {
 			context.loads.recordEnd(target.lifetime);
@@ -127,24 +128,24 @@
 	const run = async (attempt: Attempt): Promise<void> => {
 		let result: ForwardResult;
 		try {
-			result = await sendWatched(attempt);
+			result = await sendAttempt(attempt);
 		} catch (error) {
-			// A fault of this program, which promises nothing.
+			// A bug in this program. The request may have run.
 			context.log.record('error', {kind: 'node-failed', reason: (error as Error).stack ?? String(error)});
-			result = createMayHaveRun('wrong-answer', 'a fault of this node');
+			result = createMayHaveRun('wrong-answer', 'internal error of this node');
 		}
 
 		if (running.delete(attempt)) {
-			tell({type: 'ended', attempt, result});
+			dispatchEvent({type: 'ended', attempt, result});
 		}
 	};
 
 	return {
 		count: () => running.size,
-		hasOnlyDoubted: () => [...running].every(attempt => doubted.has(attempt)),
+		areAllUnresponsive: () => [...running].every(attempt => unresponsive.has(attempt)),
 		start(planned) {
 			const attempt: Attempt = {
-				...planned, startedAt: readSteadyMs(), startedAwakeAt: readAwakeMs(), scope: createInnerScope(call.scope),
+				...planned, startedAt: readSteadyMs(), startedAwakeAt: readAwakeMs(), scope: createChildScope(call.scope),
 			};
 			running.add(attempt);
 			void run(attempt);
@@ -156,14 +157,14 @@
 				handleEvent = resolve;
 			});
 		},
-		breakOff() {
-			const left = [...running];
+		cancelAll() {
+			const cancelled = [...running];
 			running.clear();
-			for (const {scope} of left) {
+			for (const {scope} of cancelled) {
 				scope.end('superseded');
 			}
 
-			return left;
+			return cancelled;
 		},
 	};
 }
--- a/src/lib/forwarding/server-session.ts
+++ b/src/lib/forwarding/server-session.ts
@@ -14,15 +14,15 @@
 import {type Quarantine} from '../quarantine/quarantine.js';
 import {createLazyFingerprint, type LazyFingerprint} from '../quarantine/lazy-fingerprint.js';
 import {type MeshLog} from '../timeline/mesh-log.js';
-import {endGraceMs, type CallScope} from './call-scope.js';
-import {filterCallHeaders, getText, type WireHeaders} from './call-headers.js';
+import {deadlineGraceMs, type CallScope} from './call-scope.js';
+import {removeHopByHopHeaders, getStringHeader, type CallHeaderNames} from './call-headers.js';
 import {runExchange, type ExchangeResponse, type ExchangeFailure} from './exchange.js';
 import {
 	createMayHaveRun, createNotRun, type ForwardFailure, type ForwardResult,
 } from './forward-result.js';
 import {createServerConnectionPool} from './server-connection-pool.js';
 import {isRefusingConnections} from './refused-connection.js';
-import {createSilentConnections} from './silent-connections.js';
+import {createHalfOpenDetector} from './half-open-detector.js';
 
 /** A request for the server that holds a slot. @internal */
 export type SessionCall = {
@@ -39,7 +39,7 @@
 
 /** @internal */
 export type ServerSessionContext = {
-	readonly wire: WireHeaders;
+	readonly wire: CallHeaderNames;
 	readonly log: MeshLog;
 	/** Maximum number of connections that the server accepts from this node. */
 	readonly maxConnections: number;
@@ -99,7 +99,7 @@
 const failureWeight = 0.1;
 
 /** Subtracted from the remaining time that is forwarded to the server: the grace period of the call scope, and the latency to the server. */
-const deadlineMarginMs = endGraceMs + 1;
+const deadlineMarginMs = deadlineGraceMs + 1;
 
 /** One extra request is sent to the server per this many slots. It waits there for about an eighth of a service time, without regard to its rank. */
 const slotsPerQueuedRequest = 8;
@@ -156,14 +156,14 @@
 	const pool = createServerConnectionPool({
 		address: announcement.address, maxConnections: context.maxConnections, idleMs: idleConnectionMs, connectTimeoutMs,
 	});
-	const halfOpenDetector = createSilentConnections();
+	const halfOpenDetector = createHalfOpenDetector();
 	let abandonedCalls: readonly AbandonedCall[] = [];
 	let failureShare = 0;
 	let isEnded = false;
 	let hasCrashed = false;
 
 	const addAbandonedCall = ({id, scope}: SessionCall, fingerprint: LazyFingerprint): void => {
-		const expiresAt = Math.min(scope.endsAt, readSteadyMs() + abandonedCallTtlMs);
+		const expiresAt = Math.min(scope.deadlineAt, readSteadyMs() + abandonedCallTtlMs);
 		abandonedCalls = [...abandonedCalls, {id, fingerprint, expiresAt}].slice(-maxAbandonedCallCount);
 	};
 
@@ -264,12 +264,12 @@
 		}
 
 		return {
-			type: 'answered', status: response.status, headers: filterCallHeaders(response.headers), body: response.body,
+			type: 'answered', status: response.status, headers: removeHopByHopHeaders(response.headers), body: response.body,
 		};
 	};
 
 	const createOwnResponseCheck = (call: SessionCall) => (headers: IncomingHttpHeaders, status: number): boolean => {
-		const id = getText(headers, wire.callId);
+		const id = getStringHeader(headers, wire.callId);
 		const isRefusal = headers[wire.notRun] !== undefined || status === 421;
 		return id === call.id || (id === undefined && isRefusal);
 	};
@@ -282,8 +282,8 @@
 		}
 
 		const now = readSteadyMs();
-		const leftMs = Math.floor(call.scope.endsAt - now - deadlineMarginMs);
-		const ended = call.scope.getEnd();
+		const leftMs = Math.floor(call.scope.deadlineAt - now - deadlineMarginMs);
+		const ended = call.scope.getEndReason();
 		if (ended !== undefined || leftMs <= 0) {
 			return createNotRun(ended ?? 'timeout', 'deadline passed or call ended before the request could be sent');
 		}
@@ -292,7 +292,7 @@
 			return sessionEndedFailure;
 		}
 
-		if (halfOpenDetector.areDoubtful(slots.describe().serviceMs, now)) {
+		if (halfOpenDetector.areSuspected(slots.describe().serviceMs, now)) {
 			pool.renew();
 			log.record('info', {kind: 'connections-renewed', server: lifetime.id, reason: 'a request has waited far longer than the average service time'});
 		}
@@ -302,7 +302,7 @@
 			return createNotRun('quarantined', admission.detail, admission.retryAfterMs);
 		}
 
-		const finishRequest = halfOpenDetector.begin(now);
+		const finishRequest = halfOpenDetector.recordRequest(now);
 		const result = await runExchange({
 			pool, id: call.id, method: call.method, target: call.target, body, scope: call.scope,
 			headers: {
@@ -314,7 +314,7 @@
 				...body === undefined ? {} : {'content-length': String(body.length)},
 			},
 			isOwnResponse: createOwnResponseCheck(call),
-			readCallId: headers => getText(headers, wire.callId),
+			readCallId: headers => getStringHeader(headers, wire.callId),
 		});
 		finishRequest();
 		admission.end();
