--- a/bench/worker.ts
+++ b/bench/worker.ts
@@ -11,7 +11,7 @@
 	type BudgetedStore, type DisposableStore, type Node, type Settings, type TimelineEvent,
 } from '../src/index.js';
 import {headKey} from '../src/lib/distribution/head-record.js';
-import {followHead, readHead} from '../src/lib/distribution/read-head.js';
+import {applyHead, readHead} from '../src/lib/distribution/read-head.js';
 import {type FromWorker, type ToWorker, type Usage} from './fleet.js';
 
 type Hosted = {
@@ -106,7 +106,7 @@
 				continue;
 			}
 
-			const head = await followHead(store, configuration, seen.value);
+			const head = await applyHead(store, configuration, seen.value);
 			if (head.isOk()) {
 				({configuration, revision} = head.value);
 				tellApplied(settings.node, configuration.version);
--- a/scripts/faults.ts
+++ b/scripts/faults.ts
@@ -72,8 +72,8 @@
 	{
 		promise: 'a doubtful write is told as unknown',
 		file: `${library}/distribution/accept-submissions.js`,
-		from: 'isInDoubt: true',
-		to: 'isInDoubt: false',
+		from: 'isUnconfirmed: true',
+		to: 'isUnconfirmed: false',
 		tests: `${library}/distribution`,
 	},
 	{
--- a/src/lib/distribution/accept-submissions.test.ts
+++ b/src/lib/distribution/accept-submissions.test.ts
@@ -22,7 +22,7 @@
 		limits,
 		random: () => 0,
 		getConfiguration: () => configuration,
-		adopt(next) {
+		applyIfNewer(next) {
 			configuration = next.version > configuration.version ? next : configuration;
 		},
 	};
--- a/src/lib/distribution/accept-submissions.ts
+++ b/src/lib/distribution/accept-submissions.ts
@@ -29,31 +29,31 @@
 	/** The newest version that this node holds. */
 	readonly getConfiguration: () => Configuration;
 	/** Takes over a newer version that acceptance came by. */
-	readonly adopt: (configuration: Configuration, deltas: readonly Delta[]) => void;
+	readonly applyIfNewer: (configuration: Configuration, deltas: readonly Delta[]) => void;
 	/** A number from 0 up to 1. */
 	readonly random: () => number;
 	readonly limits?: HeadLimits;
 };
 
 /** Rounds of reading and writing before a submission is given up on. */
-const maximumRounds = 12;
+const maximumAttemptCount = 12;
 
-/** The wait before the second round, in milliseconds; it doubles, with jitter, up to the last. */
-const firstBackoffMs = 20;
-const lastBackoffMs = 1000;
+/** The wait before the second attempt, in milliseconds; it doubles, with jitter, up to the last. */
+const initialBackoffMs = 20;
+const maximumBackoffMs = 1000;
 
-const unavailableRetryMs = 2000;
+const unavailableRetryAfterMs = 2000;
 
 /** One submission on its way, and what became of it so far. */
-type Pending = {
+type PendingSubmission = {
 	readonly submission: Submission;
 	readonly outcome: SubmissionOutcome | undefined;
 	/** A write that carried it had no answer, so it may be in force. */
-	readonly isInDoubt: boolean;
+	readonly isUnconfirmed: boolean;
 };
 
 type Batch = {
-	readonly pending: readonly Pending[];
+	readonly pending: readonly PendingSubmission[];
 	readonly changes: readonly ItemChange[];
 	readonly ids: readonly SubmissionId[];
 };
@@ -63,13 +63,13 @@
 }
 
 /** Lays every open submission on the version, one on top of the other. */
-function planBatch(configuration: Configuration, pending: readonly Pending[]): Batch {
+function planBatch(configuration: Configuration, pending: readonly PendingSubmission[]): Batch {
 	let {tree} = configuration;
 	let changes: readonly ItemChange[] = [];
 	const ids: SubmissionId[] = [];
-	const results = pending.map((entry): Pending => {
-		const rides = ids.includes(entry.submission.id);
-		if (entry.outcome !== undefined || rides) {
+	const results = pending.map((entry): PendingSubmission => {
+		const isDuplicate = ids.includes(entry.submission.id);
+		if (entry.outcome !== undefined || isDuplicate) {
 			return entry;
 		}
 
@@ -87,7 +87,7 @@
 	return {pending: results, changes, ids};
 }
 
-function settleOpen(pending: readonly Pending[], decide: (entry: Pending) => SubmissionOutcome | undefined): readonly Pending[] {
+function settleUndecided(pending: readonly PendingSubmission[], decide: (entry: PendingSubmission) => SubmissionOutcome | undefined): readonly PendingSubmission[] {
 	return pending.map(entry => entry.outcome === undefined ? {...entry, outcome: decide(entry)} : entry);
 }
 
@@ -111,13 +111,13 @@
 	}
 }
 
-function refuseAll(pending: readonly Pending[], reason: string): readonly Pending[] {
-	return settleOpen(pending, entry => entry.isInDoubt
+function refuseUndecided(pending: readonly PendingSubmission[], reason: string): readonly PendingSubmission[] {
+	return settleUndecided(pending, entry => entry.isUnconfirmed
 		? {type: 'unknown', id: entry.submission.id}
-		: {type: 'unavailable', reason, retryAfterMs: unavailableRetryMs});
+		: {type: 'unavailable', reason, retryAfterMs: unavailableRetryAfterMs});
 }
 
-async function prepareRecord(store: Store, state: HeadState, next: Configuration, delta: Delta, limits: HeadLimits): Promise<Result<HeadRecord, StoreError>> {
+async function prepareHeadRecord(store: Store, state: HeadState, next: Configuration, delta: Delta, limits: HeadLimits): Promise<Result<HeadRecord, StoreError>> {
 	const {record, page, needsSnapshot} = planHeadRecord(state.record, delta, limits);
 	if (page !== undefined) {
 		const written = await store.write({key: page.key, value: JSON.stringify(page.deltas), expectedRevision: 0});
@@ -145,38 +145,38 @@
 	}
 }
 
-type Round = {
-	readonly pending: readonly Pending[];
+type AttemptResult = {
+	readonly pending: readonly PendingSubmission[];
 	readonly isFinished: boolean;
 };
 
-async function runRound(context: AcceptanceContext, before: readonly Pending[]): Promise<Round> {
+async function runAttempt(context: AcceptanceContext, before: readonly PendingSubmission[]): Promise<AttemptResult> {
 	const {store, limits = defaultHeadLimits} = context;
 	const head = await readHead(store, context.getConfiguration());
 	if (head.isErr()) {
-		// What is in doubt stays so until the head can be read: worth another round.
-		const hasDoubt = before.some(entry => entry.outcome === undefined && entry.isInDoubt);
-		return hasDoubt ? {pending: before, isFinished: false} : {pending: refuseAll(before, describeHeadError(head.error)), isFinished: true};
+		// What is in doubt stays so until the head can be read: worth another attempt.
+		const hasUnconfirmed = before.some(entry => entry.outcome === undefined && entry.isUnconfirmed);
+		return hasUnconfirmed ? {pending: before, isFinished: false} : {pending: refuseUndecided(before, describeHeadError(head.error)), isFinished: true};
 	}
 
 	const {configuration, deltas, record: previous, revision} = head.value;
-	context.adopt(configuration, deltas);
+	context.applyIfNewer(configuration, deltas);
 	const batch = planBatch(configuration, before);
 	if (batch.ids.length === 0) {
 		return {pending: batch.pending, isFinished: true};
 	}
 
 	const {delta, next} = prepareDelta(configuration, batch.changes, batch.ids);
-	const record = await prepareRecord(store, head.value, next, delta, limits);
+	const record = await prepareHeadRecord(store, head.value, next, delta, limits);
 	if (record.isErr()) {
-		return {pending: refuseAll(batch.pending, 'the platform\'s store refused a part of the configuration'), isFinished: true};
+		return {pending: refuseUndecided(batch.pending, 'the platform\'s store refused a part of the configuration'), isFinished: true};
 	}
 
 	const written = await store.write({key: headKey, value: JSON.stringify(record.value), expectedRevision: revision});
 	if (written.isOk()) {
-		context.adopt(next, [delta]);
+		context.applyIfNewer(next, [delta]);
 		void collectGarbage(store, previous, record.value);
-		return {pending: settleOpen(batch.pending, () => ({type: 'accepted', version: next.version, isRepeated: false})), isFinished: true};
+		return {pending: settleUndecided(batch.pending, () => ({type: 'accepted', version: next.version, isRepeated: false})), isFinished: true};
 	}
 
 	switch (written.error.type) {
@@ -185,12 +185,12 @@
 		}
 
 		case 'unknown': {
-			return {pending: batch.pending.map(entry => entry.outcome === undefined ? {...entry, isInDoubt: true} : entry), isFinished: false};
+			return {pending: batch.pending.map(entry => entry.outcome === undefined ? {...entry, isUnconfirmed: true} : entry), isFinished: false};
 		}
 
 		case 'unavailable':
 		case 'not-applied': {
-			return {pending: refuseAll(batch.pending, written.error.reason), isFinished: true};
+			return {pending: refuseUndecided(batch.pending, written.error.reason), isFinished: true};
 		}
 	}
 }
@@ -204,21 +204,21 @@
  * @internal
  */
 export async function acceptSubmissions(context: AcceptanceContext, submissions: readonly Submission[]): Promise<readonly SubmissionOutcome[]> {
-	let pending = submissions.map((submission): Pending => {
+	let pending = submissions.map((submission): PendingSubmission => {
 		const problems = findItemProblems(submission.changes);
-		return {submission, isInDoubt: false, outcome: problems.length === 0 ? undefined : {type: 'invalid', problems}};
-	}) as readonly Pending[];
-	for (let round = 0; round < maximumRounds; round++) {
-		const result = await runRound(context, pending);
+		return {submission, isUnconfirmed: false, outcome: problems.length === 0 ? undefined : {type: 'invalid', problems}};
+	}) as readonly PendingSubmission[];
+	for (let attempt = 0; attempt < maximumAttemptCount; attempt++) {
+		const result = await runAttempt(context, pending);
 		pending = result.pending;
 		if (result.isFinished) {
 			break;
 		}
 
-		await waitFor(context.random() * Math.min(lastBackoffMs, firstBackoffMs * (2 ** round)));
+		await waitFor(context.random() * Math.min(maximumBackoffMs, initialBackoffMs * (2 ** attempt)));
 	}
 
-	return refuseAll(pending, 'other submissions came first, again and again; submit again').map((entry): SubmissionOutcome =>
+	return refuseUndecided(pending, 'other submissions came first, again and again; submit again').map((entry): SubmissionOutcome =>
 		entry.outcome ?? {type: 'unknown', id: entry.submission.id});
 }
 
@@ -236,6 +236,6 @@
 		return err(describeHeadError(head.error));
 	}
 
-	context.adopt(head.value.configuration, head.value.deltas);
+	context.applyIfNewer(head.value.configuration, head.value.deltas);
 	return ok(findSubmission(head.value.configuration, id) ?? 0);
 }
--- a/src/lib/distribution/random-check.ts
+++ b/src/lib/distribution/anti-entropy.ts
@@ -15,7 +15,7 @@
 import {type StatusCollector} from './status-collector.js';
 
 /** What a heartbeat says of its sender's state. @internal */
-export type HeldState = {
+export type StateDigest = {
 	readonly version: number;
 	/** First characters of the configuration's digest. */
 	readonly digest: string;
@@ -24,7 +24,7 @@
 };
 
 /** @internal */
-export type RandomCheckContext = {
+export type AntiEntropyContext = {
 	/** Milliseconds between two heartbeats. */
 	readonly periodMs: number;
 	readonly configuration: ConfigurationKeeper;
@@ -35,30 +35,30 @@
 };
 
 /** @internal */
-export type RandomCheck = {
+export type AntiEntropy = {
 	/** What this node's own heartbeats say. */
-	readonly getHeldState: () => HeldState;
+	readonly getStateDigest: () => StateDigest;
 	/** Compares, and starts fetching what is lacking. */
-	readonly compare: (held: HeldState, from: NodeId) => void;
+	readonly compare: (held: StateDigest, from: NodeId) => void;
 };
 
 /** Characters of a digest that travel in a heartbeat. */
 const shortDigestLength = 12;
 
 /** Periods between two fetches of the directory: records on their way along the tree are no reason for one. */
-const directoryPullPeriods = 2;
+const minimumDirectoryPullPeriods = 2;
 
 /**
  * @param context - What it works with.
  * @returns The check.
  * @internal
  */
-export function createRandomCheck(context: RandomCheckContext): RandomCheck {
+export function createAntiEntropy(context: AntiEntropyContext): AntiEntropy {
 	const {periodMs, configuration, directory, distributor, status, timeline} = context;
 	let lastDirectoryPullAt = 0;
 	let isForked = false;
 
-	const getHeldState = (): HeldState => {
+	const getStateDigest = (): StateDigest => {
 		const {version, digest} = configuration.getConfiguration();
 		return {
 			version,
@@ -69,37 +69,37 @@
 
 	const pullDirectory = (address: Address): void => {
 		const now = readNow();
-		if (now - lastDirectoryPullAt >= periodMs * directoryPullPeriods) {
+		if (now - lastDirectoryPullAt >= periodMs * minimumDirectoryPullPeriods) {
 			lastDirectoryPullAt = now;
 			void distributor.pullDirectory(address);
 		}
 	};
 
 	/** Two histories with the same number: neither is taken over, and an operator has to know. */
-	const noteFork = (version: number, from: NodeId): void => {
+	const recordFork = (version: number, from: NodeId): void => {
 		isForked = true;
-		status.setReason(`holds another version ${version} than ${from}`);
+		status.setLagReason(`holds another version ${version} than ${from}`);
 		timeline.record({
 			kind: 'configuration-refused', version, reason: 'fork', from,
 		});
 	};
 
 	return {
-		getHeldState,
+		getStateDigest,
 		compare(held, from) {
 			const record = getRecord(directory.getDirectory(), from);
 			if (record === undefined) {
 				return;
 			}
 
-			const own = getHeldState();
+			const own = getStateDigest();
 			if (held.version > own.version) {
 				void distributor.pullConfiguration(record.controlAddress, from);
 			} else if (held.version === own.version && held.digest !== own.digest) {
-				noteFork(own.version, from);
+				recordFork(own.version, from);
 			} else if (held.version === own.version && isForked) {
 				isForked = false;
-				status.setReason('');
+				status.setLagReason('');
 			}
 
 			if (held.directoryDigest !== own.directoryDigest) {
--- a/src/lib/distribution/configuration-keeper.test.ts
+++ b/src/lib/distribution/configuration-keeper.test.ts
@@ -24,7 +24,7 @@
 	const deltas = createDeltas(5);
 	assert.equal(keeper.applyDeltas([deltas[0]!, deltas[1]!, deltas[3]!], 'n')._unsafeUnwrapErr().type, 'gap');
 	keeper.applyDeltas(deltas.slice(0, 1), 'n');
-	keeper.adopt(createConfiguration(), [], 'store');
+	keeper.applyIfNewer(createConfiguration(), [], 'store');
 	assert.equal(keeper.getConfiguration().version, 2);
 	keeper.applyDeltas(deltas, 'n');
 	assert.deepEqual(versions, [2, 5]);
--- a/src/lib/distribution/configuration-keeper.ts
+++ b/src/lib/distribution/configuration-keeper.ts
@@ -31,23 +31,23 @@
 	readonly applyDeltas: (deltas: readonly Delta[], from: string) => Result<void, ApplyError>;
 	readonly applyImage: (image: ConfigurationImage, from: string) => Result<void, ApplyError>;
 	/** Takes over a version that was built and checked from the store. */
-	readonly adopt: (configuration: Configuration, deltas: readonly Delta[], from: string) => void;
+	readonly applyIfNewer: (configuration: Configuration, deltas: readonly Delta[], from: string) => void;
 	/** The steps after a version, or `undefined` if they are no longer held. */
 	readonly listDeltasAfter: (version: number) => readonly Delta[] | undefined;
 };
 
 /** Steps kept for nodes that are a little behind. */
-const keptDeltas = 512;
+const maximumLogDeltaCount = 512;
 
 /** Steps and bytes are bounded too: a peer that is far behind compares buckets instead. */
-const keptChanges = 4096;
+const maximumLogChangeCount = 4096;
 
 function trimLog(log: readonly Delta[]): readonly Delta[] {
 	let changes = 0;
 	let start = log.length;
-	while (start > 0 && log.length - start < keptDeltas) {
+	while (start > 0 && log.length - start < maximumLogDeltaCount) {
 		changes += log[start - 1]?.changes.length ?? 0;
-		if (changes > keptChanges) {
+		if (changes > maximumLogChangeCount) {
 			break;
 		}
 
@@ -69,7 +69,7 @@
 	let log: readonly Delta[] = [];
 	let floor = 0;
 
-	const moveTo = (next: Configuration, deltas: readonly Delta[], from: string): void => {
+	const replaceIfNewer = (next: Configuration, deltas: readonly Delta[], from: string): void => {
 		// The one place that changes what is in force: a lower or equal version never gets past this line.
 		if (next.version <= configuration.version) {
 			return;
@@ -102,16 +102,16 @@
 				applied.push(delta);
 			}
 
-			moveTo(current, applied, from);
+			replaceIfNewer(current, applied, from);
 			return failure === undefined ? ok() : err(failure);
 		},
 		applyImage: (image, from) => applyImage(configuration, image)
 			.andTee(next => {
-				moveTo(next, [], from);
+				replaceIfNewer(next, [], from);
 			})
 			.map(() => undefined),
-		adopt(next, deltas, from) {
-			moveTo(next, deltas.filter(delta => delta.version > configuration.version), from);
+		applyIfNewer(next, deltas, from) {
+			replaceIfNewer(next, deltas.filter(delta => delta.version > configuration.version), from);
 		},
 		listDeltasAfter(version) {
 			if (version === configuration.version) {
--- a/src/lib/distribution/control-service.ts
+++ b/src/lib/distribution/control-service.ts
@@ -19,7 +19,7 @@
 import {type Timeline} from '../timeline/timeline.js';
 import {type ConfigurationKeeper} from './configuration-keeper.js';
 import {type Distributor} from './distributor.js';
-import {createImageLimit, type ImageLimit} from './image-limit.js';
+import {createFullStateLimit, type FullStateLimit} from './full-state-limit.js';
 import {type ReportedVersions} from './reported-versions.js';
 import {type StatusCollector} from './status-collector.js';
 import {
@@ -45,17 +45,17 @@
 const helperCount = 8;
 
 /** A directory answer with more records than this counts as whole state. */
-const largeRecordCount = 500;
+const fullStateRecordCount = 500;
 
-type Events = {readonly eventTime: bigint};
+type EventTimed = {readonly eventTime: bigint};
 
-function requireImage(images: ImageLimit): void {
-	if (!images.take()) {
+function requireFullStateToken(fullStateLimit: FullStateLimit): void {
+	if (!fullStateLimit.tryAcquire()) {
 		throw new ConnectError('this node is sending its whole state to others; ask another one', Code.ResourceExhausted);
 	}
 }
 
-function createPullHandler(context: ControlServiceContext, images: ImageLimit): (request: PullConfigurationRequest) => Record<string, unknown> {
+function createPullHandler(context: ControlServiceContext, fullStateLimit: FullStateLimit): (request: PullConfigurationRequest) => Record<string, unknown> {
 	const {configuration, clock} = context;
 
 	return request => {
@@ -77,7 +77,7 @@
 			return {...base, needsBucketDigests: true};
 		}
 
-		requireImage(images);
+		requireFullStateToken(fullStateLimit);
 		const buckets = findDifferingBuckets(current.tree, request.bucketDigests).map(index =>
 			encodeBucket(index, [...current.tree.buckets[index]?.entries.values() ?? []].map(entry => entry.value)));
 		return {...base, buckets, submissions: current.submissions.map(submission => ({...submission}))};
@@ -91,18 +91,18 @@
 
 function createRoutes(context: ControlServiceContext): (router: ConnectRouter) => void {
 	const {configuration, directory, distributor, reported, status, clock, timeline} = context;
-	const witness = ({eventTime}: Events): void => {
+	const updateClock = ({eventTime}: EventTimed): void => {
 		clock.witness(Number(eventTime));
 	};
 
 	const getTime = (): bigint => BigInt(clock.getTime());
-	const images = createImageLimit();
-	const handlePull = createPullHandler(context, images);
+	const fullStateLimit = createFullStateLimit();
+	const handlePull = createPullHandler(context, fullStateLimit);
 
 	return router => {
 		router.service(NodeControl, {
 			pushDeltas(request) {
-				witness(request);
+				updateClock(request);
 				const applied = decodeDeltas(request.deltas).andThen(deltas => configuration.applyDeltas(deltas, request.from));
 				if (applied.isErr() && applied.error.type !== 'gap') {
 					timeline.record({
@@ -118,7 +118,7 @@
 			},
 			pullConfiguration: request => handlePull(request),
 			pushRecords(request) {
-				witness(request);
+				updateClock(request);
 				decodeRecords(request.records).match(
 					records => {
 						directory.merge(records, {type: 'push', from: toNodeId(request.from)});
@@ -130,16 +130,16 @@
 				return {eventTime: getTime()};
 			},
 			pullDirectory(request) {
-				witness(request);
+				updateClock(request);
 				const records = directory.listDiffering(request.bucketDigests);
-				if (records.length > largeRecordCount) {
-					requireImage(images);
+				if (records.length > fullStateRecordCount) {
+					requireFullStateToken(fullStateLimit);
 				}
 
 				return {eventTime: getTime(), records: records.map(record => encodeRecord(record))};
 			},
 			join(request) {
-				witness(request);
+				updateClock(request);
 				const joiner = request.record === undefined ? undefined : decodeRecord(request.record).unwrapOr(undefined);
 				if (joiner === undefined) {
 					throw new ConnectError('a join needs the record of the node that joins', Code.InvalidArgument);
@@ -157,8 +157,8 @@
 				};
 			},
 			async fleetStatus(request) {
-				witness(request);
-				const summaries = await status.getFleet(request.from === '');
+				updateClock(request);
+				const summaries = await status.getFleetSummaries(request.from === '');
 				return {eventTime: getTime(), summaries: summaries.map(summary => encodeSummary(summary))};
 			},
 		});
--- a/src/lib/distribution/distributor.ts
+++ b/src/lib/distribution/distributor.ts
@@ -36,7 +36,7 @@
 };
 
 /** Milliseconds for which directory news is gathered: a server that comes up tells its state several times. */
-const recordWindowMs = 200;
+const recordBatchWindowMs = 200;
 
 /** @internal */
 export type DistributorContext = {
@@ -57,7 +57,7 @@
 	readonly getPlace: () => TreePlace;
 	readonly isRelay: () => boolean;
 	/** Passes on a newer version. */
-	readonly handleConfiguration: (change: ConfigurationChange) => void;
+	readonly handleConfigurationChange: (change: ConfigurationChange) => void;
 	/** Passes on newer records. */
 	readonly handleRecords: (records: readonly NodeRecord[], source: RecordSource) => void;
 	/** Fetches what this node lacks of the configuration from another. */
@@ -65,13 +65,13 @@
 	/** Fetches the records in which this node and another differ. */
 	readonly pullDirectory: (address: Address) => Promise<boolean>;
 	/** The relay of every other failure domain, as far as known. */
-	readonly listOtherRelays: () => readonly NodeRecord[];
+	readonly listOtherDomainRelays: () => readonly NodeRecord[];
 	/** The relays and standbys of the other failure domains. */
-	readonly listOtherWatchers: () => readonly NodeRecord[];
+	readonly listOtherDomainWatchers: () => readonly NodeRecord[];
 	readonly dispose: () => void;
 };
 
-type Pending<T> = {
+type PendingBatch<T> = {
 	readonly items: readonly T[];
 	readonly timer: NodeJS.Timeout;
 };
@@ -85,10 +85,10 @@
  */
 export function createDistributor(context: DistributorContext): Distributor {
 	const {settings, self, domain, configuration, directory, members, peers, clock, timeline} = context;
-	let pendingDeltas: Pending<Delta> | undefined;
+	let pendingDeltas: PendingBatch<Delta> | undefined;
 	let hasOwnChange = false;
-	const pendingRecords = new Map<Address, Pending<NodeRecord>>();
-	let pull: Promise<boolean> | undefined;
+	const pendingRecords = new Map<Address, PendingBatch<NodeRecord>>();
+	let pullInFlight: Promise<boolean> | undefined;
 	let isDisposed = false;
 
 	const getPlace = (): TreePlace => findTreePlace(members.listOrder(domain), self, settings.fanOut);
@@ -96,11 +96,11 @@
 	const findAddress = (id: NodeId): Address | undefined => getRecord(directory.getDirectory(), id)?.controlAddress;
 	const findRecords = (ids: readonly NodeId[]): readonly NodeRecord[] => ids.flatMap(id => getRecord(directory.getDirectory(), id) ?? []);
 
-	const listFirst = (count: number): readonly NodeRecord[] => members.listDomains()
+	const listFirstOfOtherDomains = (count: number): readonly NodeRecord[] => members.listDomains()
 		.filter(other => other !== domain)
 		.flatMap(other => findRecords(members.listOrder(other).slice(0, count)));
-	const listOtherRelays = (): readonly NodeRecord[] => listFirst(1);
-	const listOtherWatchers = (): readonly NodeRecord[] => listFirst(2);
+	const listOtherDomainRelays = (): readonly NodeRecord[] => listFirstOfOtherDomains(1);
+	const listOtherDomainWatchers = (): readonly NodeRecord[] => listFirstOfOtherDomains(2);
 
 	const listChildren = (): readonly Address[] => getPlace().children.flatMap(id => findAddress(id) ?? []);
 
@@ -135,13 +135,13 @@
 		}
 	};
 
-	const handleConfiguration = ({deltas, from}: ConfigurationChange): void => {
+	const handleConfigurationChange = ({deltas, from}: ConfigurationChange): void => {
 		hasOwnChange ||= from === 'own';
 		// Only the root waits for more to come; further down the same wait would be added once a level.
 		const waitMs = isRelay() ? settings.batchWindowMs : 0;
-		const isBroken = deltas.length === 0;
+		const hasGap = deltas.length === 0;
 		const timer = pendingDeltas?.timer ?? setTimeout(flushDeltas, waitMs);
-		pendingDeltas = {timer, items: isBroken ? [] : [...pendingDeltas?.items ?? [], ...deltas]};
+		pendingDeltas = {timer, items: hasGap ? [] : [...pendingDeltas?.items ?? [], ...deltas]};
 	};
 
 	const flushRecords = (address: Address): void => {
@@ -155,7 +155,7 @@
 		const pending = pendingRecords.get(address);
 		const timer = pending?.timer ?? setTimeout(() => {
 			flushRecords(address);
-		}, recordWindowMs);
+		}, recordBatchWindowMs);
 		const ids = new Set(records.map(record => record.id));
 		const kept = pending?.items.filter(record => !ids.has(record.id)) ?? [];
 		pendingRecords.set(address, {timer, items: [...kept, ...records]});
@@ -167,7 +167,7 @@
 		const sender = from === undefined ? undefined : getRecord(directory.getDirectory(), from);
 		if (place.relay === self) {
 			const isFromOutside = sender !== undefined && sender.failureDomain !== domain;
-			return isFromOutside ? children : [...children, ...listOtherRelays().map(record => record.controlAddress)];
+			return isFromOutside ? children : [...children, ...listOtherDomainRelays().map(record => record.controlAddress)];
 		}
 
 		const relayAddress = findAddress(place.relay);
@@ -189,13 +189,13 @@
 		}
 	};
 
-	const recordRefusal = (version: number, reason: string, from: string): void => {
+	const recordRefusedConfiguration = (version: number, reason: string, from: string): void => {
 		timeline.record({
 			kind: 'configuration-refused', version, reason, from,
 		});
 	};
 
-	const applyPulled = async (address: Address, from: string): Promise<boolean> => {
+	const pullAndApply = async (address: Address, from: string): Promise<boolean> => {
 		const client = peers.getClient(address);
 		const current = configuration.getConfiguration();
 		const base = {
@@ -215,15 +215,15 @@
 			return decodeDeltas(reply.deltas)
 				.andThen(deltas => configuration.applyDeltas(deltas, from))
 				.mapErr(error => {
-					recordRefusal(reply.version, error.type, from);
+					recordRefusedConfiguration(reply.version, error.type, from);
 				})
 				.isOk();
 		}
 
-		return applyPulledImage(reply, from);
+		return applyPulledBuckets(reply, from);
 	};
 
-	type PulledImage = {
+	type PulledBuckets = {
 		readonly version: number;
 		readonly digest: string;
 		readonly parentDigest: string;
@@ -231,7 +231,7 @@
 		readonly submissions: ReadonlyArray<{readonly id: string; readonly version: number}>;
 	};
 
-	const applyPulledImage = (reply: PulledImage, from: string): boolean => decodeBuckets(reply.buckets)
+	const applyPulledBuckets = (reply: PulledBuckets, from: string): boolean => decodeBuckets(reply.buckets)
 		.andThen(buckets => configuration.applyImage({
 			version: reply.version,
 			digest: toDigest(reply.digest),
@@ -240,20 +240,20 @@
 			submissions: reply.submissions.map(({id, version}) => ({id: toSubmissionId(id), version})),
 		}, from))
 		.mapErr(error => {
-			recordRefusal(reply.version, error.type, from);
+			recordRefusedConfiguration(reply.version, error.type, from);
 		})
 		.isOk();
 
 	const runPull = async (address: Address, from: string): Promise<boolean> => {
-		const isApplied = await settle(applyPulled(address, from));
-		pull = undefined;
+		const isApplied = await settle(pullAndApply(address, from));
+		pullInFlight = undefined;
 		return isApplied ?? false;
 	};
 
 	const pullConfiguration = async (address: Address, from: string): Promise<boolean> => {
 		// One pull at a time: whoever asks meanwhile gets the result of the one under way.
-		pull ??= runPull(address, from);
-		return pull;
+		pullInFlight ??= runPull(address, from);
+		return pullInFlight;
 	};
 
 	const pullDirectory = async (address: Address): Promise<boolean> => {
@@ -273,12 +273,12 @@
 	return {
 		getPlace,
 		isRelay,
-		handleConfiguration,
+		handleConfigurationChange,
 		handleRecords,
 		pullConfiguration,
 		pullDirectory,
-		listOtherRelays,
-		listOtherWatchers,
+		listOtherDomainRelays,
+		listOtherDomainWatchers,
 		dispose() {
 			isDisposed = true;
 			clearTimeout(pendingDeltas?.timer);
--- a/src/lib/distribution/image-limit.ts
+++ b/src/lib/distribution/full-state-limit.ts
@@ -8,7 +8,7 @@
 import {createTokenBucket, takeToken} from '../common/token-bucket.js';
 
 /** @internal */
-export type ImageLimit = {readonly take: () => boolean};
+export type FullStateLimit = {readonly tryAcquire: () => boolean};
 
 /** Whole states a second that one node sends, and how many at once: at 2 MB each, some tens of megabits. */
 const limits = {perSecond: 4, burst: 4} as const;
@@ -17,10 +17,10 @@
  * @returns A limit that nothing has been taken of.
  * @internal
  */
-export function createImageLimit(): ImageLimit {
+export function createFullStateLimit(): FullStateLimit {
 	let bucket = createTokenBucket(limits, readNow());
 	return {
-		take() {
+		tryAcquire() {
 			const taken = takeToken(bucket, limits, readNow());
 			bucket = taken.bucket;
 			return taken.isTaken;
--- a/src/lib/distribution/peers.ts
+++ b/src/lib/distribution/peers.ts
@@ -21,7 +21,7 @@
 };
 
 /** A connection without a request for this long is closed, in milliseconds. */
-const idleConnectionMs = 15_000;
+const idleTimeoutMs = 15_000;
 
 /** Milliseconds until a call on another node has failed. */
 export const peerTimeoutMs = 4000;
@@ -29,7 +29,7 @@
 type Peer = {readonly client: PeerClient; readonly manager: Http2SessionManager};
 
 /** Peers kept at hand; beyond that the one opened first is dropped. */
-const maximumPeers = 64;
+const maximumPeerCount = 64;
 
 /**
  * Creates the clients of a node. No connection is made before the first call.
@@ -51,7 +51,7 @@
 				return socket;
 			},
 		};
-		const manager = new Http2SessionManager(`http://${address}`, {idleConnectionTimeoutMs: idleConnectionMs}, nodeOptions);
+		const manager = new Http2SessionManager(`http://${address}`, {idleConnectionTimeoutMs: idleTimeoutMs}, nodeOptions);
 		const transport = createConnectTransport({baseUrl: `http://${address}`, httpVersion: '2', sessionManager: manager});
 		return {client: createClient(NodeControl, transport), manager};
 	};
@@ -65,7 +65,7 @@
 
 			const peer = createPeer(address);
 			peers.set(address, peer);
-			if (peers.size > maximumPeers) {
+			if (peers.size > maximumPeerCount) {
 				const oldest = [...peers.keys()][0];
 				if (oldest !== undefined) {
 					// Its connection ends by itself once it is idle, so a call in flight is not cut.
--- a/src/lib/distribution/read-head.ts
+++ b/src/lib/distribution/read-head.ts
@@ -45,7 +45,7 @@
 	return parseJson(stored.value, headRecordSchema).mapErr((problem): HeadError => ({type: 'damaged', reason: `the head record ${problem}`}));
 }
 
-function applyAll(configuration: Configuration, deltas: readonly Delta[]): Result<Configuration, HeadError> {
+function applyDeltas(configuration: Configuration, deltas: readonly Delta[]): Result<Configuration, HeadError> {
 	let current = configuration;
 	for (const delta of deltas) {
 		if (delta.version <= current.version) {
@@ -84,7 +84,7 @@
 	return ok(deltas);
 }
 
-async function chooseStart(store: Store, configuration: Configuration, record: HeadRecord): Promise<Result<Configuration, HeadError>> {
+async function chooseBaseConfiguration(store: Store, configuration: Configuration, record: HeadRecord): Promise<Result<Configuration, HeadError>> {
 	const {snapshot} = record;
 	if (snapshot === undefined || configuration.version >= snapshot.version) {
 		return ok(configuration);
@@ -102,7 +102,7 @@
  * @returns The current configuration, or why this node keeps what it has.
  * @internal
  */
-export async function followHead(store: Store, configuration: Configuration, stored: StoredValue | undefined): Promise<Result<HeadState, HeadError>> {
+export async function applyHead(store: Store, configuration: Configuration, stored: StoredValue | undefined): Promise<Result<HeadState, HeadError>> {
 	const parsed = parseHead(stored);
 	if (parsed.isErr()) {
 		return err(parsed.error);
@@ -123,23 +123,23 @@
 			: err({type: 'fork', storeVersion, version: configuration.version});
 	}
 
-	const start = await chooseStart(store, configuration, record);
-	if (start.isErr()) {
-		return err(start.error);
+	const base = await chooseBaseConfiguration(store, configuration, record);
+	if (base.isErr()) {
+		return err(base.error);
 	}
 
-	const pages = await readPages(store, record, start.value.version);
+	const pages = await readPages(store, record, base.value.version);
 	if (pages.isErr()) {
 		return err(pages.error);
 	}
 
-	const steps = [...pages.value, ...record.deltas].filter(delta => delta.version > start.value.version);
-	return applyAll(start.value, steps).andThen((next): Result<HeadState, HeadError> => {
+	const missing = [...pages.value, ...record.deltas].filter(delta => delta.version > base.value.version);
+	return applyDeltas(base.value, missing).andThen((next): Result<HeadState, HeadError> => {
 		if (next.digest !== record.digest) {
 			return err({type: 'damaged', reason: `the steps lead to version ${next.version}, not to the ${record.version} that the head names`});
 		}
 
-		const deltas = start.value === configuration ? steps : [];
+		const deltas = base.value === configuration ? missing : [];
 		return ok({
 			configuration: next, deltas, record, revision,
 		});
@@ -151,10 +151,10 @@
  *
  * @param store - The platform's store.
  * @param configuration - What this node has.
- * @returns See {@link followHead}.
+ * @returns See {@link applyHead}.
  * @internal
  */
 export async function readHead(store: Store, configuration: Configuration): Promise<Result<HeadState, HeadError>> {
 	const stored = await store.read(headKey);
-	return stored.isErr() ? err(stored.error) : followHead(store, configuration, stored.value);
+	return stored.isErr() ? err(stored.error) : applyHead(store, configuration, stored.value);
 }
--- a/src/lib/distribution/relay-watch.test.ts
+++ b/src/lib/distribution/relay-watch.test.ts
@@ -40,7 +40,7 @@
 	const noteReason = (): void => undefined;
 	const watch = createRelayWatch({
 		store, timeline: createTimeline(toNodeId('n1'), createLamportClock()), domain: toFailureDomain('a'), random: () => 0.5,
-		configuration: keeper, setReason: noteReason,
+		configuration: keeper, setLagReason: noteReason,
 	});
 	context.after(watch.dispose);
 	watch.update(true);
--- a/src/lib/distribution/relay-watch.ts
+++ b/src/lib/distribution/relay-watch.ts
@@ -11,7 +11,7 @@
 import {type Timeline} from '../timeline/timeline.js';
 import {type ConfigurationKeeper} from './configuration-keeper.js';
 import {headKey} from './head-record.js';
-import {followHead, readHead} from './read-head.js';
+import {applyHead, readHead} from './read-head.js';
 
 /** @internal */
 export type RelayWatch = {
@@ -28,17 +28,17 @@
 	readonly domain: string;
 	readonly random: () => number;
 	/** Told why this node may be behind, or an empty text. */
-	readonly setReason: (reason: string) => void;
+	readonly setLagReason: (reason: string) => void;
 };
 
 /** Milliseconds that one watch waits at the store. */
-const watchMs = 25_000;
+const watchTimeoutMs = 25_000;
 
 /** The revision of a key that does not exist. */
 const missingRevision = 0;
 
-const firstBackoffMs = 250;
-const lastBackoffMs = 4000;
+const initialBackoffMs = 250;
+const maximumBackoffMs = 4000;
 
 /**
  * Creates the watch, which is off until {@link RelayWatch.update} turns it on.
@@ -48,8 +48,8 @@
  * @internal
  */
 export function createRelayWatch(context: RelayWatchContext): RelayWatch {
-	const {store, configuration, timeline, domain, random, setReason} = context;
-	let duty: AbortController | undefined;
+	const {store, configuration, timeline, domain, random, setLagReason} = context;
+	let watchAbort: AbortController | undefined;
 	let failures = 0;
 
 	const handleFailure = (reason: string): void => {
@@ -58,7 +58,7 @@
 		}
 
 		failures++;
-		setReason(reason);
+		setLagReason(reason);
 	};
 
 	const handleSuccess = (version: number): void => {
@@ -67,20 +67,20 @@
 		}
 
 		failures = 0;
-		setReason('');
+		setLagReason('');
 	};
 
 	/** A watch that yields nothing before its time is over says that there is no head, as in a store that came back empty. To ask again at once would use up this node's calls on the store, also those that the operator needs to write the head anew. */
-	const waitForHead = async (signal: AbortSignal): Promise<number> => {
-		await waitFor(firstBackoffMs, signal);
+	const waitForMissingHead = async (signal: AbortSignal): Promise<number> => {
+		await waitFor(initialBackoffMs, signal);
 		return missingRevision;
 	};
 
 	/** @returns The revision to wait for a change of. */
-	const runOnce = async (revision: number, signal: AbortSignal): Promise<number> => {
-		const askedAt = readNow();
+	const watchOnce = async (revision: number, signal: AbortSignal): Promise<number> => {
+		const startedAt = readNow();
 		const seen = await store.watch({
-			key: headKey, knownRevision: revision, timeoutMs: watchMs, signal,
+			key: headKey, knownRevision: revision, timeoutMs: watchTimeoutMs, signal,
 		});
 		if (signal.aborted) {
 			return revision;
@@ -93,13 +93,13 @@
 
 		if (seen.value === undefined) {
 			handleSuccess(configuration.getConfiguration().version);
-			return readNow() - askedAt < watchMs ? waitForHead(signal) : revision;
+			return readNow() - startedAt < watchTimeoutMs ? waitForMissingHead(signal) : revision;
 		}
 
-		const first = await followHead(store, configuration.getConfiguration(), seen.value);
+		const first = await applyHead(store, configuration.getConfiguration(), seen.value);
 		// The answer may have been overtaken by a newer version from a peer; only a read that began after that can prove the store behind.
-		const isOvertaken = first.isErr() && first.error.type === 'store-behind';
-		const head = isOvertaken ? await readHead(store, configuration.getConfiguration()) : first;
+		const mayBeOutdated = first.isErr() && first.error.type === 'store-behind';
+		const head = mayBeOutdated ? await readHead(store, configuration.getConfiguration()) : first;
 		if (head.isErr()) {
 			const text = JSON.stringify(head.error);
 			timeline.record({
@@ -109,7 +109,7 @@
 			return seen.value.revision;
 		}
 
-		configuration.adopt(head.value.configuration, head.value.deltas, 'store');
+		configuration.applyIfNewer(head.value.configuration, head.value.deltas, 'store');
 		handleSuccess(head.value.configuration.version);
 		return head.value.revision;
 	};
@@ -117,33 +117,33 @@
 	const run = async (signal: AbortSignal): Promise<void> => {
 		let revision = 0;
 		while (!signal.aborted) {
-			revision = await runOnce(revision, signal);
+			revision = await watchOnce(revision, signal);
 			if (failures > 0) {
-				await waitFor(Math.min(lastBackoffMs, firstBackoffMs * (2 ** failures)) * (0.5 + (random() / 2)), signal);
+				await waitFor(Math.min(maximumBackoffMs, initialBackoffMs * (2 ** failures)) * (0.5 + (random() / 2)), signal);
 			}
 		}
 	};
 
 	return {
 		update(isOnDuty) {
-			if (isOnDuty === (duty !== undefined)) {
+			if (isOnDuty === (watchAbort !== undefined)) {
 				return;
 			}
 
-			if (duty === undefined) {
-				duty = new AbortController();
+			if (watchAbort === undefined) {
+				watchAbort = new AbortController();
 				timeline.record({kind: 'relay-started', domain});
-				void run(duty.signal);
+				void run(watchAbort.signal);
 				return;
 			}
 
-			duty.abort();
-			duty = undefined;
+			watchAbort.abort();
+			watchAbort = undefined;
 			timeline.record({kind: 'relay-stopped', domain});
 		},
 		dispose() {
-			duty?.abort();
-			duty = undefined;
+			watchAbort?.abort();
+			watchAbort = undefined;
 		},
 	};
 }
--- a/src/lib/distribution/reported-versions.ts
+++ b/src/lib/distribution/reported-versions.ts
@@ -9,34 +9,34 @@
 
 /** @internal */
 export type ReportedVersions = {
-	readonly note: (node: NodeId, version: number) => void;
+	readonly record: (node: NodeId, version: number) => void;
 	/** The highest version the node has reported, 0 if it was never heard of. */
 	readonly get: (node: NodeId) => number;
 	readonly prune: () => void;
 };
 
-type Report = {readonly version: number; readonly at: number};
+type VersionReport = {readonly version: number; readonly at: number};
 
 /** Milliseconds for which a node that is silent is remembered. */
-const rememberMs = 3_600_000;
+const reportTtlMs = 3_600_000;
 
 /**
  * @returns An empty memory.
  * @internal
  */
 export function createReportedVersions(): ReportedVersions {
-	const reports = new Map<NodeId, Report>();
+	const reports = new Map<NodeId, VersionReport>();
 	const get = (node: NodeId): number => reports.get(node)?.version ?? 0;
 
 	return {
-		note(node, version) {
+		record(node, version) {
 			reports.set(node, {version: Math.max(version, get(node)), at: readNow()});
 		},
 		get,
 		prune() {
-			const due = readNow() - rememberMs;
+			const expiredBefore = readNow() - reportTtlMs;
 			for (const [node, report] of reports) {
-				if (report.at < due) {
+				if (report.at < expiredBefore) {
 					reports.delete(node);
 				}
 			}
--- a/src/lib/distribution/snapshot.ts
+++ b/src/lib/distribution/snapshot.ts
@@ -30,29 +30,29 @@
 type Chunk = z.infer<typeof chunkSchema>;
 
 /** Chunks are closed at this size, well below the platform's limit. */
-const chunkBytes = maximumValueBytes / 2;
+const targetChunkBytes = maximumValueBytes / 2;
 
-function cutChunks(configuration: Configuration): readonly string[] {
+function createChunks(configuration: Configuration): readonly string[] {
 	const chunks: string[] = [];
-	let lines: string[] = [];
+	let encodedBuckets: string[] = [];
 	let size = 0;
 	for (const [index, bucket] of configuration.tree.buckets.entries()) {
 		if (bucket.entries.size === 0) {
 			continue;
 		}
 
-		const line = JSON.stringify({index, items: [...bucket.entries.values()].map(entry => entry.value)});
-		if (size + line.length > chunkBytes && lines.length > 0) {
-			chunks.push(`[${lines.join(',')}]`);
-			lines = [];
+		const encodedBucket = JSON.stringify({index, items: [...bucket.entries.values()].map(entry => entry.value)});
+		if (size + encodedBucket.length > targetChunkBytes && encodedBuckets.length > 0) {
+			chunks.push(`[${encodedBuckets.join(',')}]`);
+			encodedBuckets = [];
 			size = 0;
 		}
 
-		lines.push(line);
-		size += line.length;
+		encodedBuckets.push(encodedBucket);
+		size += encodedBucket.length;
 	}
 
-	return [...chunks, `[${lines.join(',')}]`];
+	return [...chunks, `[${encodedBuckets.join(',')}]`];
 }
 
 /**
@@ -65,7 +65,7 @@
 }
 
 /** The store refuses nothing here because a key exists: its name says what it holds. */
-async function putOnce(store: Store, key: string, value: string): Promise<Result<void, StoreError>> {
+async function writeOnce(store: Store, key: string, value: string): Promise<Result<void, StoreError>> {
 	const written = await store.write({key, value, expectedRevision: 0});
 	if (written.isOk() || written.error.type === 'conflict') {
 		return ok();
@@ -84,9 +84,9 @@
  */
 export async function writeSnapshot(store: Store, configuration: Configuration): Promise<Result<string, StoreError>> {
 	const key = getSnapshotKey(configuration);
-	const chunks = cutChunks(configuration).map((value, index) => ({key: `${key}/${index}-${computeDigest(value).slice(0, 12)}`, value}));
+	const chunks = createChunks(configuration).map((value, index) => ({key: `${key}/${index}-${computeDigest(value).slice(0, 12)}`, value}));
 	for (const chunk of chunks) {
-		const written = await putOnce(store, chunk.key, chunk.value);
+		const written = await writeOnce(store, chunk.key, chunk.value);
 		if (written.isErr()) {
 			return err(written.error);
 		}
@@ -99,14 +99,14 @@
 		submissions: configuration.submissions,
 		chunks: chunks.map(chunk => chunk.key),
 	};
-	const written = await putOnce(store, key, JSON.stringify(manifest));
+	const written = await writeOnce(store, key, JSON.stringify(manifest));
 	return written.map(() => key);
 }
 
 /** Why a snapshot could not be read: nothing was applied. @internal */
 export type SnapshotError = StoreReadError | {readonly type: 'damaged'; readonly reason: string};
 
-async function readPart<T>(store: Store, key: string, schema: z.ZodType<T>): Promise<Result<T, SnapshotError>> {
+async function readValue<T>(store: Store, key: string, schema: z.ZodType<T>): Promise<Result<T, SnapshotError>> {
 	const stored = await store.read(key);
 	return stored.andThen((value): Result<T, SnapshotError> => {
 		if (value === undefined) {
@@ -118,7 +118,7 @@
 }
 
 async function readManifest(store: Store, key: string): Promise<Result<Manifest, SnapshotError>> {
-	return readPart(store, key, manifestSchema);
+	return readValue(store, key, manifestSchema);
 }
 
 /**
@@ -137,7 +137,7 @@
 
 	const buckets = new Map<number, readonly ConfiguredItem[]>();
 	for (const chunkKey of manifest.value.chunks) {
-		const chunk: Result<Chunk, SnapshotError> = await readPart(store, chunkKey, chunkSchema);
+		const chunk: Result<Chunk, SnapshotError> = await readValue(store, chunkKey, chunkSchema);
 		if (chunk.isErr()) {
 			return err(chunk.error);
 		}
--- a/src/lib/distribution/status-collector.ts
+++ b/src/lib/distribution/status-collector.ts
@@ -17,13 +17,13 @@
 /** @internal */
 export type StatusCollector = {
 	/** Takes a summary from a child or from another domain's relay. */
-	readonly note: (from: NodeId, summary: Summary) => void;
+	readonly record: (from: NodeId, summary: Summary) => void;
 	/** Sums up this node's subtree. */
-	readonly getOwn: () => Summary;
-	/** Every domain's summary. With `canAsk`, a node that is not the relay asks the relay. */
-	readonly getFleet: (canAsk: boolean) => Promise<readonly Summary[]>;
+	readonly getOwnSummary: () => Summary;
+	/** Every domain's summary. With `canAskRelay`, a node that is not the relay asks the relay. */
+	readonly getFleetSummaries: (canAskRelay: boolean) => Promise<readonly Summary[]>;
 	/** Says why this node may be behind; an empty text when it is not. */
-	readonly setReason: (reason: string) => void;
+	readonly setLagReason: (reason: string) => void;
 };
 
 /** @internal */
@@ -36,10 +36,10 @@
 	readonly peers: Peers;
 };
 
-type Noted = {readonly summary: Summary; readonly at: number};
+type ReceivedSummary = {readonly summary: Summary; readonly at: number};
 
 /** A summary that was not repeated for this long is forgotten, in milliseconds. */
-const summaryLifeMs = 7000;
+const summaryTtlMs = 7000;
 
 /**
  * @param context - What it works with.
@@ -48,61 +48,61 @@
  */
 export function createStatusCollector(context: StatusContext): StatusCollector {
 	const {self, domain, configuration, directory, distributor, peers} = context;
-	const notes = new Map<NodeId, Noted>();
+	const received = new Map<NodeId, ReceivedSummary>();
 	let reason = '';
 
-	const listFresh = (): ReadonlyArray<readonly [NodeId, Summary]> => {
-		const due = readNow() - summaryLifeMs;
-		return [...notes].filter(([, noted]) => noted.at >= due).map(([node, noted]) => [node, noted.summary]);
+	const listUnexpired = (): ReadonlyArray<readonly [NodeId, Summary]> => {
+		const expiredBefore = readNow() - summaryTtlMs;
+		return [...received].filter(([, entry]) => entry.at >= expiredBefore).map(([node, entry]) => [node, entry.summary]);
 	};
 
-	const getOwn = (): Summary => {
+	const getOwnSummary = (): Summary => {
 		const children = new Set(distributor.getPlace().children);
-		const summaries = listFresh().filter(([node]) => children.has(node)).map(([, summary]) => summary);
+		const summaries = listUnexpired().filter(([node]) => children.has(node)).map(([, summary]) => summary);
 		return buildSummary({
 			failureDomain: domain, node: self, version: configuration.getConfiguration().version, reason,
 		}, summaries);
 	};
 
-	const listFleet = (): readonly Summary[] => {
+	const listFleetSummaries = (): readonly Summary[] => {
 		const others = new Map<FailureDomain, Summary>();
-		for (const [, summary] of listFresh()) {
+		for (const [, summary] of listUnexpired()) {
 			const known = others.get(summary.failureDomain);
 			if (summary.failureDomain !== domain && (known === undefined || summary.nodes >= known.nodes)) {
 				others.set(summary.failureDomain, summary);
 			}
 		}
 
-		return [getOwn(), ...others.values()];
+		return [getOwnSummary(), ...others.values()];
 	};
 
 	const askRelay = async (): Promise<readonly Summary[]> => {
 		const relay = getRecord(directory.getDirectory(), distributor.getPlace().relay);
 		if (relay === undefined) {
-			return listFleet();
+			return listFleetSummaries();
 		}
 
 		try {
 			const reply = await peers.getClient(relay.controlAddress).fleetStatus({from: self}, {timeoutMs: peerTimeoutMs});
 			return reply.summaries.map(summary => decodeSummary(summary));
 		} catch {
-			return listFleet();
+			return listFleetSummaries();
 		}
 	};
 
 	return {
-		note(from, summary) {
-			notes.set(from, {summary, at: readNow()});
-			const due = readNow() - summaryLifeMs;
-			for (const [node, noted] of notes) {
-				if (noted.at < due) {
-					notes.delete(node);
+		record(from, summary) {
+			received.set(from, {summary, at: readNow()});
+			const expiredBefore = readNow() - summaryTtlMs;
+			for (const [node, entry] of received) {
+				if (entry.at < expiredBefore) {
+					received.delete(node);
 				}
 			}
 		},
-		getOwn,
-		getFleet: async canAsk => canAsk && !distributor.isRelay() ? askRelay() : listFleet(),
-		setReason(text) {
+		getOwnSummary,
+		getFleetSummaries: async canAskRelay => canAskRelay && !distributor.isRelay() ? askRelay() : listFleetSummaries(),
+		setLagReason(text) {
 			reason = text;
 		},
 	};
--- a/src/lib/distribution/submission-queue.ts
+++ b/src/lib/distribution/submission-queue.ts
@@ -10,16 +10,16 @@
 	readonly submit: (submission: Submission) => Promise<SubmissionOutcome>;
 };
 
-type Waiting = {
+type QueuedSubmission = {
 	readonly submission: Submission;
 	readonly resolve: (outcome: SubmissionOutcome) => void;
 };
 
 /** Submissions that wait at once; more are told to come back. */
-const maximumWaiting = 500;
+const maximumQueuedCount = 500;
 
 /** Submissions that ride on one write. */
-const maximumBatch = 50;
+const maximumBatchSize = 50;
 
 const retryAfterMs = 1000;
 
@@ -29,10 +29,10 @@
  * @internal
  */
 export function createSubmissionQueue(accept: (submissions: readonly Submission[]) => Promise<readonly SubmissionOutcome[]>): SubmissionQueue {
-	let waiting: readonly Waiting[] = [];
+	let queue: readonly QueuedSubmission[] = [];
 	let isRunning = false;
 
-	const runBatch = async (batch: readonly Waiting[]): Promise<void> => {
+	const runBatch = async (batch: readonly QueuedSubmission[]): Promise<void> => {
 		try {
 			const outcomes = await accept(batch.map(entry => entry.submission));
 			for (const [index, entry] of batch.entries()) {
@@ -46,15 +46,15 @@
 		}
 	};
 
-	const run = async (): Promise<void> => {
+	const runQueue = async (): Promise<void> => {
 		if (isRunning) {
 			return;
 		}
 
 		isRunning = true;
-		while (waiting.length > 0) {
-			const batch = waiting.slice(0, maximumBatch);
-			waiting = waiting.slice(maximumBatch);
+		while (queue.length > 0) {
+			const batch = queue.slice(0, maximumBatchSize);
+			queue = queue.slice(maximumBatchSize);
 			await runBatch(batch);
 		}
 
@@ -63,13 +63,13 @@
 
 	return {
 		async submit(submission) {
-			if (waiting.length >= maximumWaiting) {
+			if (queue.length >= maximumQueuedCount) {
 				return {type: 'unavailable', reason: 'too many submissions wait at this node', retryAfterMs};
 			}
 
 			return new Promise(resolve => {
-				waiting = [...waiting, {submission, resolve}];
-				void run();
+				queue = [...queue, {submission, resolve}];
+				void runQueue();
 			});
 		},
 	};
--- a/src/lib/distribution/summary-sender.ts
+++ b/src/lib/distribution/summary-sender.ts
@@ -21,17 +21,17 @@
 	readonly takeDue: (now: number) => DueSummary | undefined;
 };
 
-type Sent = {
+type SentSummary = {
 	readonly summary: Summary;
 	readonly parent: NodeId | undefined;
 	readonly at: number;
 };
 
 /** Milliseconds after which an unchanged summary is sent again. */
-const repeatMs = 2000;
+const resendIntervalMs = 2000;
 
 /** Milliseconds between two summaries at the least. */
-const pauseMs = 200;
+const minimumIntervalMs = 200;
 
 /**
  * @param status - Sums up this node's subtree.
@@ -40,24 +40,24 @@
  * @internal
  */
 export function createSummarySender(status: StatusCollector, distributor: Distributor): SummarySender {
-	let sent: Sent | undefined;
+	let sent: SentSummary | undefined;
 
 	return {
 		takeDue(now) {
-			if (sent !== undefined && now - sent.at < pauseMs) {
+			if (sent !== undefined && now - sent.at < minimumIntervalMs) {
 				return undefined;
 			}
 
 			const {parent} = distributor.getPlace();
-			const summary = status.getOwn();
-			const isRepeat = sent !== undefined && sent.parent === parent && now - sent.at < repeatMs && isSameSummary(sent.summary, summary);
+			const summary = status.getOwnSummary();
+			const isRepeat = sent !== undefined && sent.parent === parent && now - sent.at < resendIntervalMs && isSameSummary(sent.summary, summary);
 			if (isRepeat) {
 				return undefined;
 			}
 
 			sent = {summary, parent, at: now};
 			// The relay has no parent; its summary is that of the whole domain, for the relays of the others.
-			return {summary, targets: parent === undefined ? distributor.listOtherRelays().map(record => record.id) : [parent]};
+			return {summary, targets: parent === undefined ? distributor.listOtherDomainRelays().map(record => record.id) : [parent]};
 		},
 	};
 }
--- a/src/lib/distribution/summary.ts
+++ b/src/lib/distribution/summary.ts
@@ -24,7 +24,7 @@
 };
 
 /** What one node knows of itself. @internal */
-export type OwnState = {
+export type NodeState = {
 	readonly failureDomain: FailureDomain;
 	readonly node: NodeId;
 	readonly version: number;
@@ -33,7 +33,7 @@
 };
 
 /** Nodes that a summary names; more would only cost bytes. */
-const maximumNamed = 3;
+const maximumLaggardCount = 3;
 
 /**
  * Joins what a node knows of itself with its children's summaries.
@@ -43,7 +43,7 @@
  * @returns The summary of the node's subtree.
  * @internal
  */
-export function buildSummary(own: OwnState, children: readonly Summary[]): Summary {
+export function buildSummary(own: NodeState, children: readonly Summary[]): Summary {
 	const ownPart: Summary = {
 		failureDomain: own.failureDomain,
 		nodes: 1,
@@ -59,7 +59,7 @@
 		highestVersion: Math.max(...parts.map(part => part.highestVersion)),
 		laggards: parts.flatMap(part => part.laggards)
 			.toSorted((left, right) => left.version - right.version)
-			.slice(0, maximumNamed),
+			.slice(0, maximumLaggardCount),
 	};
 }
 
--- a/src/lib/distribution/wire.ts
+++ b/src/lib/distribution/wire.ts
@@ -59,7 +59,7 @@
 	return isItemKey(key) ? ok({type: 'remove', key}) : err({type: 'malformed', reason: `${key} names no item`});
 }
 
-function collect<T>(results: ReadonlyArray<Result<T, WireError>>): Result<readonly T[], WireError> {
+function collectResults<T>(results: ReadonlyArray<Result<T, WireError>>): Result<readonly T[], WireError> {
 	const values: T[] = [];
 	for (const result of results) {
 		if (result.isErr()) {
@@ -93,7 +93,7 @@
  * @internal
  */
 export function decodeDelta(message: DeltaMessage): Result<Delta, WireError> {
-	return collect(message.changes.map(change => decodeChange(change))).map(changes => ({
+	return collectResults(message.changes.map(change => decodeChange(change))).map(changes => ({
 		version: message.version,
 		parentDigest: toDigest(message.parentDigest),
 		digest: toDigest(message.digest),
@@ -108,7 +108,7 @@
  * @internal
  */
 export function decodeDeltas(messages: readonly DeltaMessage[]): Result<readonly Delta[], WireError> {
-	return collect(messages.map(message => decodeDelta(message)));
+	return collectResults(messages.map(message => decodeDelta(message)));
 }
 
 /**
@@ -130,8 +130,8 @@
  * @internal
  */
 export function decodeBuckets(messages: readonly ConfigurationBucket[]): Result<ReadonlyMap<number, readonly ConfiguredItem[]>, WireError> {
-	return collect(messages.map(({index, entries}) =>
-		collect(entries.map(({revision, body}) => decodeItem(body).map((item): ConfiguredItem => ({item, revision}))))
+	return collectResults(messages.map(({index, entries}) =>
+		collectResults(entries.map(({revision, body}) => decodeItem(body).map((item): ConfiguredItem => ({item, revision}))))
 			.map(items => [index, items] as const))).map(pairs => new Map(pairs));
 }
 
@@ -191,7 +191,7 @@
  * @internal
  */
 export function decodeRecords(messages: readonly RecordMessage[]): Result<readonly NodeRecord[], WireError> {
-	return collect(messages.map(message => decodeRecord(message)));
+	return collectResults(messages.map(message => decodeRecord(message)));
 }
 
 /**
--- a/src/lib/membership/gossip.ts
+++ b/src/lib/membership/gossip.ts
@@ -24,7 +24,7 @@
 import {type Distributor} from '../distribution/distributor.js';
 import {type ReportedVersions} from '../distribution/reported-versions.js';
 import {type StatusCollector} from '../distribution/status-collector.js';
-import {createRandomCheck} from '../distribution/random-check.js';
+import {createAntiEntropy} from '../distribution/anti-entropy.js';
 import {createSummarySender} from '../distribution/summary-sender.js';
 import {
 	decodeRecords, decodeSummary, encodeRecord, encodeSummary,
@@ -101,7 +101,7 @@
 	} = context;
 	const socket = context.network.createDatagramSocket(parseAddress(directory.getOwnRecord().gossipAddress).host);
 	let detector: DetectorState = createDetectorState(readNow());
-	const check = createRandomCheck({
+	const check = createAntiEntropy({
 		periodMs: settings.periodMs, configuration: context.configuration, directory, distributor, status, timeline: context.timeline,
 	});
 	const summaries = createSummarySender(status, distributor);
@@ -117,7 +117,7 @@
 
 	const sendTo = (address: Address, kind: MessageKind, sequenceNumber: number, records: readonly NodeRecord[] = []): void => {
 		const message = create(GossipSchema, {
-			...check.getHeldState(),
+			...check.getStateDigest(),
 			eventTime: BigInt(clock.getTime()),
 			from: self,
 			epoch: BigInt(directory.getOwnRecord().epoch),
@@ -212,7 +212,7 @@
 	const handleMessage = (message: GossipMessage, remote: RemoteInfo): void => {
 		const from = toNodeId(message.from);
 		clock.witness(Number(message.eventTime));
-		reported.note(from, message.version);
+		reported.record(from, message.version);
 		decodeRecords(message.records).andTee(records => {
 			directory.merge(records, {type: 'push', from});
 		});
@@ -240,7 +240,7 @@
 			}
 
 			case 'summary': {
-				status.note(from, decodeSummary(kind.value));
+				status.record(from, decodeSummary(kind.value));
 				break;
 			}
 
@@ -262,7 +262,7 @@
 		}
 
 		lastRelayCheckAt = now;
-		const relays = distributor.listOtherWatchers();
+		const relays = distributor.listOtherDomainWatchers();
 		const chosen = relays[Math.floor(random() * relays.length)];
 		if (chosen !== undefined) {
 			sendTo(chosen.gossipAddress, {case: 'ping', value: {}}, relayCheckNumber);
@@ -350,7 +350,7 @@
 				send(member, {case: 'ping', value: {}}, relayCheckNumber);
 			}
 
-			for (const {gossipAddress} of distributor.listOtherWatchers()) {
+			for (const {gossipAddress} of distributor.listOtherDomainWatchers()) {
 				sendTo(gossipAddress, {case: 'ping', value: {}}, relayCheckNumber);
 			}
 		},
--- a/src/lib/membership/joiner.ts
+++ b/src/lib/membership/joiner.ts
@@ -166,7 +166,7 @@
 		const head = await readHead(store, configuration.getConfiguration());
 		return head.andTee(({configuration: current, deltas, record}) => {
 			configuration.raiseFloor(record?.version ?? 0);
-			configuration.adopt(current, deltas, 'store');
+			configuration.applyIfNewer(current, deltas, 'store');
 		}).isOk();
 	};
 
--- a/src/lib/node/node.ts
+++ b/src/lib/node/node.ts
@@ -112,7 +112,7 @@
 		// One assignment puts the version in force; a call keeps the snapshot that it began with.
 		snapshot = advanceSnapshot(snapshot, next, deltas);
 		timeline.record({kind: 'configuration-applied', version: next.version, from});
-		distributor.handleConfiguration(change);
+		distributor.handleConfigurationChange(change);
 	};
 
 	const configuration = createConfigurationKeeper(handleConfiguration);
@@ -153,7 +153,7 @@
 		settings: settings.membership, self, domain, configuration, directory, members, distributor, status, reported, clock, timeline, meter, network, random, quarantine,
 	});
 	const relayWatch = createRelayWatch({
-		store, configuration, timeline, domain, random, setReason: status.setReason,
+		store, configuration, timeline, domain, random, setLagReason: status.setLagReason,
 	});
 	const control = createControlServer({
 		configuration, directory, distributor, reported, status, clock, timeline, meter, random, isReady: () => isReady,
@@ -185,8 +185,8 @@
 		store,
 		random,
 		getConfiguration: configuration.getConfiguration,
-		adopt(next, deltas) {
-			configuration.adopt(next, deltas, 'own');
+		applyIfNewer(next, deltas) {
+			configuration.applyIfNewer(next, deltas, 'own');
 		},
 	};
 	const submissions = createSubmissionQueue(async batch => {
@@ -233,7 +233,7 @@
 		getSnapshot: () => snapshot,
 		getDirectory: directory.getDirectory,
 		getStatus,
-		getFleet: async () => status.getFleet(true),
+		getFleet: async () => status.getFleetSummaries(true),
 		submit: submissions.submit,
 		async findSubmission(id) {
 			const found = await findSubmissionVersion(acceptance, id);
