--- a/src/lib/distribution/accept-submissions.ts
+++ b/src/lib/distribution/accept-submissions.ts
@@ -1,9 +1,9 @@
 /**
- * Accepts submissions: the one place where the configuration's order is made.
+ * Accepts submissions and thereby defines the order of configuration versions.
  *
- * The order comes from a single compare-and-swap of the store's `head`. What
- * this node believes about itself, a lease or a clock plays no part in it, so
- * any node may accept, and any number of them at once.
+ * A single compare-and-swap of the store's key `head` defines the order. It
+ * depends on no role of this node, no lease and no clock, so any number of
+ * nodes may accept submissions at the same time.
  *
  * @module
  */
@@ -23,37 +23,37 @@
 import {readHead, type HeadError, type HeadState} from './read-head.js';
 import {removeKeys, removeSnapshot, writeSnapshot} from './snapshot.js';
 
-/** What acceptance works with. @internal */
+/** The dependencies of acceptance. @internal */
 export type AcceptanceContext = {
 	readonly store: Store;
-	/** The newest version that this node holds. */
+	/** Returns the newest version that this node holds. */
 	readonly getConfiguration: () => Configuration;
-	/** Takes over a newer version that acceptance came by. */
-	readonly adopt: (configuration: Configuration, deltas: readonly Delta[]) => void;
-	/** A number from 0 up to 1. */
+	/** Applies a version that acceptance read or wrote, if it is newer than the one in force. */
+	readonly applyIfNewer: (configuration: Configuration, deltas: readonly Delta[]) => void;
+	/** Returns a random number from 0 (inclusive) to 1 (exclusive). */
 	readonly random: () => number;
 	readonly limits?: HeadLimits;
 };
 
-/** Rounds of reading and writing before a submission is given up on. */
-const maximumRounds = 12;
+/** Attempts to read and write the head before a submission fails. */
+const maximumAttemptCount = 12;
 
-/** The wait before the second round, in milliseconds; it doubles, with jitter, up to the last. */
-const firstBackoffMs = 20;
-const lastBackoffMs = 1000;
+/** Upper bound of the jittered delay before the second attempt; it doubles with each attempt up to {@link maximumBackoffMs}. */
+const initialBackoffMs = 20;
+const maximumBackoffMs = 1000;
 
-const unavailableRetryMs = 2000;
+const unavailableRetryAfterMs = 2000;
 
-/** One submission on its way, and what became of it so far. */
-type Pending = {
+/** A submission in progress; its outcome is `undefined` until it is decided. */
+type PendingSubmission = {
 	readonly submission: Submission;
 	readonly outcome: SubmissionOutcome | undefined;
-	/** A write that carried it had no answer, so it may be in force. */
-	readonly isInDoubt: boolean;
+	/** Whether a write with this submission got no answer, so that the submission may be in force. */
+	readonly isUnconfirmed: boolean;
 };
 
 type Batch = {
-	readonly pending: readonly Pending[];
+	readonly pending: readonly PendingSubmission[];
 	readonly changes: readonly ItemChange[];
 	readonly ids: readonly SubmissionId[];
 };
@@ -62,20 +62,20 @@
 	return [...earlier, ...later];
 }
 
-/** Lays every open submission on the version, one on top of the other. */
-function planBatch(configuration: Configuration, pending: readonly Pending[]): Batch {
+/** Evaluates the undecided submissions in order, each on the result of the ones before, and combines their changes. */
+function planBatch(configuration: Configuration, pending: readonly PendingSubmission[]): Batch {
 	let {tree} = configuration;
 	let changes: readonly ItemChange[] = [];
 	const ids: SubmissionId[] = [];
-	const results = pending.map((entry): Pending => {
-		const rides = ids.includes(entry.submission.id);
-		if (entry.outcome !== undefined || rides) {
+	const results = pending.map((entry): PendingSubmission => {
+		const isDuplicate = ids.includes(entry.submission.id);
+		if (entry.outcome !== undefined || isDuplicate) {
 			return entry;
 		}
 
 		const evaluation = evaluateSubmission(configuration, tree, entry.submission);
 		if (evaluation.type === 'settled') {
-			// A submission in doubt that the head does not know was not applied, so any outcome found now is the true one.
+			// If an unconfirmed submission is not in the head, its write was not applied, so this outcome is the final one.
 			return {...entry, outcome: evaluation.outcome};
 		}
 
@@ -87,7 +87,7 @@
 	return {pending: results, changes, ids};
 }
 
-function settleOpen(pending: readonly Pending[], decide: (entry: Pending) => SubmissionOutcome | undefined): readonly Pending[] {
+function settleUndecided(pending: readonly PendingSubmission[], decide: (entry: PendingSubmission) => SubmissionOutcome | undefined): readonly PendingSubmission[] {
 	return pending.map(entry => entry.outcome === undefined ? {...entry, outcome: decide(entry)} : entry);
 }
 
@@ -102,7 +102,7 @@
 		}
 
 		case 'fork': {
-			return `the platform's store holds another version ${error.storeVersion} than the fleet; see "The store came back older" in the operators' guide`;
+			return `the platform's store and the fleet have different histories at version ${error.storeVersion}; see "The store came back older" in the operators' guide`;
 		}
 
 		case 'damaged': {
@@ -111,17 +111,17 @@
 	}
 }
 
-function refuseAll(pending: readonly Pending[], reason: string): readonly Pending[] {
-	return settleOpen(pending, entry => entry.isInDoubt
+function refuseUndecided(pending: readonly PendingSubmission[], reason: string): readonly PendingSubmission[] {
+	return settleUndecided(pending, entry => entry.isUnconfirmed
 		? {type: 'unknown', id: entry.submission.id}
-		: {type: 'unavailable', reason, retryAfterMs: unavailableRetryMs});
+		: {type: 'unavailable', reason, retryAfterMs: unavailableRetryAfterMs});
 }
 
-async function prepareRecord(store: Store, state: HeadState, next: Configuration, delta: Delta, limits: HeadLimits): Promise<Result<HeadRecord, StoreError>> {
+async function prepareHeadRecord(store: Store, state: HeadState, next: Configuration, delta: Delta, limits: HeadLimits): Promise<Result<HeadRecord, StoreError>> {
 	const {record, page, needsSnapshot} = planHeadRecord(state.record, delta, limits);
 	if (page !== undefined) {
 		const written = await store.write({key: page.key, value: JSON.stringify(page.deltas), expectedRevision: 0});
-		// A page that is there already was written by an earlier try: its key names its content.
+		// A page that already exists was written by an earlier attempt: its key identifies its content.
 		return written.isOk() || written.error.type === 'conflict' ? ok(record) : err(written.error);
 	}
 
@@ -133,7 +133,7 @@
 	return snapshot.map(key => ({...record, snapshot: {version: next.version, key}}));
 }
 
-/** Removes what the new head no longer refers to. */
+/** Removes the pages and the snapshot that the new head no longer refers to. */
 async function collectGarbage(store: Store, previous: HeadRecord | undefined, record: HeadRecord): Promise<void> {
 	if (record.pages.length > 0 || previous === undefined || record.snapshot?.key === previous.snapshot?.key) {
 		return;
@@ -145,38 +145,38 @@
 	}
 }
 
-type Round = {
-	readonly pending: readonly Pending[];
+type AttemptResult = {
+	readonly pending: readonly PendingSubmission[];
 	readonly isFinished: boolean;
 };
 
-async function runRound(context: AcceptanceContext, before: readonly Pending[]): Promise<Round> {
+async function runAttempt(context: AcceptanceContext, before: readonly PendingSubmission[]): Promise<AttemptResult> {
 	const {store, limits = defaultHeadLimits} = context;
 	const head = await readHead(store, context.getConfiguration());
 	if (head.isErr()) {
-		// What is in doubt stays so until the head can be read: worth another round.
-		const hasDoubt = before.some(entry => entry.outcome === undefined && entry.isInDoubt);
-		return hasDoubt ? {pending: before, isFinished: false} : {pending: refuseAll(before, describeHeadError(head.error)), isFinished: true};
+		// Only the head shows whether an unconfirmed submission was applied, so try to read it again.
+		const hasUnconfirmed = before.some(entry => entry.outcome === undefined && entry.isUnconfirmed);
+		return hasUnconfirmed ? {pending: before, isFinished: false} : {pending: refuseUndecided(before, describeHeadError(head.error)), isFinished: true};
 	}
 
 	const {configuration, deltas, record: previous, revision} = head.value;
-	context.adopt(configuration, deltas);
+	context.applyIfNewer(configuration, deltas);
 	const batch = planBatch(configuration, before);
 	if (batch.ids.length === 0) {
 		return {pending: batch.pending, isFinished: true};
 	}
 
 	const {delta, next} = prepareDelta(configuration, batch.changes, batch.ids);
-	const record = await prepareRecord(store, head.value, next, delta, limits);
+	const record = await prepareHeadRecord(store, head.value, next, delta, limits);
 	if (record.isErr()) {
-		return {pending: refuseAll(batch.pending, 'the platform\'s store refused a part of the configuration'), isFinished: true};
+		return {pending: refuseUndecided(batch.pending, 'a page or snapshot of the configuration could not be written to the platform\'s store'), isFinished: true};
 	}
 
 	const written = await store.write({key: headKey, value: JSON.stringify(record.value), expectedRevision: revision});
 	if (written.isOk()) {
-		context.adopt(next, [delta]);
+		context.applyIfNewer(next, [delta]);
 		void collectGarbage(store, previous, record.value);
-		return {pending: settleOpen(batch.pending, () => ({type: 'accepted', version: next.version, isRepeated: false})), isFinished: true};
+		return {pending: settleUndecided(batch.pending, () => ({type: 'accepted', version: next.version, isRepeated: false})), isFinished: true};
 	}
 
 	switch (written.error.type) {
@@ -185,49 +185,49 @@
 		}
 
 		case 'unknown': {
-			return {pending: batch.pending.map(entry => entry.outcome === undefined ? {...entry, isInDoubt: true} : entry), isFinished: false};
+			return {pending: batch.pending.map(entry => entry.outcome === undefined ? {...entry, isUnconfirmed: true} : entry), isFinished: false};
 		}
 
 		case 'unavailable':
 		case 'not-applied': {
-			return {pending: refuseAll(batch.pending, written.error.reason), isFinished: true};
+			return {pending: refuseUndecided(batch.pending, written.error.reason), isFinished: true};
 		}
 	}
 }
 
 /**
- * Accepts several submissions with one write, or says for each why not.
+ * Accepts several submissions with one write of the head.
  *
- * @param context - What acceptance works with.
+ * @param context - The dependencies.
  * @param submissions - The submissions, in the order in which they arrived.
- * @returns The outcome of each, in the same order.
+ * @returns The outcome of each submission, in the same order.
  * @internal
  */
 export async function acceptSubmissions(context: AcceptanceContext, submissions: readonly Submission[]): Promise<readonly SubmissionOutcome[]> {
-	let pending = submissions.map((submission): Pending => {
+	let pending = submissions.map((submission): PendingSubmission => {
 		const problems = findItemProblems(submission.changes);
-		return {submission, isInDoubt: false, outcome: problems.length === 0 ? undefined : {type: 'invalid', problems}};
-	}) as readonly Pending[];
-	for (let round = 0; round < maximumRounds; round++) {
-		const result = await runRound(context, pending);
+		return {submission, isUnconfirmed: false, outcome: problems.length === 0 ? undefined : {type: 'invalid', problems}};
+	}) as readonly PendingSubmission[];
+	for (let attempt = 0; attempt < maximumAttemptCount; attempt++) {
+		const result = await runAttempt(context, pending);
 		pending = result.pending;
 		if (result.isFinished) {
 			break;
 		}
 
-		await waitFor(context.random() * Math.min(lastBackoffMs, firstBackoffMs * (2 ** round)));
+		await waitFor(context.random() * Math.min(maximumBackoffMs, initialBackoffMs * (2 ** attempt)));
 	}
 
-	return refuseAll(pending, 'other submissions came first, again and again; submit again').map((entry): SubmissionOutcome =>
+	return refuseUndecided(pending, 'the head could not be written, because other submissions were accepted first at every attempt; submit again').map((entry): SubmissionOutcome =>
 		entry.outcome ?? {type: 'unknown', id: entry.submission.id});
 }
 
 /**
  * Looks up a submission whose outcome was `unknown`.
  *
- * @param context - What acceptance works with.
+ * @param context - The dependencies.
  * @param id - The submission's id.
- * @returns The version that carried it out, 0 if none did, or why that cannot be told.
+ * @returns The version that applied the submission, 0 if none did, or why the head could not be read.
  * @internal
  */
 export async function findSubmissionVersion(context: AcceptanceContext, id: SubmissionId): Promise<Result<number, string>> {
@@ -236,6 +236,6 @@
 		return err(describeHeadError(head.error));
 	}
 
-	context.adopt(head.value.configuration, head.value.deltas);
+	context.applyIfNewer(head.value.configuration, head.value.deltas);
 	return ok(findSubmission(head.value.configuration, id) ?? 0);
 }
--- a/src/lib/distribution/random-check.ts
+++ b/src/lib/distribution/anti-entropy.ts
@@ -1,7 +1,7 @@
 /**
- * Compares what this node holds with what a heartbeat says of its sender, and
- * fetches what is lacking. This is what makes distribution certain: whatever a
- * push did not reach is found here.
+ * Compares the state digest in a heartbeat with this node's state and pulls what
+ * is missing (anti-entropy). Distribution relies on this: it repairs every push
+ * that did not arrive.
  *
  * @module
  */
@@ -14,18 +14,18 @@
 import {type Distributor} from './distributor.js';
 import {type StatusCollector} from './status-collector.js';
 
-/** What a heartbeat says of its sender's state. @internal */
-export type HeldState = {
+/** The state of a node as its heartbeats report it. @internal */
+export type StateDigest = {
 	readonly version: number;
-	/** First characters of the configuration's digest. */
+	/** Prefix of the configuration's digest. */
 	readonly digest: string;
-	/** First characters of the directory's digest. */
+	/** Prefix of the directory's digest. */
 	readonly directoryDigest: string;
 };
 
 /** @internal */
-export type RandomCheckContext = {
-	/** Milliseconds between two heartbeats. */
+export type AntiEntropyContext = {
+	/** Interval between two heartbeats. */
 	readonly periodMs: number;
 	readonly configuration: ConfigurationKeeper;
 	readonly directory: DirectoryKeeper;
@@ -35,30 +35,30 @@
 };
 
 /** @internal */
-export type RandomCheck = {
-	/** What this node's own heartbeats say. */
-	readonly getHeldState: () => HeldState;
-	/** Compares, and starts fetching what is lacking. */
-	readonly compare: (held: HeldState, from: NodeId) => void;
+export type AntiEntropy = {
+	/** Returns the state that this node's heartbeats report. */
+	readonly getStateDigest: () => StateDigest;
+	/** Compares the sender's state with this node's and starts to pull what is missing. */
+	readonly compare: (held: StateDigest, from: NodeId) => void;
 };
 
-/** Characters of a digest that travel in a heartbeat. */
+/** Characters of a digest in a heartbeat. */
 const shortDigestLength = 12;
 
-/** Periods between two fetches of the directory: records on their way along the tree are no reason for one. */
-const directoryPullPeriods = 2;
+/** Minimum number of heartbeat periods between two pulls of the directory. Records that are still being pushed along the tree should not cause a pull. */
+const minimumDirectoryPullPeriods = 2;
 
 /**
- * @param context - What it works with.
- * @returns The check.
+ * @param context - The dependencies.
+ * @returns The anti-entropy of the node.
  * @internal
  */
-export function createRandomCheck(context: RandomCheckContext): RandomCheck {
+export function createAntiEntropy(context: AntiEntropyContext): AntiEntropy {
 	const {periodMs, configuration, directory, distributor, status, timeline} = context;
 	let lastDirectoryPullAt = 0;
 	let isForked = false;
 
-	const getHeldState = (): HeldState => {
+	const getStateDigest = (): StateDigest => {
 		const {version, digest} = configuration.getConfiguration();
 		return {
 			version,
@@ -69,37 +69,37 @@
 
 	const pullDirectory = (address: Address): void => {
 		const now = readNow();
-		if (now - lastDirectoryPullAt >= periodMs * directoryPullPeriods) {
+		if (now - lastDirectoryPullAt >= periodMs * minimumDirectoryPullPeriods) {
 			lastDirectoryPullAt = now;
 			void distributor.pullDirectory(address);
 		}
 	};
 
-	/** Two histories with the same number: neither is taken over, and an operator has to know. */
-	const noteFork = (version: number, from: NodeId): void => {
+	/** Reports that another node holds the same version with a different digest. This node keeps its own; an operator has to resolve the fork. */
+	const recordFork = (version: number, from: NodeId): void => {
 		isForked = true;
-		status.setReason(`holds another version ${version} than ${from}`);
+		status.setLagReason(`version ${version} of this node has a different digest than on ${from}`);
 		timeline.record({
 			kind: 'configuration-refused', version, reason: 'fork', from,
 		});
 	};
 
 	return {
-		getHeldState,
+		getStateDigest,
 		compare(held, from) {
 			const record = getRecord(directory.getDirectory(), from);
 			if (record === undefined) {
 				return;
 			}
 
-			const own = getHeldState();
+			const own = getStateDigest();
 			if (held.version > own.version) {
 				void distributor.pullConfiguration(record.controlAddress, from);
 			} else if (held.version === own.version && held.digest !== own.digest) {
-				noteFork(own.version, from);
+				recordFork(own.version, from);
 			} else if (held.version === own.version && isForked) {
 				isForked = false;
-				status.setReason('');
+				status.setLagReason('');
 			}
 
 			if (held.directoryDigest !== own.directoryDigest) {
--- a/src/lib/distribution/snapshot.ts
+++ b/src/lib/distribution/snapshot.ts
@@ -1,5 +1,6 @@
 /**
- * Whole versions in the store, cut into chunks below the platform's value size.
+ * Writes, reads and removes snapshots: complete configurations in the store, split
+ * into chunks below the platform's maximum value size.
  *
  * @module
  */
@@ -29,43 +30,43 @@
 type Manifest = z.infer<typeof manifestSchema>;
 type Chunk = z.infer<typeof chunkSchema>;
 
-/** Chunks are closed at this size, well below the platform's limit. */
-const chunkBytes = maximumValueBytes / 2;
+/** Target size of a chunk, well below the platform's limit. A chunk ends before the bucket that would exceed it. */
+const targetChunkBytes = maximumValueBytes / 2;
 
-function cutChunks(configuration: Configuration): readonly string[] {
+function createChunks(configuration: Configuration): readonly string[] {
 	const chunks: string[] = [];
-	let lines: string[] = [];
+	let encodedBuckets: string[] = [];
 	let size = 0;
 	for (const [index, bucket] of configuration.tree.buckets.entries()) {
 		if (bucket.entries.size === 0) {
 			continue;
 		}
 
-		const line = JSON.stringify({index, items: [...bucket.entries.values()].map(entry => entry.value)});
-		if (size + line.length > chunkBytes && lines.length > 0) {
-			chunks.push(`[${lines.join(',')}]`);
-			lines = [];
+		const encodedBucket = JSON.stringify({index, items: [...bucket.entries.values()].map(entry => entry.value)});
+		if (size + encodedBucket.length > targetChunkBytes && encodedBuckets.length > 0) {
+			chunks.push(`[${encodedBuckets.join(',')}]`);
+			encodedBuckets = [];
 			size = 0;
 		}
 
-		lines.push(line);
-		size += line.length;
+		encodedBuckets.push(encodedBucket);
+		size += encodedBucket.length;
 	}
 
-	return [...chunks, `[${lines.join(',')}]`];
+	return [...chunks, `[${encodedBuckets.join(',')}]`];
 }
 
 /**
- * @param configuration - The version that a snapshot is taken of.
- * @returns The key of its manifest.
+ * @param configuration - The version and digest of the snapshot.
+ * @returns The key of the manifest.
  * @internal
  */
 export function getSnapshotKey(configuration: Pick<Configuration, 'version' | 'digest'>): string {
 	return `stonemoor/snapshot/${configuration.version}-${configuration.digest}`;
 }
 
-/** The store refuses nothing here because a key exists: its name says what it holds. */
-async function putOnce(store: Store, key: string, value: string): Promise<Result<void, StoreError>> {
+/** Writes a key unless it exists. An existing key is a success, because the key identifies its content. */
+async function writeOnce(store: Store, key: string, value: string): Promise<Result<void, StoreError>> {
 	const written = await store.write({key, value, expectedRevision: 0});
 	if (written.isOk() || written.error.type === 'conflict') {
 		return ok();
@@ -75,18 +76,18 @@
 }
 
 /**
- * Writes a snapshot. Writing it twice is harmless: the same version has the same keys and content.
+ * Writes a snapshot. This is idempotent: the same version has the same keys and content.
  *
  * @param store - The platform's store.
- * @param configuration - The version to write.
- * @returns The manifest's key once everything is in the store.
+ * @param configuration - The configuration to write.
+ * @returns The manifest's key after all chunks and the manifest are in the store.
  * @internal
  */
 export async function writeSnapshot(store: Store, configuration: Configuration): Promise<Result<string, StoreError>> {
 	const key = getSnapshotKey(configuration);
-	const chunks = cutChunks(configuration).map((value, index) => ({key: `${key}/${index}-${computeDigest(value).slice(0, 12)}`, value}));
+	const chunks = createChunks(configuration).map((value, index) => ({key: `${key}/${index}-${computeDigest(value).slice(0, 12)}`, value}));
 	for (const chunk of chunks) {
-		const written = await putOnce(store, chunk.key, chunk.value);
+		const written = await writeOnce(store, chunk.key, chunk.value);
 		if (written.isErr()) {
 			return err(written.error);
 		}
@@ -99,14 +100,14 @@
 		submissions: configuration.submissions,
 		chunks: chunks.map(chunk => chunk.key),
 	};
-	const written = await putOnce(store, key, JSON.stringify(manifest));
+	const written = await writeOnce(store, key, JSON.stringify(manifest));
 	return written.map(() => key);
 }
 
-/** Why a snapshot could not be read: nothing was applied. @internal */
+/** Why a snapshot could not be read. Nothing of it was applied. @internal */
 export type SnapshotError = StoreReadError | {readonly type: 'damaged'; readonly reason: string};
 
-async function readPart<T>(store: Store, key: string, schema: z.ZodType<T>): Promise<Result<T, SnapshotError>> {
+async function readValue<T>(store: Store, key: string, schema: z.ZodType<T>): Promise<Result<T, SnapshotError>> {
 	const stored = await store.read(key);
 	return stored.andThen((value): Result<T, SnapshotError> => {
 		if (value === undefined) {
@@ -118,15 +119,15 @@
 }
 
 async function readManifest(store: Store, key: string): Promise<Result<Manifest, SnapshotError>> {
-	return readPart(store, key, manifestSchema);
+	return readValue(store, key, manifestSchema);
 }
 
 /**
- * Reads a snapshot back, whole.
+ * Reads a complete snapshot and verifies its digest.
  *
  * @param store - The platform's store.
  * @param key - The manifest's key.
- * @returns The version, or why it could not be had.
+ * @returns The configuration, or why it could not be read.
  * @internal
  */
 export async function readSnapshot(store: Store, key: string): Promise<Result<Configuration, SnapshotError>> {
@@ -137,7 +138,7 @@
 
 	const buckets = new Map<number, readonly ConfiguredItem[]>();
 	for (const chunkKey of manifest.value.chunks) {
-		const chunk: Result<Chunk, SnapshotError> = await readPart(store, chunkKey, chunkSchema);
+		const chunk: Result<Chunk, SnapshotError> = await readValue(store, chunkKey, chunkSchema);
 		if (chunk.isErr()) {
 			return err(chunk.error);
 		}
@@ -148,15 +149,15 @@
 	}
 
 	return applyImage(createConfiguration(), {...manifest.value, buckets})
-		.mapErr((error): SnapshotError => ({type: 'damaged', reason: `${key} does not have the digest it names (${error.type})`}));
+		.mapErr((error): SnapshotError => ({type: 'damaged', reason: `the content of ${key} does not match the digest in its manifest (${error.type})`}));
 }
 
 /**
- * Removes a snapshot that nothing refers to any more. What cannot be removed now stays as garbage of bounded size.
+ * Removes a snapshot that is no longer referenced. Keys that cannot be removed remain in the store as unreferenced data of bounded size.
  *
  * @param store - The platform's store.
  * @param key - The manifest's key.
- * @returns When every removal was tried.
+ * @returns A promise that resolves after every removal was tried.
  * @internal
  */
 export async function removeSnapshot(store: Store, key: string): Promise<void> {
@@ -166,16 +167,16 @@
 }
 
 /**
- * Removes keys, whatever their revision.
+ * Removes keys that were written once.
  *
  * @param store - The platform's store.
- * @param keys - What to remove.
- * @returns When every removal was tried.
+ * @param keys - The keys to remove.
+ * @returns A promise that resolves after every removal was tried.
  * @internal
  */
 export async function removeKeys(store: Store, keys: readonly string[]): Promise<void> {
 	for (const key of keys) {
-		// Pages and snapshots are written once, so revision 1 is the only one there can be.
+		// Pages and snapshots are written only once, so their revision is always 1.
 		await store.write({key, value: undefined, expectedRevision: 1});
 	}
 }
--- a/src/lib/distribution/submission-queue.ts
+++ b/src/lib/distribution/submission-queue.ts
@@ -1,5 +1,5 @@
 /**
- * Takes submissions in and lets those that wait ride together on one write.
+ * Queues submissions and accepts them in batches, with one write per batch.
  *
  * @module
  */
@@ -10,51 +10,51 @@
 	readonly submit: (submission: Submission) => Promise<SubmissionOutcome>;
 };
 
-type Waiting = {
+type QueuedSubmission = {
 	readonly submission: Submission;
 	readonly resolve: (outcome: SubmissionOutcome) => void;
 };
 
-/** Submissions that wait at once; more are told to come back. */
-const maximumWaiting = 500;
+/** Maximum number of queued submissions; further ones are refused with a retry delay. */
+const maximumQueuedCount = 500;
 
-/** Submissions that ride on one write. */
-const maximumBatch = 50;
+/** Maximum number of submissions in one write. */
+const maximumBatchSize = 50;
 
 const retryAfterMs = 1000;
 
 /**
- * @param accept - Accepts several submissions with one write.
+ * @param accept - Accepts a batch of submissions with one write.
  * @returns The queue.
  * @internal
  */
 export function createSubmissionQueue(accept: (submissions: readonly Submission[]) => Promise<readonly SubmissionOutcome[]>): SubmissionQueue {
-	let waiting: readonly Waiting[] = [];
+	let queue: readonly QueuedSubmission[] = [];
 	let isRunning = false;
 
-	const runBatch = async (batch: readonly Waiting[]): Promise<void> => {
+	const runBatch = async (batch: readonly QueuedSubmission[]): Promise<void> => {
 		try {
 			const outcomes = await accept(batch.map(entry => entry.submission));
 			for (const [index, entry] of batch.entries()) {
 				entry.resolve(outcomes[index] ?? {type: 'unknown', id: entry.submission.id});
 			}
 		} catch {
-			// An error of this program's own: whether anything was written is not known.
+			// An unexpected exception: whether the batch was written is unknown.
 			for (const entry of batch) {
 				entry.resolve({type: 'unknown', id: entry.submission.id});
 			}
 		}
 	};
 
-	const run = async (): Promise<void> => {
+	const runQueue = async (): Promise<void> => {
 		if (isRunning) {
 			return;
 		}
 
 		isRunning = true;
-		while (waiting.length > 0) {
-			const batch = waiting.slice(0, maximumBatch);
-			waiting = waiting.slice(maximumBatch);
+		while (queue.length > 0) {
+			const batch = queue.slice(0, maximumBatchSize);
+			queue = queue.slice(maximumBatchSize);
 			await runBatch(batch);
 		}
 
@@ -63,13 +63,13 @@
 
 	return {
 		async submit(submission) {
-			if (waiting.length >= maximumWaiting) {
-				return {type: 'unavailable', reason: 'too many submissions wait at this node', retryAfterMs};
+			if (queue.length >= maximumQueuedCount) {
+				return {type: 'unavailable', reason: 'the submission queue of this node is full', retryAfterMs};
 			}
 
 			return new Promise(resolve => {
-				waiting = [...waiting, {submission, resolve}];
-				void run();
+				queue = [...queue, {submission, resolve}];
+				void runQueue();
 			});
 		},
 	};
