--- a/scripts/faults.ts
+++ b/scripts/faults.ts
@@ -85,8 +85,8 @@
 	},
 	{
 		promise: 'a node serves only what is not older than it had',
-		file: `${library}/membership/joiner.js`,
-		from: 'isHelped && configuration.getConfiguration().version >= configuration.getFloor()',
+		file: `${library}/membership/join-mesh.js`,
+		from: 'hasReliableSource && configuration.getConfiguration().version >= configuration.getFloor()',
 		to: 'true',
 		tests: `${library}/membership`,
 	},
--- a/src/index.ts
+++ b/src/index.ts
@@ -38,7 +38,7 @@
 export {timeoutHeader} from './lib/calls/headers.js';
 export {type BackendServer, type NodeRecord, type NodeStatus} from './lib/directory/node-record.js';
 export {type Laggard, type Summary} from './lib/distribution/summary.js';
-export {createNode, type Node, type NodeSurroundings} from './lib/node/node.js';
+export {createNode, type Node, type NodeOptions} from './lib/node/node.js';
 export {formatStartError, type StartError} from './lib/node/start-error.js';
 export {
 	findMissing,
--- a/src/lib/calls/run-attempts.ts
+++ b/src/lib/calls/run-attempts.ts
@@ -136,7 +136,7 @@
 	const {loads, settings, timeline} = context;
 	const {id} = target.server;
 	if (result.type === 'answered') {
-		loads.report(id, result.load);
+		loads.recordReport(id, result.load);
 		return;
 	}
 
@@ -151,7 +151,7 @@
 	}
 
 	if (result.reason === 'shed') {
-		loads.report(id, target.server.slots * 2);
+		loads.recordReport(id, target.server.slots * 2);
 	}
 }
 
@@ -211,24 +211,24 @@
 
 		const {id} = target.server;
 		tried.add(id);
-		context.loads.begin(id);
+		context.loads.recordStart(id);
 		const sentAt = readNow();
 		const result = await sendOnce(context, target, watched);
 		noteResult(context, target, call, result);
 		if (result.type === 'answered' || result.reason === 'timeout') {
-			context.loads.noteLatency(id, Math.max(1, readNow() - sentAt));
+			context.loads.recordLatency(id, Math.max(1, readNow() - sentAt));
 		}
 
 		if (result.type === 'answered') {
 			result.body.once('close', () => {
-				context.loads.end(id);
+				context.loads.recordEnd(id);
 			});
 			return {
 				result, verdict: 'ran', attempts: attempts + 1, server: id,
 			};
 		}
 
-		context.loads.end(id);
+		context.loads.recordEnd(id);
 		last = result;
 		verdict = joinVerdicts(verdict, result.verdict);
 		if (isStreamOpen || judgement.type === 'trial' || isSuspected(result) || !mayRetry(context, outgoing, verdict, attempts + 1)) {
--- a/src/lib/directory/directory-keeper.ts
+++ b/src/lib/directory/directory-keeper.ts
@@ -7,14 +7,14 @@
 import {readNow} from '../common/clock.js';
 import {type NodeId} from '../common/ids.js';
 import {
-	createDirectory, forgetRecords, getRecord, listRecords, mergeRecords, type Directory,
+	createDirectory, removeRecords, getRecord, listRecords, mergeRecords, type Directory,
 } from './directory.js';
 import {
 	compareRecords, isUsable, type BackendServer, type NodeRecord, type NodeStatus,
 } from './node-record.js';
 
 /** Milliseconds for which a node that is gone is remembered, so that late news of its life is known to be old. */
-const rememberGoneMs = 600_000;
+const tombstoneRetentionMs = 600_000;
 
 /** How records came to this node. @internal */
 export type RecordSource =
@@ -35,9 +35,9 @@
 	readonly setOwnStatus: (status: NodeStatus) => void;
 	/** Worsens the status of another node, as this node observed it. */
 	readonly markStatus: (id: NodeId, status: NodeStatus) => void;
-	readonly listDiffering: (bucketDigests: readonly string[]) => readonly NodeRecord[];
+	readonly listDifferingRecords: (bucketDigests: readonly string[]) => readonly NodeRecord[];
 	readonly listBucketDigests: () => readonly string[];
-	readonly forgetGone: () => void;
+	readonly removeOldTombstones: () => void;
 };
 
 /**
@@ -51,14 +51,14 @@
 export function createDirectoryKeeper(self: NodeRecord, handleChange: RecordListener): DirectoryKeeper {
 	let own = self;
 	let {directory} = mergeRecords(createDirectory(), [self]);
-	const goneSince = new Map<NodeId, number>();
+	const tombstoneSince = new Map<NodeId, number>();
 
-	const noteGone = (records: readonly NodeRecord[]): void => {
+	const updateTombstones = (records: readonly NodeRecord[]): void => {
 		for (const record of records) {
 			if (isUsable(record)) {
-				goneSince.delete(record.id);
+				tombstoneSince.delete(record.id);
 			} else {
-				goneSince.set(record.id, readNow());
+				tombstoneSince.set(record.id, readNow());
 			}
 		}
 	};
@@ -67,7 +67,7 @@
 		const merged = mergeRecords(directory, records);
 		directory = merged.directory;
 		if (merged.changed.length > 0) {
-			noteGone(merged.changed);
+			updateTombstones(merged.changed);
 			handleChange(merged.changed, source);
 		}
 	};
@@ -104,16 +104,16 @@
 				apply([{...record, status}], {type: 'own'});
 			}
 		},
-		listDiffering: bucketDigests => findDifferingBuckets(directory.tree, bucketDigests)
+		listDifferingRecords: bucketDigests => findDifferingBuckets(directory.tree, bucketDigests)
 			.flatMap(index => [...directory.tree.buckets[index]?.entries.values() ?? []].map(entry => entry.value)),
 		listBucketDigests: () => listShortBucketDigests(directory.tree),
-		forgetGone() {
-			const due = readNow() - rememberGoneMs;
-			const ids = listRecords(directory).map(record => record.id).filter(id => (goneSince.get(id) ?? Number.POSITIVE_INFINITY) < due);
+		removeOldTombstones() {
+			const cutoff = readNow() - tombstoneRetentionMs;
+			const ids = listRecords(directory).map(record => record.id).filter(id => (tombstoneSince.get(id) ?? Number.POSITIVE_INFINITY) < cutoff);
 			if (ids.length > 0) {
-				directory = forgetRecords(directory, ids);
+				directory = removeRecords(directory, ids);
 				for (const id of ids) {
-					goneSince.delete(id);
+					tombstoneSince.delete(id);
 				}
 			}
 		},
--- a/src/lib/directory/directory.test.ts
+++ b/src/lib/directory/directory.test.ts
@@ -43,14 +43,14 @@
 });
 
 test('a node refutes what is wrongly said of it', () => {
-	const heard: NodeRecord[] = [];
+	const published: NodeRecord[] = [];
 	const keeper = createDirectoryKeeper(createRecord('a'), records => {
-		heard.push(...records);
+		published.push(...records);
 	});
 	keeper.merge([createRecord('a', {status: 'dead'})], {type: 'push', from: toNodeId('b')});
 	assert.equal(getRecord(keeper.getDirectory(), toNodeId('a'))?.status, 'alive');
 	assert.ok(keeper.getOwnRecord().sequence > 1);
-	assert.equal(heard.at(-1)?.sequence, keeper.getOwnRecord().sequence);
+	assert.equal(published.at(-1)?.sequence, keeper.getOwnRecord().sequence);
 });
 
 test('a node whose clock went back between two runs raises its epoch above that of the run before', () => {
--- a/src/lib/directory/directory.ts
+++ b/src/lib/directory/directory.ts
@@ -181,15 +181,15 @@
  * @returns The smaller directory.
  * @internal
  */
-export function forgetRecords(directory: Directory, ids: readonly NodeId[]): Directory {
-	const gone = ids.flatMap(id => getRecord(directory, id) ?? []).filter(record => !isUsable(record));
+export function removeRecords(directory: Directory, ids: readonly NodeId[]): Directory {
+	const tombstones = ids.flatMap(id => getRecord(directory, id) ?? []).filter(record => !isUsable(record));
 	const domains = new Map(directory.domains);
-	for (const record of gone) {
+	for (const record of tombstones) {
 		domains.set(record.failureDomain, new Set([...domains.get(record.failureDomain) ?? []].filter(id => id !== record.id)));
 	}
 
 	return {
-		tree: applyTreeChanges(directory.tree, gone.map(record => ({key: record.id, entry: undefined}))),
+		tree: applyTreeChanges(directory.tree, tombstones.map(record => ({key: record.id, entry: undefined}))),
 		services: directory.services,
 		domains,
 	};
--- a/src/lib/distribution/control-service.ts
+++ b/src/lib/distribution/control-service.ts
@@ -131,7 +131,7 @@
 			},
 			pullDirectory(request) {
 				witness(request);
-				const records = directory.listDiffering(request.bucketDigests);
+				const records = directory.listDifferingRecords(request.bucketDigests);
 				if (records.length > largeRecordCount) {
 					requireImage(images);
 				}
--- a/src/lib/distribution/distributor.ts
+++ b/src/lib/distribution/distributor.ts
@@ -91,14 +91,14 @@
 	let pull: Promise<boolean> | undefined;
 	let isDisposed = false;
 
-	const getPlace = (): TreePlace => findTreePlace(members.listOrder(domain), self, settings.fanOut);
+	const getPlace = (): TreePlace => findTreePlace(members.listAliveMembers(domain), self, settings.fanOut);
 	const isRelay = (): boolean => getPlace().relay === self;
 	const findAddress = (id: NodeId): Address | undefined => getRecord(directory.getDirectory(), id)?.controlAddress;
 	const findRecords = (ids: readonly NodeId[]): readonly NodeRecord[] => ids.flatMap(id => getRecord(directory.getDirectory(), id) ?? []);
 
 	const listFirst = (count: number): readonly NodeRecord[] => members.listDomains()
 		.filter(other => other !== domain)
-		.flatMap(other => findRecords(members.listOrder(other).slice(0, count)));
+		.flatMap(other => findRecords(members.listAliveMembers(other).slice(0, count)));
 	const listOtherRelays = (): readonly NodeRecord[] => listFirst(1);
 	const listOtherWatchers = (): readonly NodeRecord[] => listFirst(2);
 
--- a/src/lib/drain/drain-node.test.ts
+++ b/src/lib/drain/drain-node.test.ts
@@ -1,13 +1,13 @@
 import assert from 'node:assert/strict';
 import test from 'node:test';
-import {drainNode, type DrainParts} from './drain-node.js';
+import {drainNode, type DrainContext} from './drain-node.js';
 
-function createParts(log: string[], changes: Partial<DrainParts> = {}): DrainParts {
+function createContext(log: string[], changes: Partial<DrainContext> = {}): DrainContext {
 	return {
-		closeGates() {
+		startDrainingServers() {
 			log.push('gates');
 		},
-		closeEntry() {
+		startDrainingEntry() {
 			log.push('entry');
 		},
 		countCalls: () => 0,
@@ -26,7 +26,7 @@
 test('the gates close first, and the others hear only when nothing is in flight', async () => {
 	const log: string[] = [];
 	let calls = 3;
-	const isDone = await drainNode(createParts(log, {
+	const isDone = await drainNode(createContext(log, {
 		countCalls() {
 			calls--;
 			log.push(`calls ${Math.max(0, calls)}`);
@@ -40,6 +40,6 @@
 
 test('a call that does not end in time is told', async () => {
 	const log: string[] = [];
-	assert.equal(await drainNode(createParts(log, {countCalls: () => 1, drainMs: 50})), false);
+	assert.equal(await drainNode(createContext(log, {countCalls: () => 1, drainMs: 50})), false);
 	assert.equal(log.at(-1), 'left');
 });
--- a/src/lib/drain/drain-node.ts
+++ b/src/lib/drain/drain-node.ts
@@ -6,11 +6,11 @@
 import {readNow, waitFor} from '../common/clock.js';
 
 /** What a node hands over to be drained. @internal */
-export type DrainParts = {
+export type DrainContext = {
 	/** Closes the gates: what they turn away from now on has not run. */
-	readonly closeGates: () => void;
+	readonly startDrainingServers: () => void;
 	/** Takes no new connections of callers, and closes the idle ones. */
-	readonly closeEntry: () => void;
+	readonly startDrainingEntry: () => void;
 	/** Calls of callers that have not been answered whole. */
 	readonly countCalls: () => number;
 	/** Waits until the backend servers beside the node work on nothing. */
@@ -24,11 +24,11 @@
 /** Milliseconds for which a draining node goes on taking connections, so that those under way find it. */
 const lingerMs = 300;
 
-const pollMs = 20;
+const pollIntervalMs = 20;
 
 async function waitForCalls(countCalls: () => number, deadline: number): Promise<boolean> {
 	while (countCalls() > 0 && readNow() < deadline) {
-		await waitFor(pollMs);
+		await waitFor(pollIntervalMs);
 	}
 
 	return countCalls() === 0;
@@ -41,14 +41,14 @@
  * @returns Whether every call had ended in time.
  * @internal
  */
-export async function drainNode(parts: DrainParts): Promise<boolean> {
-	parts.closeGates();
+export async function drainNode(context: DrainContext): Promise<boolean> {
+	context.startDrainingServers();
 	await waitFor(lingerMs);
-	parts.closeEntry();
-	const deadline = readNow() + parts.drainMs;
-	const hasNoCalls = await waitForCalls(parts.countCalls, deadline);
-	const hasIdleServers = await parts.waitUntilIdle(Math.max(0, deadline - readNow()));
-	parts.leave();
+	context.startDrainingEntry();
+	const deadline = readNow() + context.drainMs;
+	const hasNoCalls = await waitForCalls(context.countCalls, deadline);
+	const hasIdleServers = await context.waitUntilIdle(Math.max(0, deadline - readNow()));
+	context.leave();
 	await waitFor(lingerMs);
 	return hasNoCalls && hasIdleServers;
 }
--- a/src/lib/membership/failure-detector.ts
+++ b/src/lib/membership/failure-detector.ts
@@ -41,7 +41,7 @@
 	readonly nextSequenceNumber: number;
 	readonly lastTickAt: number;
 	/** Who is next; filled with all members in random order whenever it is empty. */
-	readonly queue: readonly NodeId[];
+	readonly probeQueue: readonly NodeId[];
 	readonly probe: Probe | undefined;
 	/** When the next heartbeat is due, in milliseconds since the epoch. */
 	readonly nextProbeAt: number;
@@ -50,11 +50,11 @@
 };
 
 /** @internal */
-export type DetectorMessage =
+export type DetectorEvent =
 	| {readonly type: 'tick'; readonly now: number; readonly members: readonly NodeId[]}
 	| {readonly type: 'ack'; readonly from: NodeId; readonly sequenceNumber: number}
 	| {readonly type: 'refuted'; readonly member: NodeId}
-	| {readonly type: 'accused'; readonly member: NodeId; readonly now: number};
+	| {readonly type: 'suspected'; readonly member: NodeId; readonly now: number};
 
 /** What is to be done. @internal */
 export type DetectorEffect =
@@ -70,7 +70,7 @@
 };
 
 /** A tick that comes this many periods late shows that this node itself was paused. */
-const pausedPeriods = 3;
+const pauseThresholdPeriods = 3;
 
 /**
  * @param now - Milliseconds since the epoch.
@@ -79,11 +79,11 @@
  */
 export function createDetectorState(now: number): DetectorState {
 	return {
-		nextSequenceNumber: 1, lastTickAt: now, queue: [], probe: undefined, nextProbeAt: now, suspects: new Map(),
+		nextSequenceNumber: 1, lastTickAt: now, probeQueue: [], probe: undefined, nextProbeAt: now, suspects: new Map(),
 	};
 }
 
-function withoutSuspect(suspects: ReadonlyMap<NodeId, number>, member: NodeId): ReadonlyMap<NodeId, number> {
+function removeSuspect(suspects: ReadonlyMap<NodeId, number>, member: NodeId): ReadonlyMap<NodeId, number> {
 	if (!suspects.has(member)) {
 		return suspects;
 	}
@@ -98,30 +98,30 @@
 }
 
 /** A paused node missed answers that did arrive, so it starts its judgements over. */
-function forgiveAfterPause(state: DetectorState, settings: DetectorSettings, now: number): DetectorState {
+function resetAfterPause(state: DetectorState, settings: DetectorSettings, now: number): DetectorState {
 	const suspects = new Map([...state.suspects.keys()].map(member => [member, now + settings.suspicionMs]));
 	return {...state, probe: undefined, suspects};
 }
 
-type TickMessage = Extract<DetectorMessage, {readonly type: 'tick'}>;
+type TickEvent = Extract<DetectorEvent, {readonly type: 'tick'}>;
 
-function startProbe(state: DetectorState, settings: DetectorSettings, message: TickMessage, random: () => number): DetectorStep {
-	const {now, members} = message;
+function startProbe(state: DetectorState, settings: DetectorSettings, event: TickEvent, random: () => number): DetectorStep {
+	const {now, members} = event;
 	if (state.probe !== undefined || now < state.nextProbeAt) {
 		return {state, effects: []};
 	}
 
-	const queue = state.queue.filter(member => members.includes(member));
+	const queue = state.probeQueue.filter(member => members.includes(member));
 	const [target, ...rest] = queue.length > 0 ? queue : shuffleList(members, random);
 	if (target === undefined) {
-		return {state: {...state, queue: []}, effects: []};
+		return {state: {...state, probeQueue: []}, effects: []};
 	}
 
 	const sequenceNumber = state.nextSequenceNumber;
 	return {
 		state: {
 			...state,
-			queue: rest,
+			probeQueue: rest,
 			nextProbeAt: now + settings.periodMs,
 			nextSequenceNumber: sequenceNumber + 1,
 			probe: {
@@ -132,7 +132,7 @@
 	};
 }
 
-function findExpired(state: DetectorState, now: number): DetectorStep {
+function removeExpiredSuspects(state: DetectorState, now: number): DetectorStep {
 	const expired = [...state.suspects].filter(([, deadline]) => deadline <= now).map(([member]) => member);
 	if (expired.length === 0) {
 		return {state, effects: []};
@@ -144,14 +144,14 @@
 	return {state: {...state, suspects, probe}, effects: expired.map(member => ({type: 'dead', member}))};
 }
 
-function checkProbe(state: DetectorState, settings: DetectorSettings, message: TickMessage, random: () => number): DetectorStep {
+function checkProbe(state: DetectorState, settings: DetectorSettings, event: TickEvent, random: () => number): DetectorStep {
 	const {probe} = state;
-	if (probe === undefined || message.now - probe.sentAt < settings.ackTimeoutMs) {
+	if (probe === undefined || event.now - probe.sentAt < settings.ackTimeoutMs) {
 		return {state, effects: []};
 	}
 
 	if (!probe.isIndirect) {
-		const helpers = shuffleList(message.members.filter(member => member !== probe.target), random).slice(0, settings.indirectProbes);
+		const helpers = shuffleList(event.members.filter(member => member !== probe.target), random).slice(0, settings.indirectProbes);
 		return {
 			state: {...state, probe: {...probe, isIndirect: true}},
 			effects: helpers.map(through => ({
@@ -160,22 +160,22 @@
 		};
 	}
 
-	if (message.now - probe.sentAt < settings.periodMs) {
+	if (event.now - probe.sentAt < settings.periodMs) {
 		return {state, effects: []};
 	}
 
 	return {
-		state: addSuspect({...state, probe: undefined}, probe.target, message.now + settings.suspicionMs),
+		state: addSuspect({...state, probe: undefined}, probe.target, event.now + settings.suspicionMs),
 		effects: state.suspects.has(probe.target) ? [] : [{type: 'suspect', member: probe.target}],
 	};
 }
 
-function handleTick(state: DetectorState, settings: DetectorSettings, message: TickMessage, random: () => number): DetectorStep {
-	const wasPaused = message.now - state.lastTickAt > settings.periodMs * pausedPeriods;
-	const awake = wasPaused ? forgiveAfterPause(state, settings, message.now) : state;
-	const expired = findExpired({...awake, lastTickAt: message.now}, message.now);
-	const checked = checkProbe(expired.state, settings, message, random);
-	const started = startProbe(checked.state, settings, message, random);
+function handleTick(state: DetectorState, settings: DetectorSettings, event: TickEvent, random: () => number): DetectorStep {
+	const wasPaused = event.now - state.lastTickAt > settings.periodMs * pauseThresholdPeriods;
+	const resumed = wasPaused ? resetAfterPause(state, settings, event.now) : state;
+	const expired = removeExpiredSuspects({...resumed, lastTickAt: event.now}, event.now);
+	const checked = checkProbe(expired.state, settings, event, random);
+	const started = startProbe(checked.state, settings, event, random);
 	return {state: started.state, effects: [...expired.effects, ...checked.effects, ...started.effects]};
 }
 
@@ -183,30 +183,30 @@
  * Takes one step.
  *
  * @param state - The detector as it stands.
- * @param message - What happened.
+ * @param event - What happened.
  * @param settings - Its times.
  * @param random - Yields numbers from 0 up to 1.
  * @returns The next state and what is to be done.
  * @internal
  */
-export function stepDetector(state: DetectorState, message: DetectorMessage, settings: DetectorSettings, random: () => number): DetectorStep {
-	switch (message.type) {
+export function stepDetector(state: DetectorState, event: DetectorEvent, settings: DetectorSettings, random: () => number): DetectorStep {
+	switch (event.type) {
 		case 'tick': {
-			return handleTick(state, settings, message, random);
+			return handleTick(state, settings, event, random);
 		}
 
 		case 'ack': {
-			const isAwaited = state.probe?.target === message.from && state.probe.sequenceNumber === message.sequenceNumber;
-			const suspects = withoutSuspect(state.suspects, message.from);
-			return {state: {...state, suspects, probe: isAwaited ? undefined : state.probe}, effects: []};
+			const isExpected = state.probe?.target === event.from && state.probe.sequenceNumber === event.sequenceNumber;
+			const suspects = removeSuspect(state.suspects, event.from);
+			return {state: {...state, suspects, probe: isExpected ? undefined : state.probe}, effects: []};
 		}
 
 		case 'refuted': {
-			return {state: {...state, suspects: withoutSuspect(state.suspects, message.member)}, effects: []};
+			return {state: {...state, suspects: removeSuspect(state.suspects, event.member)}, effects: []};
 		}
 
-		case 'accused': {
-			return {state: addSuspect(state, message.member, message.now + settings.suspicionMs), effects: []};
+		case 'suspected': {
+			return {state: addSuspect(state, event.member, event.now + settings.suspicionMs), effects: []};
 		}
 	}
 }
--- a/src/lib/membership/gossip.ts
+++ b/src/lib/membership/gossip.ts
@@ -36,7 +36,7 @@
 import {type Timeline} from '../timeline/timeline.js';
 import {
 	createDetectorState, stepDetector,
-	type DetectorEffect, type DetectorMessage, type DetectorSettings, type DetectorState,
+	type DetectorEffect, type DetectorEvent, type DetectorSettings, type DetectorState,
 } from './failure-detector.js';
 import {type MemberList} from './member-list.js';
 
@@ -47,7 +47,7 @@
 	/** Looks again at who is suspected, after records changed. */
 	readonly handleRecords: (records: readonly NodeRecord[]) => void;
 	/** Tells some members at once of what must not wait for the next heartbeats; they pass it on with theirs. */
-	readonly announce: () => void;
+	readonly sendUrgentPings: () => void;
 	readonly dispose: () => Promise<void>;
 };
 
@@ -77,16 +77,16 @@
 const ticksPerPeriod = 5;
 
 /** Periods between two tries to reach a member that is held for dead. */
-const retryPeriods = 3;
+const deadMemberRetryPeriods = 3;
 
 /** Sequence numbers of heartbeats between relays, which the failure detector knows nothing of. */
-const relayCheckNumber = 0;
+const untrackedSequenceNumber = 0;
 
 /** Members that are told at once of what must not wait: each tells one more in every period. */
-const mostTold = 30;
+const maximumUrgentPings = 30;
 
 /** Forwarded heartbeats whose answers are awaited for others. */
-type Forwarded = {readonly origin: NodeId; readonly sequenceNumber: number; readonly at: number};
+type ForwardedPing = {readonly origin: NodeId; readonly sequenceNumber: number; readonly sentAt: number};
 
 /**
  * Creates the heartbeats of a node.
@@ -105,10 +105,10 @@
 		periodMs: settings.periodMs, configuration: context.configuration, directory, distributor, status, timeline: context.timeline,
 	});
 	const summaries = createSummarySender(status, distributor);
-	const forwarded = new Map<string, Forwarded>();
-	let lastRelayCheckAt = 0;
-	let lastRetryAt = 0;
-	let lastCheckedMs = 0;
+	const forwardedPings = new Map<string, ForwardedPing>();
+	let lastOtherDomainPingAt = 0;
+	let lastDeadRetryAt = 0;
+	let lastCleanupAt = 0;
 	const timers: NodeJS.Timeout[] = [];
 	/** What a server's end tells may come when this node has stopped. */
 	let isClosed = false;
@@ -144,7 +144,7 @@
 	};
 
 	/** A suspect is told so, and can refute it. */
-	const listAccusation = (target: NodeId): readonly NodeRecord[] => {
+	const listSuspicion = (target: NodeId): readonly NodeRecord[] => {
 		const record = getRecord(directory.getDirectory(), target);
 		return record === undefined || record.status === 'alive' ? [] : [record];
 	};
@@ -152,7 +152,7 @@
 	const handleEffect = (effect: DetectorEffect): void => {
 		switch (effect.type) {
 			case 'ping': {
-				send(effect.target, {case: 'ping', value: {}}, effect.sequenceNumber, listAccusation(effect.target));
+				send(effect.target, {case: 'ping', value: {}}, effect.sequenceNumber, listSuspicion(effect.target));
 				return;
 			}
 
@@ -177,8 +177,8 @@
 		}
 	};
 
-	const step = (message: DetectorMessage): void => {
-		const next = stepDetector(detector, message, settings, random);
+	const step = (event: DetectorEvent): void => {
+		const next = stepDetector(detector, event, settings, random);
 		detector = next.state;
 		for (const effect of next.effects) {
 			handleEffect(effect);
@@ -186,16 +186,16 @@
 	};
 
 	const handlePingRequest = (target: NodeId, origin: NodeId, sequenceNumber: number): void => {
-		forwarded.set(`${target} ${sequenceNumber}`, {origin, sequenceNumber, at: readNow()});
-		send(target, {case: 'ping', value: {}}, sequenceNumber, listAccusation(target));
+		forwardedPings.set(`${target} ${sequenceNumber}`, {origin, sequenceNumber, sentAt: readNow()});
+		send(target, {case: 'ping', value: {}}, sequenceNumber, listSuspicion(target));
 	};
 
 	const handleAck = (message: GossipMessage, from: NodeId): void => {
 		step({type: 'ack', from, sequenceNumber: message.sequenceNumber});
 		const key = `${from} ${message.sequenceNumber}`;
-		const waiting = forwarded.get(key);
+		const waiting = forwardedPings.get(key);
 		if (waiting !== undefined) {
-			forwarded.delete(key);
+			forwardedPings.delete(key);
 			const record = getRecord(directory.getDirectory(), from);
 			send(waiting.origin, {case: 'pingRequest', value: {target: ''}}, waiting.sequenceNumber, record === undefined ? [] : [record]);
 		}
@@ -256,30 +256,30 @@
 		check.compare(message, from);
 	};
 
-	const checkOtherDomains = (now: number): void => {
-		if (now - lastRelayCheckAt < settings.periodMs || !distributor.isRelay()) {
+	const pingOtherDomain = (now: number): void => {
+		if (now - lastOtherDomainPingAt < settings.periodMs || !distributor.isRelay()) {
 			return;
 		}
 
-		lastRelayCheckAt = now;
+		lastOtherDomainPingAt = now;
 		const relays = distributor.listOtherWatchers();
 		const chosen = relays[Math.floor(random() * relays.length)];
 		if (chosen !== undefined) {
-			sendTo(chosen.gossipAddress, {case: 'ping', value: {}}, relayCheckNumber);
+			sendTo(chosen.gossipAddress, {case: 'ping', value: {}}, untrackedSequenceNumber);
 		}
 	};
 
 	/** Tries one member that is held for dead: after a cut both sides hold the other for dead, and would go on doing so. */
-	const retryDeparted = (now: number): void => {
-		if (now - lastRetryAt < settings.periodMs * retryPeriods) {
+	const retryDeadMember = (now: number): void => {
+		if (now - lastDeadRetryAt < settings.periodMs * deadMemberRetryPeriods) {
 			return;
 		}
 
-		lastRetryAt = now;
+		lastDeadRetryAt = now;
 		const dead = listDomainRecords(directory.getDirectory(), domain).filter(record => record.status === 'dead');
 		const chosen = dead[Math.floor(random() * dead.length)];
 		if (chosen !== undefined) {
-			sendTo(chosen.gossipAddress, {case: 'ping', value: {}}, relayCheckNumber, [chosen]);
+			sendTo(chosen.gossipAddress, {case: 'ping', value: {}}, untrackedSequenceNumber, [chosen]);
 		}
 	};
 
@@ -290,25 +290,25 @@
 		}
 
 		for (const target of due.targets) {
-			send(target, {case: 'summary', value: encodeSummary(due.summary)}, relayCheckNumber);
+			send(target, {case: 'summary', value: encodeSummary(due.summary)}, untrackedSequenceNumber);
 		}
 	};
 
 	const tick = (): void => {
 		const now = readNow();
 		// Nobody is probed who cannot answer yet: members whose address is not known, and this node itself.
-		const probed = members.listProbed(domain).filter(member => member !== self);
-		step({type: 'tick', now, members: probed});
-		checkOtherDomains(now);
-		retryDeparted(now);
+		const probeTargets = members.listProbeTargets(domain).filter(member => member !== self);
+		step({type: 'tick', now, members: probeTargets});
+		pingOtherDomain(now);
+		retryDeadMember(now);
 		sendSummary(now);
-		if (now - lastCheckedMs > settings.periodMs * 10) {
-			lastCheckedMs = now;
+		if (now - lastCleanupAt > settings.periodMs * 10) {
+			lastCleanupAt = now;
 			reported.prune();
-			directory.forgetGone();
-			for (const [key, waiting] of forwarded) {
-				if (now - waiting.at > settings.periodMs) {
-					forwarded.delete(key);
+			directory.removeOldTombstones();
+			for (const [key, waiting] of forwardedPings) {
+				if (now - waiting.sentAt > settings.periodMs) {
+					forwardedPings.delete(key);
 				}
 			}
 		}
@@ -338,20 +338,20 @@
 		handleRecords(records) {
 			for (const record of records) {
 				if (record.failureDomain === domain && record.status === 'suspect') {
-					step({type: 'accused', member: record.id, now: readNow()});
+					step({type: 'suspected', member: record.id, now: readNow()});
 				} else if (record.status === 'alive') {
 					step({type: 'refuted', member: record.id});
 				}
 			}
 		},
-		announce() {
-			const others = shuffleList(members.listProbed(domain).filter(member => member !== self), random).slice(0, mostTold);
+		sendUrgentPings() {
+			const others = shuffleList(members.listProbeTargets(domain).filter(member => member !== self), random).slice(0, maximumUrgentPings);
 			for (const member of others) {
-				send(member, {case: 'ping', value: {}}, relayCheckNumber);
+				send(member, {case: 'ping', value: {}}, untrackedSequenceNumber);
 			}
 
 			for (const {gossipAddress} of distributor.listOtherWatchers()) {
-				sendTo(gossipAddress, {case: 'ping', value: {}}, relayCheckNumber);
+				sendTo(gossipAddress, {case: 'ping', value: {}}, untrackedSequenceNumber);
 			}
 		},
 		async dispose() {
--- a/src/lib/membership/joiner.test.ts
+++ b/src/lib/membership/join-mesh.test.ts
@@ -12,7 +12,7 @@
 import {type PeerClient, type Peers} from '../distribution/peers.js';
 import {encodeRecord} from '../distribution/wire.js';
 import {createLamportClock} from '../timeline/lamport-clock.js';
-import {joinMesh, type JoinerContext} from './joiner.js';
+import {joinMesh, type JoinContext} from './join-mesh.js';
 
 const deltas: Delta[] = [];
 let last = createConfiguration();
@@ -34,16 +34,16 @@
 };
 
 type Fake = {
-	readonly context: JoinerContext;
+	readonly context: JoinContext;
 	readonly store: MemoryStore;
 	/** Whom the state was fetched from, in order. */
-	readonly asked: string[];
+	readonly sources: string[];
 	readonly peers: Map<string, Peer>;
 };
 
 function createFake(initial: Readonly<Record<string, Peer>>): Fake {
 	const peers = new Map(Object.entries(initial));
-	const asked: string[] = [];
+	const sources: string[] = [];
 	const store = createMemoryStore({latencyMs: 0});
 	const configuration = createConfigurationKeeper(() => undefined);
 	const directory = createDirectoryKeeper(createRecord('self', {controlAddress: toAddress('self')}), () => undefined);
@@ -73,7 +73,7 @@
 			children: [],
 		}),
 		async pullDirectory(address: Address) {
-			asked.push(address);
+			sources.push(address);
 			return peers.get(address)?.refusesState !== true;
 		},
 		async pullConfiguration(address: Address) {
@@ -87,7 +87,7 @@
 		},
 	} as unknown as Distributor;
 	return {
-		store, asked, peers, context: {
+		store, sources, peers, context: {
 			seeds: [toAddress('seed')], store, configuration, directory, distributor, peers: {getClient, dispose: () => undefined} satisfies Peers, clock: createLamportClock(), random: () => 0,
 		},
 	};
@@ -111,12 +111,12 @@
 });
 
 test('the whole state comes from helpers before seeds, and from the next when one is busy', async () => {
-	const {context, asked} = createFake({
+	const {context, sources} = createFake({
 		seed: {version: 4, members: ['relay'], helpers: ['busy', 'free']}, relay: {version: 4}, busy: {version: 4, refusesState: true}, free: {version: 4},
 	});
 	assert.equal(await joinMesh(context, neverAborted), true);
-	assert.equal(asked.includes('seed'), false);
-	assert.equal(asked.at(-1), 'free');
+	assert.equal(sources.includes('seed'), false);
+	assert.equal(sources.at(-1), 'free');
 	assert.equal(context.configuration.getConfiguration().version, 4);
 });
 
@@ -125,9 +125,9 @@
 	await joinMesh(helped.context, neverAborted);
 	assert.equal(helped.store.getCalls().reads, 0);
 
-	const alone = createFake({});
-	assert.equal(await joinMesh(alone.context, neverAborted), true);
-	assert.equal(alone.store.getCalls().reads, 1);
+	const withoutPeers = createFake({});
+	assert.equal(await joinMesh(withoutPeers.context, neverAborted), true);
+	assert.equal(withoutPeers.store.getCalls().reads, 1);
 });
 
 test('members that have only just started themselves help nobody: a domain that restarts whole does not agree on nothing', async () => {
@@ -137,10 +137,10 @@
 
 	const cutOff = createFake({seed: {version: 0, members: ['relay'], isNotReady: true}, relay: {version: 0, isNotReady: true}});
 	cutOff.store.setFaults({isDown: true});
-	const giveUp = new AbortController();
-	const joining = joinMesh(cutOff.context, giveUp.signal);
+	const abort = new AbortController();
+	const joining = joinMesh(cutOff.context, abort.signal);
 	setTimeout(() => {
-		giveUp.abort();
+		abort.abort();
 	}, 100);
 	assert.equal(await joining, false);
 });
@@ -148,10 +148,10 @@
 test('a node that neither a member nor the store answers does not serve', async () => {
 	const fake = createFake({});
 	fake.store.setFaults({isDown: true});
-	const giveUp = new AbortController();
-	const joining = joinMesh(fake.context, giveUp.signal);
+	const abort = new AbortController();
+	const joining = joinMesh(fake.context, abort.signal);
 	setTimeout(() => {
-		giveUp.abort();
+		abort.abort();
 	}, 100);
 	assert.equal(await joining, false);
 });
--- a/src/lib/membership/joiner.ts
+++ b/src/lib/membership/join-mesh.ts
@@ -19,7 +19,7 @@
 import {type LamportClock} from '../timeline/lamport-clock.js';
 
 /** @internal */
-export type JoinerContext = {
+export type JoinContext = {
 	readonly seeds: readonly Address[];
 	readonly store: Store;
 	readonly configuration: ConfigurationKeeper;
@@ -39,22 +39,22 @@
 /** Members of the own domain that are asked after the seeds. */
 const membersPerRound = 3;
 
-const firstBackoffMs = 300;
-const lastBackoffMs = 5000;
+const initialBackoffMs = 300;
+const maximumBackoffMs = 5000;
 
 /** Milliseconds between two looks for seeds that this node does not know, while it knows nobody and later. */
-const lonelySeedCheckMs = 500;
+const isolatedSeedCheckMs = 500;
 const seedCheckMs = 10_000;
 
 /** Who answered, and whom else the whole state can be fetched from. */
-type Answer = {
+type PeerJoinResult = {
 	readonly address: Address;
 	readonly helpers: readonly Address[];
 	/** Whether the node that answered serves itself; the word of one that has only just started proves nothing. */
 	readonly isReady: boolean;
 };
 
-type JoinAnswer = {
+type JoinResult = {
 	readonly isReady: boolean;
 	readonly version: number;
 	readonly floor: number;
@@ -62,7 +62,7 @@
 	readonly helpers: readonly Address[];
 };
 
-async function askToJoin({peers, clock, directory}: JoinerContext, address: Address, signal: AbortSignal): Promise<JoinAnswer | undefined> {
+async function sendJoinRequest({peers, clock, directory}: JoinContext, address: Address, signal: AbortSignal): Promise<JoinResult | undefined> {
 	try {
 		const {eventTime, members, helpers, version, floor, ready} = await peers.getClient(address).join(
 			{eventTime: BigInt(clock.getTime()), record: encodeRecord(directory.getOwnRecord())},
@@ -89,15 +89,15 @@
  * @returns After the signal.
  * @internal
  */
-export async function seekSeeds(context: JoinerContext, signal: AbortSignal): Promise<void> {
+export async function joinUnknownSeeds(context: JoinContext, signal: AbortSignal): Promise<void> {
 	const {seeds, directory, distributor, random} = context;
 	while (!signal.aborted) {
 		const records = listRecords(directory.getDirectory()).filter(record => isUsable(record));
 		const known = new Set(records.map(record => record.controlAddress));
 		const [unknown] = shuffleList(seeds.filter(address => !known.has(address)), random);
-		const pauseMs = records.length > 1 ? seedCheckMs : lonelySeedCheckMs;
-		await waitFor(pauseMs * (0.5 + random()), signal);
-		if (unknown !== undefined && await askToJoin(context, unknown, signal) !== undefined) {
+		const delayMs = records.length > 1 ? seedCheckMs : isolatedSeedCheckMs;
+		await waitFor(delayMs * (0.5 + random()), signal);
+		if (unknown !== undefined && await sendJoinRequest(context, unknown, signal) !== undefined) {
 			await distributor.pullDirectory(unknown);
 		}
 	}
@@ -111,23 +111,23 @@
  * @returns Whether the node may serve; false after the signal.
  * @internal
  */
-export async function joinMesh(context: JoinerContext, signal: AbortSignal): Promise<boolean> {
+export async function joinMesh(context: JoinContext, signal: AbortSignal): Promise<boolean> {
 	const {seeds, store, configuration, directory, distributor, random} = context;
 	const self = directory.getOwnRecord().id;
 
-	const ask = async (address: Address): Promise<Answer | undefined> => {
-		const answer = await askToJoin(context, address, signal);
-		if (answer === undefined) {
+	const joinPeer = async (address: Address): Promise<PeerJoinResult | undefined> => {
+		const result = await sendJoinRequest(context, address, signal);
+		if (result === undefined) {
 			return undefined;
 		}
 
-		configuration.raiseFloor(Math.max(answer.floor, answer.version));
-		return {address, helpers: answer.helpers, isReady: answer.isReady};
+		configuration.raiseFloor(Math.max(result.floor, result.version));
+		return {address, helpers: result.helpers, isReady: result.isReady};
 	};
 
-	const askAll = async (addresses: readonly Address[]): Promise<readonly Answer[]> => {
-		const answers = await Promise.all(addresses.map(async address => ask(address)));
-		return answers.flatMap(answer => answer ?? []);
+	const joinPeers = async (addresses: readonly Address[]): Promise<readonly PeerJoinResult[]> => {
+		const results = await Promise.all(addresses.map(async address => joinPeer(address)));
+		return results.flatMap(result => result ?? []);
 	};
 
 	/** The relay and standby watch the store, and the others may remember this node. */
@@ -140,13 +140,13 @@
 	};
 
 	/** Helpers go first: a herd that knows only the seeds must not fetch everything from them. */
-	const listSources = (answers: readonly Answer[]): readonly Address[] => {
-		const helpers = answers.flatMap(answer => answer.helpers).filter(address => address !== directory.getOwnRecord().controlAddress);
-		return [...new Set([...shuffleList(helpers, random), ...answers.map(({address}) => address)])];
+	const listSources = (results: readonly PeerJoinResult[]): readonly Address[] => {
+		const helpers = results.flatMap(result => result.helpers).filter(address => address !== directory.getOwnRecord().controlAddress);
+		return [...new Set([...shuffleList(helpers, random), ...results.map(({address}) => address)])];
 	};
 
-	const pullFrom = async (answers: readonly Answer[]): Promise<void> => {
-		const sources = listSources(answers).slice(0, sourcesPerRound);
+	const pullFrom = async (results: readonly PeerJoinResult[]): Promise<void> => {
+		const sources = listSources(results).slice(0, sourcesPerRound);
 		for (const address of sources) {
 			if (await distributor.pullDirectory(address)) {
 				break;
@@ -170,18 +170,18 @@
 		}).isOk();
 	};
 
-	const hasReady = (answers: readonly Answer[]): boolean => answers.some(answer => answer.isReady);
+	const hasReadyPeer = (results: readonly PeerJoinResult[]): boolean => results.some(result => result.isReady);
 
 	const runRound = async (): Promise<boolean> => {
 		const ownSeeds = seeds.filter(address => address !== directory.getOwnRecord().controlAddress);
-		const seedAnswers = await askAll(shuffleList(ownSeeds, random).slice(0, seedsPerRound));
-		const memberAnswers = await askAll(listMembersToAsk());
-		await pullFrom([...memberAnswers, ...seedAnswers]);
+		const seedResults = await joinPeers(shuffleList(ownSeeds, random).slice(0, seedsPerRound));
+		const memberResults = await joinPeers(listMembersToAsk());
+		await pullFrom([...memberResults, ...seedResults]);
 
 		// The store is asked only by a node that nobody in its own failure domain could help: a herd that restarts must not fall on it.
 		// While the store is down, the word of another domain has to do.
-		const isHelped = hasReady(memberAnswers) || await readStore() || hasReady(seedAnswers);
-		return isHelped && configuration.getConfiguration().version >= configuration.getFloor();
+		const hasReliableSource = hasReadyPeer(memberResults) || await readStore() || hasReadyPeer(seedResults);
+		return hasReliableSource && configuration.getConfiguration().version >= configuration.getFloor();
 	};
 
 	for (let round = 0; !signal.aborted; round++) {
@@ -190,7 +190,7 @@
 			return true;
 		}
 
-		await waitFor(Math.min(lastBackoffMs, firstBackoffMs * (2 ** round)) * (0.5 + random()), signal);
+		await waitFor(Math.min(maximumBackoffMs, initialBackoffMs * (2 ** round)) * (0.5 + random()), signal);
 	}
 
 	return false;
--- a/src/lib/membership/member-list.ts
+++ b/src/lib/membership/member-list.ts
@@ -12,14 +12,14 @@
 /** @internal */
 export type MemberList = {
 	/** The alive members of a domain, in tree order. Suspects are left out: news must not wait for them. */
-	readonly listOrder: (domain: FailureDomain) => readonly NodeId[];
+	readonly listAliveMembers: (domain: FailureDomain) => readonly NodeId[];
 	/** Everybody in a domain who may still be there, for heartbeats. */
-	readonly listProbed: (domain: FailureDomain) => readonly NodeId[];
+	readonly listProbeTargets: (domain: FailureDomain) => readonly NodeId[];
 	readonly listDomains: () => readonly FailureDomain[];
 	readonly handleChange: (records: readonly NodeRecord[]) => void;
 };
 
-type DomainView = {readonly order: readonly NodeId[]; readonly probed: readonly NodeId[]};
+type DomainMembers = {readonly aliveMembers: readonly NodeId[]; readonly probeTargets: readonly NodeId[]};
 
 /**
  * @param getDirectory - The directory as it stands.
@@ -27,30 +27,30 @@
  * @internal
  */
 export function createMemberList(getDirectory: () => Directory): MemberList {
-	const views = new Map<FailureDomain, DomainView>();
+	const membersByDomain = new Map<FailureDomain, DomainMembers>();
 
-	const getView = (domain: FailureDomain): DomainView => {
-		const known = views.get(domain);
+	const getMembers = (domain: FailureDomain): DomainMembers => {
+		const known = membersByDomain.get(domain);
 		if (known !== undefined) {
 			return known;
 		}
 
 		const records = listDomainRecords(getDirectory(), domain);
-		const view = {
-			order: sortMembers(records.filter(record => record.status === 'alive').map(record => record.id)),
-			probed: records.filter(record => record.status === 'alive' || record.status === 'suspect').map(record => record.id),
+		const members = {
+			aliveMembers: sortMembers(records.filter(record => record.status === 'alive').map(record => record.id)),
+			probeTargets: records.filter(record => record.status === 'alive' || record.status === 'suspect').map(record => record.id),
 		};
-		views.set(domain, view);
-		return view;
+		membersByDomain.set(domain, members);
+		return members;
 	};
 
 	return {
-		listOrder: domain => getView(domain).order,
-		listProbed: domain => getView(domain).probed,
+		listAliveMembers: domain => getMembers(domain).aliveMembers,
+		listProbeTargets: domain => getMembers(domain).probeTargets,
 		listDomains: () => [...getDirectory().domains.keys()],
 		handleChange(records) {
 			for (const {failureDomain} of records) {
-				views.delete(failureDomain);
+				membersByDomain.delete(failureDomain);
 			}
 		},
 	};
--- a/src/lib/node/node.ts
+++ b/src/lib/node/node.ts
@@ -32,7 +32,7 @@
 import {createStatusCollector} from '../distribution/status-collector.js';
 import {createSubmissionQueue} from '../distribution/submission-queue.js';
 import {createGossip} from '../membership/gossip.js';
-import {joinMesh, seekSeeds} from '../membership/joiner.js';
+import {joinMesh, joinUnknownSeeds} from '../membership/join-mesh.js';
 import {createMemberList} from '../membership/member-list.js';
 import {createOperatorApi} from '../operators/operator-api.js';
 import {type NodeStatusAnswer} from '../operators/operator-messages.js';
@@ -50,7 +50,7 @@
 import {type StartError} from './start-error.js';
 
 /** What a node is handed by its surroundings. @public */
-export type NodeSurroundings = {
+export type NodeOptions = {
 	readonly store: Store;
 	/** Yields numbers from 0 up to 1. */
 	readonly random: () => number;
@@ -72,10 +72,10 @@
 };
 
 /** Milliseconds between two looks at whether this node has to watch the store. */
-const dutyCheckMs = 250;
+const relayDutyCheckMs = 250;
 
 /** Milliseconds between two looks for backend servers that are gone: it walks the whole directory. */
-const forgetLoadsMs = 30_000;
+const loadCleanupMs = 30_000;
 
 /**
  * Creates a node.
@@ -90,17 +90,17 @@
  * const started = await node.start();
  * ```
  */
-export function createNode(settings: Settings, surroundings: NodeSurroundings): Node {
-	const {random} = surroundings;
+export function createNode(settings: Settings, options: NodeOptions): Node {
+	const {random} = options;
 	const {node: self, failureDomain: domain} = settings;
 	const clock = createLamportClock();
-	const timeline = createTimeline(self, clock, surroundings.handleEvent);
+	const timeline = createTimeline(self, clock, options.handleEvent);
 	const meter = createByteMeter();
-	const network = surroundings.network ?? createSystemNetwork();
+	const network = options.network ?? createSystemNetwork();
 	const peers = createPeers(meter, network);
-	const store = createBudgetedStore(surroundings.store, {perSecond: settings.store.callsPerSecond, burst: settings.store.burst});
+	const store = createBudgetedStore(options.store, {perSecond: settings.store.callsPerSecond, burst: settings.store.burst});
 	const reported = createReportedVersions();
-	const joining = new AbortController();
+	const joinAbort = new AbortController();
 	const loads = createServerLoads();
 	const metrics = createCallMetrics();
 	let isReady = false;
@@ -125,7 +125,7 @@
 			},
 		},
 		handleUrgentChange() {
-			gossip.announce();
+			gossip.sendUrgentPings();
 		},
 		// This node's store holds the configuration and idempotency keys alone: what crashed servers is told from node to node.
 		handleCrash: () => undefined,
@@ -202,7 +202,7 @@
 
 	const getStatus = (): NodeStatusAnswer => {
 		const current = configuration.getConfiguration();
-		const place = distributor.getPlace();
+		const treePlace = distributor.getPlace();
 		const memory = process.memoryUsage();
 		const cpu = process.cpuUsage();
 		return {
@@ -212,11 +212,11 @@
 			digest: current.digest,
 			floor: configuration.getFloor(),
 			isReady,
-			isRelay: place.relay === self,
+			isRelay: treePlace.relay === self,
 			isDraining,
-			relay: place.relay,
-			parent: place.parent ?? '',
-			children: place.children,
+			relay: treePlace.relay,
+			parent: treePlace.parent ?? '',
+			children: treePlace.children,
 			knownNodes: directory.getDirectory().tree.size,
 			store: store.getCounts(),
 			controlBytes: meter.getCounts(),
@@ -251,38 +251,38 @@
 	});
 	const operatorServer = createHttpServer(getRequestListener(operatorApi.fetch));
 	const announcementServer = createHttpServer(getRequestListener(createAnnouncementApi(localServers).fetch));
-	let dutyTimer: NodeJS.Timeout | undefined;
-	let forgetTimer: NodeJS.Timeout | undefined;
+	let relayDutyTimer: NodeJS.Timeout | undefined;
+	let loadCleanupTimer: NodeJS.Timeout | undefined;
 
 	/** The relay and its standby watch the store, once they have joined: a node that knows nobody yet takes itself for the relay. */
-	const checkDuty = (): void => {
+	const updateRelayWatch = (): void => {
 		const {relay, standby} = distributor.getPlace();
 		relayWatch.update(isReady && !isDraining && (relay === self || standby === self));
 	};
 
-	const forgetLoads = (): void => {
+	const removeUnknownLoads = (): void => {
 		const known = new Set([...directory.getDirectory().services.values()].flatMap(servers => [...servers.keys()]));
-		loads.forget(id => known.has(id));
+		loads.retain(id => known.has(id));
 	};
 
 	const join = async (): Promise<void> => {
 		const context = {
 			seeds: settings.seeds, store, configuration, directory, distributor, peers, clock, random,
 		};
-		isReady = await joinMesh(context, joining.signal);
+		isReady = await joinMesh(context, joinAbort.signal);
 		if (isReady) {
 			timeline.record({kind: 'node-ready', version: configuration.getConfiguration().version});
-			await seekSeeds(context, joining.signal);
+			await joinUnknownSeeds(context, joinAbort.signal);
 		}
 	};
 
 	const listPorts = (): readonly Port[] => {
 		const {listen} = settings;
-		const gossipPlace = parseAddress(listen.gossip);
-		const controlPlace = parseAddress(listen.control);
+		const gossipEndpoint = parseAddress(listen.gossip);
+		const controlEndpoint = parseAddress(listen.control);
 		return [
-			{name: 'gossip', address: listen.gossip, listen: async () => gossip.listen(gossipPlace.host, gossipPlace.port)},
-			{name: 'control', address: listen.control, listen: async () => control.listen(controlPlace.host, controlPlace.port)},
+			{name: 'gossip', address: listen.gossip, listen: async () => gossip.listen(gossipEndpoint.host, gossipEndpoint.port)},
+			{name: 'control', address: listen.control, listen: async () => control.listen(controlEndpoint.host, controlEndpoint.port)},
 			{name: 'gate', address: listen.gate, listen: async () => listenOn(gateServer, listen.gate)},
 			{name: 'operators', address: listen.operators, listen: async () => listenOn(operatorServer, listen.operators)},
 			{name: 'announcements', address: listen.announcements, listen: async () => listenOn(announcementServer, listen.announcements)},
@@ -291,9 +291,9 @@
 	};
 
 	const dispose = async (): Promise<void> => {
-		joining.abort();
-		clearInterval(dutyTimer);
-		clearInterval(forgetTimer);
+		joinAbort.abort();
+		clearInterval(relayDutyTimer);
+		clearInterval(loadCleanupTimer);
 		relayWatch.dispose();
 		distributor.dispose();
 		peers.dispose();
@@ -318,8 +318,8 @@
 			}
 
 			gossip.start();
-			dutyTimer = setInterval(checkDuty, dutyCheckMs);
-			forgetTimer = setInterval(forgetLoads, forgetLoadsMs);
+			relayDutyTimer = setInterval(updateRelayWatch, relayDutyCheckMs);
+			loadCleanupTimer = setInterval(removeUnknownLoads, loadCleanupMs);
 			void join();
 			return ok();
 		},
@@ -327,8 +327,8 @@
 			isDraining = true;
 			timeline.record({kind: 'node-draining'});
 			const isDone = await drainNode({
-				closeGates: localServers.drainAll,
-				closeEntry: entry.startDraining,
+				startDrainingServers: localServers.drainAll,
+				startDrainingEntry: entry.startDraining,
 				countCalls: entry.countCalls,
 				waitUntilIdle: localServers.waitUntilIdle,
 				leave() {
--- a/src/lib/policy/compile-policy.ts
+++ b/src/lib/policy/compile-policy.ts
@@ -39,7 +39,7 @@
 	readonly program: Program;
 };
 
-const maximumNodes = 400;
+const maximumNodeCount = 400;
 const maximumLoopDepth = 1;
 
 type Cost = {readonly nodes: number; readonly loopDepth: number};
@@ -66,8 +66,8 @@
 	try {
 		const {expr} = parse(text);
 		const cost = measureCost(expr);
-		if (cost.nodes > maximumNodes) {
-			return err({field, message: `the program has ${cost.nodes} parts; at most ${maximumNodes} are allowed`});
+		if (cost.nodes > maximumNodeCount) {
+			return err({field, message: `the program has ${cost.nodes} parts; at most ${maximumNodeCount} are allowed`});
 		}
 
 		if (cost.loopDepth > maximumLoopDepth) {
--- a/src/lib/routing/choose-server.ts
+++ b/src/lib/routing/choose-server.ts
@@ -24,22 +24,22 @@
 };
 
 /** Below this share of servers that look sound, the view is doubted and all are used. */
-const doubtShare = 0.5;
+const panicThresholdShare = 0.5;
 
 /** A server that has just come up gets this share of its load at first. */
-const coldShare = 0.1;
+const slowStartMinimumShare = 0.1;
 
 /** A gate's report says little after this many milliseconds. */
-const reportLifeMs = 1000;
+const reportValidityMs = 1000;
 
 /** How many times slower a server must be for that to count. */
-const clearlySlower = 3;
+const minimumSlowLatencyRatio = 3;
 
 /** Latency that was not seen again for so many milliseconds is forgotten, so that a server that has recovered is tried. */
-const latencyLifeMs = 10_000;
+const latencyValidityMs = 10_000;
 
 /** A server with this share of its slots in use has no room. */
-const fullShare = 1;
+const fullLoadScore = 1;
 
 /**
  * Judges how busy a server is.
@@ -49,14 +49,14 @@
  * @returns Requests for each slot; a cold server counts as busier than it is.
  * @internal
  */
-export function measureBusyness(entry: DirectoryServer, context: ChoiceContext): number {
+export function computeLoadScore(entry: DirectoryServer, context: ChoiceContext): number {
 	const load = context.getLoad(entry.server.id);
-	const isFresh = context.now - load.reportedAt < reportLifeMs;
-	const requests = Math.max(load.inFlight, isFresh ? load.reported : 0);
+	const isFresh = context.now - load.reportedAt < reportValidityMs;
+	const requests = Math.max(load.inFlight, isFresh ? load.reportedRequests : 0);
 	const age = context.now - load.firstSeenAt;
-	const warmth = context.pool.slowStartMs === 0 ? 1 : Math.min(1, Math.max(coldShare, age / context.pool.slowStartMs));
+	const slowStartShare = context.pool.slowStartMs === 0 ? 1 : Math.min(1, Math.max(slowStartMinimumShare, age / context.pool.slowStartMs));
 	// One is added so that of two idle servers the warmer one is less busy.
-	return (requests + 1) / Math.max(1, entry.server.slots) / warmth;
+	return (requests + 1) / Math.max(1, entry.server.slots) / slowStartShare;
 }
 
 function chooseOfTwo(servers: readonly DirectoryServer[], context: ChoiceContext): DirectoryServer | undefined {
@@ -69,33 +69,33 @@
 		return first ?? second;
 	}
 
-	return chooseFaster(first, second, context) ?? (measureBusyness(first, context) <= measureBusyness(second, context) ? first : second);
+	return chooseFaster(first, second, context) ?? (computeLoadScore(first, context) <= computeLoadScore(second, context) ? first : second);
 }
 
 /** @returns What is known of a server's latency lately, in milliseconds; `undefined` if nothing is. */
 function getLatency(entry: DirectoryServer, context: ChoiceContext): number | undefined {
 	const {latencyMs, latencyAt} = context.getLoad(entry.server.id);
-	return latencyMs === 0 || context.now - latencyAt > latencyLifeMs ? undefined : latencyMs;
+	return latencyMs === 0 || context.now - latencyAt > latencyValidityMs ? undefined : latencyMs;
 }
 
 /** A server that is many times slower than another shows no load while its requests time out, so latency speaks first where it differs that much. */
 function chooseFaster(first: DirectoryServer, second: DirectoryServer, context: ChoiceContext): DirectoryServer | undefined {
 	const firstMs = getLatency(first, context);
 	const secondMs = getLatency(second, context);
-	if (firstMs === undefined || secondMs === undefined || Math.max(firstMs, secondMs) < Math.min(firstMs, secondMs) * clearlySlower) {
+	if (firstMs === undefined || secondMs === undefined || Math.max(firstMs, secondMs) < Math.min(firstMs, secondMs) * minimumSlowLatencyRatio) {
 		return undefined;
 	}
 
 	const faster = firstMs < secondMs ? first : second;
-	return measureBusyness(faster, context) <= fullShare ? faster : undefined;
+	return computeLoadScore(faster, context) <= fullLoadScore ? faster : undefined;
 }
 
-function listSound(context: ChoiceContext): readonly DirectoryServer[] {
-	const staying = context.servers.filter(({server}) => !server.isDraining);
+function listHealthy(context: ChoiceContext): readonly DirectoryServer[] {
+	const notDraining = context.servers.filter(({server}) => !server.isDraining);
 	const isEjected = ({server}: DirectoryServer): boolean => context.getLoad(server.id).ejectedUntil > context.now;
-	const sound = staying.filter(entry => !isEjected(entry) && entry.node.status === 'alive');
+	const healthy = notDraining.filter(entry => !isEjected(entry) && entry.node.status === 'alive');
 	// When most of a pool looks dead, it is more likely that this node sees badly.
-	return sound.length < staying.length * doubtShare ? staying : sound;
+	return healthy.length < notDraining.length * panicThresholdShare ? notDraining : healthy;
 }
 
 /**
@@ -106,13 +106,13 @@
  * @internal
  */
 export function chooseServer(context: ChoiceContext): DirectoryServer | undefined {
-	const sound = listSound(context);
-	const untried = sound.filter(({server}) => !context.tried.has(server.id));
-	const usable = untried.length === 0 && context.mayReuse ? sound : untried;
+	const healthy = listHealthy(context);
+	const untried = healthy.filter(({server}) => !context.tried.has(server.id));
+	const usable = untried.length === 0 && context.mayReuse ? healthy : untried;
 	if (!context.pool.isLocalFirst) {
 		return chooseOfTwo(usable, context);
 	}
 
-	const local = usable.filter(entry => entry.node.failureDomain === context.domain && measureBusyness(entry, context) <= fullShare);
+	const local = usable.filter(entry => entry.node.failureDomain === context.domain && computeLoadScore(entry, context) <= fullLoadScore);
 	return chooseOfTwo(local.length > 0 ? local : usable, context);
 }
--- a/src/lib/routing/routing.test.ts
+++ b/src/lib/routing/routing.test.ts
@@ -53,9 +53,9 @@
 			configuration = applyDelta(configuration, delta)._unsafeUnwrap();
 		}
 
-		const anew = buildRoutingTable(configuration);
+		const rebuilt = buildRoutingTable(configuration);
 		for (const host of ['*', 'x', 'y']) {
-			assert.deepEqual(table.byHost.get(host) ?? [], anew.byHost.get(host) ?? []);
+			assert.deepEqual(table.byHost.get(host) ?? [], rebuilt.byHost.get(host) ?? []);
 		}
 	}));
 });
@@ -97,18 +97,18 @@
 	t.mock.timers.enable({apis: ['Date'], now: 1_000_000});
 	const loads = createServerLoads();
 	const servers = createServers(2);
-	loads.noteLatency(toBackendServerId('s0'), 1000);
-	loads.noteLatency(toBackendServerId('s1'), 100);
+	loads.recordLatency(toBackendServerId('s0'), 1000);
+	loads.recordLatency(toBackendServerId('s1'), 100);
 	const count = (): number => countChoices({servers, getLoad: loads.get, now: Date.now()}).get('s0') ?? 0;
 	// Where both draws fall on it, it is chosen: one time in four.
 	assert.ok(count() < 160);
 	for (let request = 0; request < 8; request++) {
-		loads.begin(toBackendServerId('s1'));
+		loads.recordStart(toBackendServerId('s1'));
 	}
 
 	assert.ok(count() > 200);
 	for (let request = 0; request < 8; request++) {
-		loads.end(toBackendServerId('s1'));
+		loads.recordEnd(toBackendServerId('s1'));
 	}
 
 	t.mock.timers.tick(20_000);
@@ -128,8 +128,8 @@
 	const servers = createServers(4, index => ({domain: index < 2 ? 'd' : 'other'}));
 	assert.deepEqual([...countChoices({servers}).keys()].toSorted(), ['s0', 's1']);
 	const loads = createServerLoads();
-	loads.report(toBackendServerId('s0'), 9);
-	loads.report(toBackendServerId('s1'), 9);
+	loads.recordReport(toBackendServerId('s0'), 9);
+	loads.recordReport(toBackendServerId('s1'), 9);
 	assert.ok([...countChoices({servers, getLoad: loads.get}).keys()].some(name => name === 's2' || name === 's3'));
 });
 
--- a/src/lib/routing/server-load.ts
+++ b/src/lib/routing/server-load.ts
@@ -12,7 +12,7 @@
 	/** This node's own requests that the server is working on. */
 	readonly inFlight: number;
 	/** Requests in work and waiting, by the gate's last answer. */
-	readonly reported: number;
+	readonly reportedRequests: number;
 	/** When the gate last answered, in milliseconds since the epoch. */
 	readonly reportedAt: number;
 	/** When this node first knew of the server. */
@@ -29,24 +29,24 @@
 /** @internal */
 export type ServerLoads = {
 	readonly get: (id: BackendServerId) => ServerLoad;
-	readonly begin: (id: BackendServerId) => void;
-	readonly end: (id: BackendServerId) => void;
+	readonly recordStart: (id: BackendServerId) => void;
+	readonly recordEnd: (id: BackendServerId) => void;
 	/** Notes how long an answer took to begin, or how long was waited in vain. */
-	readonly noteLatency: (id: BackendServerId, milliseconds: number) => void;
-	readonly report: (id: BackendServerId, requests: number) => void;
+	readonly recordLatency: (id: BackendServerId, milliseconds: number) => void;
+	readonly recordReport: (id: BackendServerId, requests: number) => void;
 	/** Leaves a server out for a while, longer each time in a row; yields for how many milliseconds. */
 	readonly eject: (id: BackendServerId, baseMs: number) => number;
-	readonly forget: (isKnown: (id: BackendServerId) => boolean) => void;
+	readonly retain: (isKnown: (id: BackendServerId) => boolean) => void;
 };
 
-const longestEjection = 8;
+const maximumEjectionFactor = 8;
 
 /** Weight of the newest observation in the average. */
 const latencyWeight = 0.2;
 
 function createLoad(now: number): ServerLoad {
 	return {
-		inFlight: 0, reported: 0, reportedAt: 0, firstSeenAt: now, ejectedUntil: 0, failures: 0, latencyMs: 0, latencyAt: 0,
+		inFlight: 0, reportedRequests: 0, reportedAt: 0, firstSeenAt: now, ejectedUntil: 0, failures: 0, latencyMs: 0, latencyAt: 0,
 	};
 }
 
@@ -74,29 +74,29 @@
 
 	return {
 		get,
-		begin(id) {
+		recordStart(id) {
 			update(id, {inFlight: get(id).inFlight + 1});
 		},
-		end(id) {
+		recordEnd(id) {
 			update(id, {inFlight: Math.max(0, get(id).inFlight - 1)});
 		},
-		noteLatency(id, milliseconds) {
+		recordLatency(id, milliseconds) {
 			const {latencyMs} = get(id);
 			const average = latencyMs === 0 ? milliseconds : (latencyMs * (1 - latencyWeight)) + (milliseconds * latencyWeight);
 			update(id, {latencyMs: average, latencyAt: readNow()});
 		},
-		report(id, requests) {
+		recordReport(id, requests) {
 			update(id, {
-				reported: requests, reportedAt: readNow(), failures: 0, ejectedUntil: 0,
+				reportedRequests: requests, reportedAt: readNow(), failures: 0, ejectedUntil: 0,
 			});
 		},
 		eject(id, baseMs) {
 			const failures = get(id).failures + 1;
-			const forMs = baseMs * Math.min(longestEjection, failures);
+			const forMs = baseMs * Math.min(maximumEjectionFactor, failures);
 			update(id, {failures, ejectedUntil: readNow() + forMs});
 			return forMs;
 		},
-		forget(isKnown) {
+		retain(isKnown) {
 			for (const [id, load] of loads) {
 				if (load.inFlight === 0 && !isKnown(id)) {
 					loads.delete(id);
