--- a/src/lib/directory/directory-keeper.ts
+++ b/src/lib/directory/directory-keeper.ts
@@ -1,5 +1,5 @@
 /**
- * Holds this node's directory and its own record in it.
+ * Holds the current directory of this node, and the node's own record.
  *
  * @module
  */
@@ -13,39 +13,42 @@
 	compareRecords, isUsable, type BackendServer, type NodeRecord, type NodeStatus,
 } from './node-record.js';
 
-/** Milliseconds for which a node that is gone is remembered, so that late news of its life is known to be old. */
+/** How long the record of a node that is dead or left is kept as a tombstone, so that a delayed older record does not bring the node back. */
 const tombstoneRetentionMs = 600_000;
 
-/** How records came to this node. @internal */
+/** How records reached this node. @internal */
 export type RecordSource =
 	| {readonly type: 'own'}
 	| {readonly type: 'push'; readonly from: NodeId}
 	| {readonly type: 'pull'};
 
-/** Told of records that were new to this node. @internal */
+/** Called with records that are new to this node. @internal */
 export type RecordListener = (records: readonly NodeRecord[], source: RecordSource) => void;
 
 /** @public */
 export type DirectoryKeeper = {
 	readonly getDirectory: () => Directory;
 	readonly getOwnRecord: () => NodeRecord;
-	/** Merges records from elsewhere; a wrong claim about this node itself is refuted. */
+	/** Merges records from other nodes. A record of this node itself that is newer than its own is refuted. */
 	readonly merge: (records: readonly NodeRecord[], source: RecordSource) => void;
+	/** Publishes the backend servers beside this node. */
 	readonly setServers: (servers: readonly BackendServer[]) => void;
 	readonly setOwnStatus: (status: NodeStatus) => void;
-	/** Worsens the status of another node, as this node observed it. */
+	/** Changes the status of another node, as observed by this node. A status that is earlier in the order of statuses has no effect. */
 	readonly markStatus: (id: NodeId, status: NodeStatus) => void;
+	/** Lists the records of all buckets whose digests differ from the given ones. */
 	readonly listDifferingRecords: (bucketDigests: readonly string[]) => readonly NodeRecord[];
 	readonly listBucketDigests: () => readonly string[];
+	/** Removes the records of nodes that have been dead or left for longer than the retention time. */
 	readonly removeOldTombstones: () => void;
 };
 
 /**
- * Creates the directory of a node that knows only itself.
+ * Creates a directory that contains only the node itself.
  *
  * @param self - The node's own record.
- * @param handleChange - Told of every change, this node's own included.
- * @returns The keeper.
+ * @param handleChange - Called after each change, including changes of the own record.
+ * @returns The directory keeper.
  * @internal
  */
 export function createDirectoryKeeper(self: NodeRecord, handleChange: RecordListener): DirectoryKeeper {
@@ -83,7 +86,8 @@
 		merge(records, source) {
 			const claim = records.find(record => record.id === own.id && compareRecords(record, own) > 0);
 			if (claim !== undefined) {
-				// Somebody holds a later word on this node than its own: an accusation, or a run before a clock went back.
+				// Another node has a newer record of this node: either it suspects this node or declared it dead, or the record is from an
+				// earlier run, before the clock was set back. The own record is made newer than that one.
 				own = {...own, epoch: Math.max(own.epoch, claim.epoch), sequence: claim.sequence + 1};
 			}
 
--- a/src/lib/directory/directory.test.ts
+++ b/src/lib/directory/directory.test.ts
@@ -23,7 +23,7 @@
 	epoch, sequence, status, servers: Array.from({length: sequence}, (_, index) => createServer(`${id}-${epoch}-${index}`)),
 }));
 
-test('directories that saw the same records are equal, in whatever order, how often and in how many parts they came', () => {
+test('directories that merged the same records are equal, whatever the order, repetition and batches of the records', () => {
 	fc.assert(fc.property(fc.array(recordArbitrary, {maxLength: 20}), fc.nat(20), (records, cut) => {
 		const atOnce = mergeRecords(createDirectory(), records).directory;
 		const reversed = records.toReversed();
@@ -34,7 +34,7 @@
 	}));
 });
 
-test('the servers of a node that is gone are not offered', () => {
+test('the servers of a dead node are not listed', () => {
 	const alive = mergeRecords(createDirectory(), [createRecord('a', {servers: [createServer('x')]})]).directory;
 	assert.equal(listServers(alive, 's').length, 1);
 	const dead = mergeRecords(alive, [createRecord('a', {status: 'dead', servers: [createServer('x')]})]).directory;
@@ -42,7 +42,7 @@
 	assert.equal(listDomainRecords(dead, toFailureDomain('d')).length, 1);
 });
 
-test('a node refutes what is wrongly said of it', () => {
+test('a node refutes a record that declares it dead', () => {
 	const published: NodeRecord[] = [];
 	const keeper = createDirectoryKeeper(createRecord('a'), records => {
 		published.push(...records);
@@ -53,7 +53,7 @@
 	assert.equal(published.at(-1)?.sequence, keeper.getOwnRecord().sequence);
 });
 
-test('a node whose clock went back between two runs raises its epoch above that of the run before', () => {
+test('a node whose clock was set back between two runs adopts the epoch of the earlier run, with a higher sequence', () => {
 	const keeper = createDirectoryKeeper(createRecord('a', {epoch: 5}), () => undefined);
 	keeper.merge([createRecord('a', {epoch: 9, sequence: 40})], {type: 'pull'});
 	assert.equal(keeper.getOwnRecord().epoch, 9);
--- a/src/lib/directory/directory.ts
+++ b/src/lib/directory/directory.ts
@@ -1,8 +1,9 @@
 /**
- * Every node and backend server of the mesh, as this node knows them.
+ * Directory of all nodes and backend servers of the mesh, as known to this node.
  *
- * Records merge by rule, so it does not matter in which order, how often or by
- * which way they arrive; two directories that saw the same records are equal.
+ * Merging is commutative, associative and idempotent: order, repetition and
+ * path of arrival of the records do not matter. Two directories that merged the
+ * same records are equal.
  *
  * @module
  */
@@ -14,7 +15,7 @@
 	compareRecords, formatRecordFingerprint, isUsable, type BackendServer, type NodeRecord,
 } from './node-record.js';
 
-/** A backend server with the node that stands in front of it. @public */
+/** A backend server, with the record of the node beside it. @public */
 export type DirectoryServer = {
 	readonly server: BackendServer;
 	readonly node: NodeRecord;
@@ -23,20 +24,22 @@
 /** An immutable state of the directory. @internal */
 export type Directory = {
 	readonly tree: DigestTree<NodeRecord>;
-	/** Usable servers by service, then by id. */
+	/** Servers of usable nodes by service, then by ID. */
 	readonly services: ReadonlyMap<string, ReadonlyMap<BackendServerId, DirectoryServer>>;
 	/** Nodes by failure domain. */
 	readonly domains: ReadonlyMap<FailureDomain, ReadonlySet<NodeId>>;
 };
 
-/** The directory after a merge, and the records that were new to it. @internal */
+/** Result of a merge: the directory, and the records that it did not have before. @internal */
 export type DirectoryMerge = {
 	readonly directory: Directory;
 	readonly changed: readonly NodeRecord[];
 };
 
 /**
- * @returns A directory that knows nobody.
+ * Creates an empty directory.
+ *
+ * @returns The directory.
  * @internal
  */
 export function createDirectory(): Directory {
@@ -44,9 +47,11 @@
 }
 
 /**
- * @param directory - Where to look.
- * @param id - The node.
- * @returns Its record, or `undefined`.
+ * Gets the record of a node.
+ *
+ * @param directory - The directory.
+ * @param id - The ID of the node.
+ * @returns The record, or `undefined` if the node is unknown.
  * @internal
  */
 export function getRecord(directory: Directory, id: NodeId): NodeRecord | undefined {
@@ -54,8 +59,10 @@
 }
 
 /**
- * @param directory - What to list.
- * @returns Every record, the dead ones included.
+ * Lists all records.
+ *
+ * @param directory - The directory.
+ * @returns The records, including those of nodes that are dead or left.
  * @internal
  */
 export function listRecords(directory: Directory): readonly NodeRecord[] {
@@ -63,9 +70,11 @@
 }
 
 /**
- * @param directory - Where to look.
- * @param domain - A failure domain.
- * @returns The records of its nodes.
+ * Lists the records of a failure domain.
+ *
+ * @param directory - The directory.
+ * @param domain - The failure domain.
+ * @returns The records, including those of nodes that are dead or left.
  * @internal
  */
 export function listDomainRecords(directory: Directory, domain: FailureDomain): readonly NodeRecord[] {
@@ -73,16 +82,18 @@
 }
 
 /**
- * @param directory - Where to look.
- * @param service - A service.
- * @returns The servers that announced themselves for it and whose nodes are not known to be gone.
+ * Lists the backend servers of a service.
+ *
+ * @param directory - The directory.
+ * @param service - The name of the service.
+ * @returns The backend servers whose nodes are usable: alive or suspect.
  * @internal
  */
 export function listServers(directory: Directory, service: string): readonly DirectoryServer[] {
 	return [...directory.services.get(service)?.values() ?? []];
 }
 
-/** The indexes while one merge changes them: only what is touched is copied, and once. */
+/** The indexes of a directory during one merge. They are copied on write: each inner map or set that changes is copied once. */
 type IndexEdit = {
 	readonly services: Map<string, Map<BackendServerId, DirectoryServer>>;
 	readonly domains: Map<FailureDomain, Set<NodeId>>;
@@ -137,9 +148,9 @@
 /**
  * Merges records into a directory.
  *
- * @param directory - The directory; it stays as it is.
- * @param records - Records, perhaps old, repeated or of nodes not heard of before.
- * @returns The merged directory and the records that were newer than what it held.
+ * @param directory - The directory. It is not modified.
+ * @param records - Records, possibly old, repeated or of unknown nodes.
+ * @returns The merged directory, and the records that were newer than those in `directory`.
  * @internal
  */
 export function mergeRecords(directory: Directory, records: readonly NodeRecord[]): DirectoryMerge {
@@ -174,11 +185,11 @@
 }
 
 /**
- * Forgets nodes that have been gone for long, so that the directory does not grow with every replacement.
+ * Removes the records of nodes that died or left. Without this, the directory would grow with every replaced node.
  *
- * @param directory - The directory; it stays as it is.
- * @param ids - Nodes that are dead or left.
- * @returns The smaller directory.
+ * @param directory - The directory. It is not modified.
+ * @param ids - The nodes to remove. Those that are usable are kept.
+ * @returns The directory without these nodes.
  * @internal
  */
 export function removeRecords(directory: Directory, ids: readonly NodeId[]): Directory {
--- a/src/lib/directory/node-record.ts
+++ b/src/lib/directory/node-record.ts
@@ -1,5 +1,5 @@
 /**
- * What a node tells the mesh of itself and of the backend server beside it.
+ * The record that a node publishes of itself and of the backend servers beside it.
  *
  * @module
  */
@@ -7,16 +7,16 @@
 	type Address, type BackendServerId, type FailureDomain, type NodeId,
 } from '../common/ids.js';
 
-/** A backend server as its node announces it. @public */
+/** A backend server, as its node publishes it. @public */
 export type BackendServer = {
 	readonly id: BackendServerId;
 	readonly service: string;
 	readonly address: Address;
-	/** Requests that it works on at once. */
+	/** Maximum number of requests that it executes at once. */
 	readonly slots: number;
-	/** Connections that it takes at once. */
+	/** Maximum number of connections that it accepts at once. */
 	readonly connections: number;
-	/** Milliseconds since the epoch by its node's clock; used for the slow start only. */
+	/** Start time in milliseconds since the epoch, by the clock of its node. With the ID, it identifies the lifetime of the server. */
 	readonly startedAt: number;
 	readonly isDraining: boolean;
 };
@@ -24,23 +24,24 @@
 /** @public */
 export type NodeStatus = 'alive' | 'suspect' | 'dead' | 'left';
 
-/** @public */
+/** All statuses, in the order in which a later one replaces an earlier one. @public */
 export const nodeStatuses: readonly NodeStatus[] = ['alive', 'suspect', 'dead', 'left'];
 
-/** One node. Only the node itself raises its epoch and sequence; others may only worsen its status. @public */
+/** Record of one node. Only the node itself increases its epoch and sequence. Other nodes only change its status to a later one in {@link nodeStatuses}. @public */
 export type NodeRecord = {
 	readonly id: NodeId;
 	readonly failureDomain: FailureDomain;
-	/** Where other nodes send calls. */
+	/** Address to which other nodes send calls. */
 	readonly gateAddress: Address;
-	/** Where other nodes send configuration and directory messages. */
+	/** Address to which other nodes send configuration and directory messages. */
 	readonly controlAddress: Address;
-	/** Where heartbeats go (UDP). */
+	/** UDP address to which other nodes send heartbeats. */
 	readonly gossipAddress: Address;
+	/** Address of the operator API. */
 	readonly operatorAddress: Address;
-	/** Tells one run of the node from the next; larger wins. */
+	/** Identifies one run of the node. A larger value is newer. */
 	readonly epoch: number;
-	/** Tells one state of a run from the next; larger wins. */
+	/** Numbers the records of one run. A larger value is newer. */
 	readonly sequence: number;
 	readonly status: NodeStatus;
 	readonly servers: readonly BackendServer[];
@@ -67,8 +68,10 @@
 }
 
 /**
+ * Formats the fingerprint of a record, from which digests are computed.
+ *
  * @param record - A record.
- * @returns The text that stands for it in digests: equal exactly when neither of two records is newer.
+ * @returns The fingerprint. Two records of one node have the same fingerprint if and only if neither is newer.
  * @internal
  */
 export function formatRecordFingerprint(record: NodeRecord): string {
@@ -76,6 +79,8 @@
 }
 
 /**
+ * Checks whether a node is usable: alive or suspect.
+ *
  * @param record - A record.
  * @returns Whether calls and messages may be sent to the node.
  * @internal
--- a/src/lib/directory/sample-records.ts
+++ b/src/lib/directory/sample-records.ts
@@ -1,5 +1,5 @@
 /**
- * Node records for tests of every slice.
+ * Node records for tests.
  *
  * @module
  */
@@ -7,9 +7,11 @@
 import {type NodeRecord} from './node-record.js';
 
 /**
- * @param id - The node's id.
- * @param changes - What is to differ from a plain record.
- * @returns An alive node's record.
+ * Creates the record of an alive node.
+ *
+ * @param id - The ID of the node.
+ * @param changes - Fields that differ from the defaults.
+ * @returns The record.
  * @internal
  */
 export function createRecord(id: string, changes: Partial<NodeRecord> = {}): NodeRecord {
--- a/src/lib/drain/drain-node.test.ts
+++ b/src/lib/drain/drain-node.test.ts
@@ -23,7 +23,7 @@
 	};
 }
 
-test('the gates close first, and the others hear only when nothing is in flight', async () => {
+test('drains the gates first, and publishes the leave only when nothing is in flight', async () => {
 	const log: string[] = [];
 	let calls = 3;
 	const isDone = await drainNode(createContext(log, {
@@ -38,7 +38,7 @@
 	assert.ok(log.indexOf('calls 0') < log.indexOf('left'));
 });
 
-test('a call that does not end in time is told', async () => {
+test('returns false if a call does not end in time', async () => {
 	const log: string[] = [];
 	assert.equal(await drainNode(createContext(log, {countCalls: () => 1, drainMs: 50})), false);
 	assert.equal(log.at(-1), 'left');
--- a/src/lib/drain/drain-node.ts
+++ b/src/lib/drain/drain-node.ts
@@ -1,27 +1,27 @@
 /**
- * Takes a node out of the mesh without losing work.
+ * Graceful shutdown of a node: takes it out of the mesh without losing work.
  *
  * @module
  */
 import {readNow, waitFor} from '../common/clock.js';
 
-/** What a node hands over to be drained. @internal */
+/** Functions of the node to drain. @internal */
 export type DrainContext = {
-	/** Closes the gates: what they turn away from now on has not run. */
+	/** Makes the gates of this node's backend servers reject new requests. A rejected request was not executed. */
 	readonly startDrainingServers: () => void;
-	/** Takes no new connections of callers, and closes the idle ones. */
+	/** Stops accepting connections from callers, and closes idle ones. */
 	readonly startDrainingEntry: () => void;
-	/** Calls of callers that have not been answered whole. */
+	/** Returns the number of calls whose response is not complete. */
 	readonly countCalls: () => number;
-	/** Waits until the backend servers beside the node work on nothing. */
+	/** Waits until the backend servers beside the node have no requests. Returns false on timeout. */
 	readonly waitUntilIdle: (timeoutMs: number) => Promise<boolean>;
-	/** Tells the others that the node has left. */
+	/** Publishes that the node has left the mesh. */
 	readonly leave: () => void;
-	/** Milliseconds that calls in flight have to end. */
+	/** Milliseconds within which calls in flight have to end. */
 	readonly drainMs: number;
 };
 
-/** Milliseconds for which a draining node goes on taking connections, so that those under way find it. */
+/** How long a draining node still accepts connections, so that callers that are connecting reach it, and how long it stays up after it has left. */
 const lingerMs = 300;
 
 const pollIntervalMs = 20;
@@ -35,10 +35,10 @@
 }
 
 /**
- * Drains a node: no new work, calls in flight end, the others hear of it.
+ * Drains a node: rejects new requests, waits until calls in flight end, then publishes that the node has left.
  *
- * @param parts - What is drained.
- * @returns Whether every call had ended in time.
+ * @param context - Functions of the node to drain.
+ * @returns Whether all calls ended in time.
  * @internal
  */
 export async function drainNode(context: DrainContext): Promise<boolean> {
--- a/src/lib/membership/failure-detector.test.ts
+++ b/src/lib/membership/failure-detector.test.ts
@@ -11,11 +11,11 @@
 
 type Run = {readonly state: DetectorState; readonly effects: readonly DetectorEffect[]};
 
-/** Lets time pass; members for whom `answers` says so acknowledge at once. */
+/** Runs the detector for `forMs`. Members for which `answers` returns true acknowledge each ping immediately. */
 function runDetector(start: DetectorState, from: number, forMs: number, answers: (member: NodeId) => boolean): Run {
 	let state = start;
 	const effects: DetectorEffect[] = [];
-	// A dead member is no longer on the list that the directory gives.
+	// The directory no longer lists a dead member as a target.
 	const isListed = (member: NodeId): boolean => !effects.some(effect => effect.type === 'dead' && effect.member === member);
 	for (let now = from; now < from + forMs; now += tickMs) {
 		const step = stepDetector(state, {type: 'tick', now, members: members.filter(member => isListed(member))}, settings, () => 0.3);
@@ -35,7 +35,7 @@
 	return effects.flatMap(effect => effect.type === type ? [effect.member] : []);
 }
 
-test('one heartbeat goes out a period, to each member in turn', () => {
+test('sends one ping per period, to each member in turn', () => {
 	const {effects} = runDetector(createDetectorState(0), 0, 8 * settings.periodMs, () => true);
 	const targets = effects.flatMap(effect => effect.type === 'ping' ? [effect.target] : []);
 	assert.equal(targets.length, 8);
@@ -43,14 +43,14 @@
 	assert.deepEqual(listMarked(effects, 'suspect'), []);
 });
 
-test('a member that does not answer is asked through others, suspected, and dead in the end', () => {
+test('a member that does not answer is probed indirectly, becomes suspect, and is then declared dead', () => {
 	const {effects} = runDetector(createDetectorState(0), 0, 14 * settings.periodMs, member => member !== 'b');
 	assert.ok(effects.some(effect => effect.type === 'ping-request' && effect.target === 'b'));
 	assert.deepEqual(listMarked(effects, 'suspect'), ['b']);
 	assert.deepEqual(listMarked(effects, 'dead'), ['b']);
 });
 
-test('a suspect that answers, itself or through another, is not given up', () => {
+test('a suspect whose suspicion is refuted is not declared dead', () => {
 	const suspected = runDetector(createDetectorState(0), 0, 6 * settings.periodMs, member => member !== 'b');
 	assert.ok(suspected.state.suspects.has(toNodeId('b')));
 	const refuted = stepDetector(suspected.state, {type: 'refuted', member: toNodeId('b')}, settings, () => 0).state;
@@ -58,7 +58,7 @@
 	assert.deepEqual(listMarked(effects, 'dead'), []);
 });
 
-test('a node that was paused itself starts its judgements over', () => {
+test('after a pause of this node, the timeouts of its suspects start again', () => {
 	const suspected = runDetector(createDetectorState(0), 0, 6 * settings.periodMs, member => member !== 'b');
 	const wokenAt = 60 * settings.periodMs;
 	const woken = stepDetector(suspected.state, {type: 'tick', now: wokenAt, members}, settings, () => 0.3);
--- a/src/lib/membership/failure-detector.ts
+++ b/src/lib/membership/failure-detector.ts
@@ -1,10 +1,12 @@
 /**
- * Decides which nodes of this failure domain are alive, in the manner of SWIM:
- * each period one member is sent a heartbeat; without an answer, others are
- * asked to try; without an answer to them either, the member is suspected, and
- * after a while without refutation it is dead.
+ * Failure detector for the nodes of this failure domain, after the SWIM
+ * protocol. In each period it pings one member. If no ack arrives in time, it
+ * asks other members to ping that member (indirect probe). If these get no ack
+ * either, the member becomes suspect, and dead if nothing refutes the suspicion
+ * within a timeout.
  *
- * This is the decision part: state and message in, state and effects out.
+ * This module is a pure state machine: it takes a state and an event, and
+ * returns the next state and effects. gossip.ts does the I/O.
  *
  * @module
  */
@@ -13,13 +15,13 @@
 
 /** @public */
 export type DetectorSettings = {
-	/** Milliseconds between two heartbeats of this node. */
+	/** Milliseconds between two probes by this node. */
 	readonly periodMs: number;
-	/** Milliseconds until an answer is missed. */
+	/** Milliseconds to wait for the ack of a direct ping before indirect probes are sent. */
 	readonly ackTimeoutMs: number;
-	/** Members that are asked to try when an answer is missed. */
+	/** Number of members that are asked for an indirect probe. */
 	readonly indirectProbes: number;
-	/** Milliseconds from suspicion to death. */
+	/** Milliseconds after which a suspect is declared dead. */
 	readonly suspicionMs: number;
 };
 
@@ -28,7 +30,7 @@
 	periodMs: 1000, ackTimeoutMs: 400, indirectProbes: 3, suspicionMs: 4000,
 };
 
-/** A heartbeat that has not been answered yet. */
+/** A probe whose ack has not arrived yet. */
 type Probe = {
 	readonly target: NodeId;
 	readonly sequenceNumber: number;
@@ -40,12 +42,12 @@
 export type DetectorState = {
 	readonly nextSequenceNumber: number;
 	readonly lastTickAt: number;
-	/** Who is next; filled with all members in random order whenever it is empty. */
+	/** Members to probe next. Refilled with all members in random order when it is empty. */
 	readonly probeQueue: readonly NodeId[];
 	readonly probe: Probe | undefined;
-	/** When the next heartbeat is due, in milliseconds since the epoch. */
+	/** When the next probe is due, in milliseconds since the epoch. */
 	readonly nextProbeAt: number;
-	/** When each suspect is given up, in milliseconds since the epoch. */
+	/** When each suspect is declared dead, in milliseconds since the epoch. */
 	readonly suspects: ReadonlyMap<NodeId, number>;
 };
 
@@ -56,7 +58,7 @@
 	| {readonly type: 'refuted'; readonly member: NodeId}
 	| {readonly type: 'suspected'; readonly member: NodeId; readonly now: number};
 
-/** What is to be done. @internal */
+/** A side effect for the caller to carry out. @internal */
 export type DetectorEffect =
 	| {readonly type: 'ping'; readonly target: NodeId; readonly sequenceNumber: number}
 	| {readonly type: 'ping-request'; readonly through: NodeId; readonly target: NodeId; readonly sequenceNumber: number}
@@ -69,12 +71,14 @@
 	readonly effects: readonly DetectorEffect[];
 };
 
-/** A tick that comes this many periods late shows that this node itself was paused. */
+/** A gap between two ticks of more than this many periods means that this node itself was paused. */
 const pauseThresholdPeriods = 3;
 
 /**
+ * Creates the initial state of a detector, without probes or suspects.
+ *
  * @param now - Milliseconds since the epoch.
- * @returns The state of a detector that has probed nobody.
+ * @returns The state.
  * @internal
  */
 export function createDetectorState(now: number): DetectorState {
@@ -97,7 +101,7 @@
 	return state.suspects.has(member) ? state : {...state, suspects: new Map([...state.suspects, [member, deadline]])};
 }
 
-/** A paused node missed answers that did arrive, so it starts its judgements over. */
+/** Drops the probe in flight and restarts the timeout of each suspect: acks and refutations may have arrived unread during the pause. */
 function resetAfterPause(state: DetectorState, settings: DetectorSettings, now: number): DetectorState {
 	const suspects = new Map([...state.suspects.keys()].map(member => [member, now + settings.suspicionMs]));
 	return {...state, probe: undefined, suspects};
@@ -139,7 +143,7 @@
 	}
 
 	const suspects = new Map([...state.suspects].filter(([, deadline]) => deadline > now));
-	// A heartbeat to a member that has just been given up proves nothing more.
+	// The probe of a member that has just been declared dead is of no more use.
 	const probe = state.probe !== undefined && expired.includes(state.probe.target) ? undefined : state.probe;
 	return {state: {...state, suspects, probe}, effects: expired.map(member => ({type: 'dead', member}))};
 }
@@ -180,13 +184,13 @@
 }
 
 /**
- * Takes one step.
+ * Applies one event to the detector.
  *
- * @param state - The detector as it stands.
- * @param event - What happened.
- * @param settings - Its times.
- * @param random - Yields numbers from 0 up to 1.
- * @returns The next state and what is to be done.
+ * @param state - The current state.
+ * @param event - The event.
+ * @param settings - The timing of probes and suspicions.
+ * @param random - Returns random numbers from 0 (inclusive) to 1 (exclusive).
+ * @returns The next state, and the effects to carry out in order.
  * @internal
  */
 export function stepDetector(state: DetectorState, event: DetectorEvent, settings: DetectorSettings, random: () => number): DetectorStep {
--- a/src/lib/membership/gossip.ts
+++ b/src/lib/membership/gossip.ts
@@ -1,6 +1,7 @@
 /**
- * Heartbeats over UDP: the failure detector's messages, with the random check
- * of configuration and directory riding on each of them.
+ * Sends and receives heartbeats over UDP. They carry the messages of the
+ * failure detector, and with each of them the digests that the anti-entropy
+ * check of configuration and directory compares.
  *
  * @module
  */
@@ -42,11 +43,12 @@
 
 /** @internal */
 export type Gossip = {
+	/** Binds the UDP socket. Returns its port. */
 	readonly listen: (host: string, port: number) => Promise<number>;
 	readonly start: () => void;
-	/** Looks again at who is suspected, after records changed. */
+	/** Updates the suspects of the failure detector from changed records. */
 	readonly handleRecords: (records: readonly NodeRecord[]) => void;
-	/** Tells some members at once of what must not wait for the next heartbeats; they pass it on with theirs. */
+	/** Pings some members immediately, with data that must not wait for the next heartbeats. Their own heartbeats forward it. */
 	readonly sendUrgentPings: () => void;
 	readonly dispose: () => Promise<void>;
 };
@@ -67,32 +69,32 @@
 	readonly meter: ByteMeter;
 	readonly network: Network;
 	readonly random: () => number;
-	/** Requests that crash backend servers ride on each datagram, a bounded part of them. */
+	/** Each datagram carries a bounded batch of the requests that are suspected of crashing backend servers. */
 	readonly quarantine: Pick<Quarantine, 'listBatch' | 'merge'>;
 };
 
 type MessageKind = MessageInitShape<typeof GossipSchema>['kind'];
 
-/** Steps of the detector in one period. */
+/** Ticks of the failure detector per period. */
 const ticksPerPeriod = 5;
 
-/** Periods between two tries to reach a member that is held for dead. */
+/** Periods between two pings to members that were declared dead. */
 const deadMemberRetryPeriods = 3;
 
-/** Sequence numbers of heartbeats between relays, which the failure detector knows nothing of. */
+/** Sequence number of messages that the failure detector does not track, such as pings to other failure domains. */
 const untrackedSequenceNumber = 0;
 
-/** Members that are told at once of what must not wait: each tells one more in every period. */
+/** Maximum number of members that are pinged for urgent data. Each of them forwards it to one more member per period. */
 const maximumUrgentPings = 30;
 
-/** Forwarded heartbeats whose answers are awaited for others. */
+/** A ping sent on behalf of another member (`origin`), which gets the result when the ack arrives. */
 type ForwardedPing = {readonly origin: NodeId; readonly sequenceNumber: number; readonly sentAt: number};
 
 /**
- * Creates the heartbeats of a node.
+ * Creates the gossip of a node: its UDP socket, timers and failure detector.
  *
- * @param context - What they work with.
- * @returns The heartbeats, not started yet.
+ * @param context - The settings and the parts of the node that it uses.
+ * @returns The gossip, not listening and not started.
  * @internal
  */
 export function createGossip(context: GossipContext): Gossip {
@@ -110,7 +112,7 @@
 	let lastDeadRetryAt = 0;
 	let lastCleanupAt = 0;
 	const timers: NodeJS.Timeout[] = [];
-	/** What a server's end tells may come when this node has stopped. */
+	/** Whether the socket is closed. The end of a backend server may trigger urgent pings after this node has stopped. */
 	let isClosed = false;
 
 	const findGossipAddress = (id: NodeId): Address | undefined => getRecord(directory.getDirectory(), id)?.gossipAddress;
@@ -143,7 +145,7 @@
 		}
 	};
 
-	/** A suspect is told so, and can refute it. */
+	/** Returns the record of a target that is not recorded as alive. Sending it to the target allows the target to refute it. */
 	const listSuspicion = (target: NodeId): readonly NodeRecord[] => {
 		const record = getRecord(directory.getDirectory(), target);
 		return record === undefined || record.status === 'alive' ? [] : [record];
@@ -201,7 +203,7 @@
 		}
 	};
 
-	/** An answer that came through a helper: its record shows who is alive. */
+	/** Handles the ack of an indirect probe, forwarded by the member that sent the ping. Its record identifies the member that answered. */
 	const handleIndirectAck = (message: GossipMessage): void => {
 		const target = message.records[0]?.id;
 		if (target !== undefined) {
@@ -269,7 +271,7 @@
 		}
 	};
 
-	/** Tries one member that is held for dead: after a cut both sides hold the other for dead, and would go on doing so. */
+	/** Pings one dead member. After a network partition both sides consider each other dead, and would never reconnect without this. */
 	const retryDeadMember = (now: number): void => {
 		if (now - lastDeadRetryAt < settings.periodMs * deadMemberRetryPeriods) {
 			return;
@@ -296,7 +298,7 @@
 
 	const tick = (): void => {
 		const now = readNow();
-		// Nobody is probed who cannot answer yet: members whose address is not known, and this node itself.
+		// This node does not probe itself.
 		const probeTargets = members.listProbeTargets(domain).filter(member => member !== self);
 		step({type: 'tick', now, members: probeTargets});
 		pingOtherDomain(now);
@@ -319,7 +321,7 @@
 		try {
 			handleMessage(fromBinary(GossipSchema, bytes), remote);
 		} catch {
-			// A datagram that is not one of ours is dropped: anybody can send one.
+			// Any process can send a datagram to this port. One that cannot be decoded is dropped.
 		}
 	});
 	socket.on('error', () => undefined);
--- a/src/lib/membership/join-mesh.test.ts
+++ b/src/lib/membership/join-mesh.test.ts
@@ -22,21 +22,21 @@
 	last = step.next;
 }
 
-/** What one other node answers. */
+/** Responses of one other node. */
 type Peer = {
 	readonly version: number;
 	readonly floor?: number;
 	readonly helpers?: readonly string[];
 	readonly members?: readonly string[];
 	readonly refusesState?: boolean;
-	/** A node that has only just started itself. */
+	/** Whether the node has only just started and does not serve calls yet. */
 	readonly isNotReady?: boolean;
 };
 
 type Fake = {
 	readonly context: JoinContext;
 	readonly store: MemoryStore;
-	/** Whom the state was fetched from, in order. */
+	/** Nodes from which the state was requested, in order. */
 	readonly sources: string[];
 	readonly peers: Map<string, Peer>;
 };
@@ -52,7 +52,7 @@
 		async join() {
 			const peer = peers.get(address);
 			if (peer === undefined) {
-				throw new Error('nobody answers');
+				throw new Error('connection refused');
 			}
 
 			return {
@@ -95,7 +95,7 @@
 
 const neverAborted = new AbortController().signal;
 
-test('a node does not serve before it has what it was last heard to have', async () => {
+test('a node does not serve before it has the highest version that it had reported to another node', async () => {
 	const {context, peers} = createFake({
 		seed: {version: 3, members: ['relay']}, relay: {version: 3, floor: 5, members: ['relay']},
 	});
@@ -110,7 +110,7 @@
 	assert.equal(context.configuration.getConfiguration().version, 5);
 });
 
-test('the whole state comes from helpers before seeds, and from the next when one is busy', async () => {
+test('fetches the full state from helpers before seeds, and from the next helper when one is busy', async () => {
 	const {context, sources} = createFake({
 		seed: {version: 4, members: ['relay'], helpers: ['busy', 'free']}, relay: {version: 4}, busy: {version: 4, refusesState: true}, free: {version: 4},
 	});
@@ -120,7 +120,7 @@
 	assert.equal(context.configuration.getConfiguration().version, 4);
 });
 
-test('the store is read only by a node whom nobody in its own failure domain could help', async () => {
+test('reads the store only if no member of its own failure domain is ready', async () => {
 	const helped = createFake({seed: {version: 2, members: ['relay']}, relay: {version: 2}});
 	await joinMesh(helped.context, neverAborted);
 	assert.equal(helped.store.getCalls().reads, 0);
@@ -130,7 +130,7 @@
 	assert.equal(withoutPeers.store.getCalls().reads, 1);
 });
 
-test('members that have only just started themselves help nobody: a domain that restarts whole does not agree on nothing', async () => {
+test('members that have only just started are no reliable source: when a whole failure domain restarts, its nodes do not serve an empty configuration', async () => {
 	const fake = createFake({seed: {version: 0, members: ['relay'], isNotReady: true}, relay: {version: 0, isNotReady: true}});
 	assert.equal(await joinMesh(fake.context, neverAborted), true);
 	assert.equal(fake.store.getCalls().reads, 1);
@@ -145,7 +145,7 @@
 	assert.equal(await joining, false);
 });
 
-test('a node that neither a member nor the store answers does not serve', async () => {
+test('a node does not serve if neither a member nor the store answers', async () => {
 	const fake = createFake({});
 	fake.store.setFaults({isDown: true});
 	const abort = new AbortController();
--- a/src/lib/membership/join-mesh.ts
+++ b/src/lib/membership/join-mesh.ts
@@ -1,6 +1,7 @@
 /**
- * Brings a node that starts into the mesh, and decides when it may serve: not
- * before it has what an earlier run of it had applied.
+ * Joins a starting node to the mesh and decides when it may serve calls: only
+ * once it has a configuration at least as new as the one that it had applied
+ * before a restart.
  *
  * @module
  */
@@ -30,35 +31,38 @@
 	readonly random: () => number;
 };
 
-/** Seeds that are asked in one round. */
+/** Number of seeds that get a join request in one round. */
 const seedsPerRound = 3;
 
-/** Nodes that the state is asked of in one round. */
+/** Maximum number of nodes from which the state is fetched in one round. */
 const sourcesPerRound = 6;
 
-/** Members of the own domain that are asked after the seeds. */
+/** Number of random members of this failure domain that get a join request in one round, besides relay and standby. */
 const membersPerRound = 3;
 
 const initialBackoffMs = 300;
 const maximumBackoffMs = 5000;
 
-/** Milliseconds between two looks for seeds that this node does not know, while it knows nobody and later. */
+/** Interval of join requests to unknown seeds, before jitter: while this node knows no other node, and later. */
 const isolatedSeedCheckMs = 500;
 const seedCheckMs = 10_000;
 
-/** Who answered, and whom else the whole state can be fetched from. */
+/** The response of a node to a join request, with its address. */
 type PeerJoinResult = {
 	readonly address: Address;
+	/** Control addresses of nodes from which the full state can be fetched. */
 	readonly helpers: readonly Address[];
-	/** Whether the node that answered serves itself; the word of one that has only just started proves nothing. */
+	/** Whether the responding node serves calls itself. One that has only just started has no reliable state. */
 	readonly isReady: boolean;
 };
 
 type JoinResult = {
 	readonly isReady: boolean;
+	/** Configuration version of the responding node. */
 	readonly version: number;
+	/** The highest configuration version that the joining node had reported to the responding node before; 0 if none. */
 	readonly floor: number;
-	/** Control addresses of nodes that the whole state can be fetched from. */
+	/** Control addresses of nodes from which the full state can be fetched. */
 	readonly helpers: readonly Address[];
 };
 
@@ -81,12 +85,13 @@
 }
 
 /**
- * Goes on looking for seeds that this node does not know: nodes that started at the same moment, or were cut apart
- * before they knew one another, would stay apart without it.
+ * Sends join requests to seeds that are missing from the directory, periodically until the signal is aborted. Without
+ * this, nodes that started at the same moment, or that a network partition separated before they knew one another,
+ * would stay separated.
  *
- * @param context - What it works with.
- * @param signal - Ends the search.
- * @returns After the signal.
+ * @param context - The settings and the parts of the node that it uses.
+ * @param signal - Stops the requests.
+ * @returns Resolves after the signal is aborted.
  * @internal
  */
 export async function joinUnknownSeeds(context: JoinContext, signal: AbortSignal): Promise<void> {
@@ -104,11 +109,11 @@
 }
 
 /**
- * Joins the mesh. It comes back only when the node may serve.
+ * Joins the mesh. Retries with exponential backoff and jitter until the node may serve calls.
  *
- * @param context - What it works with.
- * @param signal - Gives up.
- * @returns Whether the node may serve; false after the signal.
+ * @param context - The settings and the parts of the node that it uses.
+ * @param signal - Aborts the join.
+ * @returns True when the node may serve calls; false if the signal was aborted.
  * @internal
  */
 export async function joinMesh(context: JoinContext, signal: AbortSignal): Promise<boolean> {
@@ -130,7 +135,7 @@
 		return results.flatMap(result => result ?? []);
 	};
 
-	/** The relay and standby watch the store, and the others may remember this node. */
+	/** Returns the relay and the standby, which watch the store, and some other members, which may know the last version of this node. */
 	const listMembersToAsk = (): readonly Address[] => {
 		const {relay, standby} = distributor.getPlace();
 		const others = shuffleList([...directory.getDirectory().domains.get(directory.getOwnRecord().failureDomain) ?? []], random);
@@ -139,7 +144,7 @@
 		return [...chosen].flatMap(id => getRecord(directory.getDirectory(), id)?.controlAddress ?? []);
 	};
 
-	/** Helpers go first: a herd that knows only the seeds must not fetch everything from them. */
+	/** Lists the helpers before the nodes that responded: nodes that start together and know only the seeds would overload these. */
 	const listSources = (results: readonly PeerJoinResult[]): readonly Address[] => {
 		const helpers = results.flatMap(result => result.helpers).filter(address => address !== directory.getOwnRecord().controlAddress);
 		return [...new Set([...shuffleList(helpers, random), ...results.map(({address}) => address)])];
@@ -178,8 +183,8 @@
 		const memberResults = await joinPeers(listMembersToAsk());
 		await pullFrom([...memberResults, ...seedResults]);
 
-		// The store is asked only by a node that nobody in its own failure domain could help: a herd that restarts must not fall on it.
-		// While the store is down, the word of another domain has to do.
+		// The store is read only if no member of this failure domain is ready, so that nodes that restart together do not overload it.
+		// If the store is unavailable, a ready seed of another failure domain is enough.
 		const hasReliableSource = hasReadyPeer(memberResults) || await readStore() || hasReadyPeer(seedResults);
 		return hasReliableSource && configuration.getConfiguration().version >= configuration.getFloor();
 	};
--- a/src/lib/membership/member-list.ts
+++ b/src/lib/membership/member-list.ts
@@ -1,6 +1,7 @@
 /**
- * Who is in which failure domain, in the order that trees and relays are
- * computed from. It is remembered until a record of the domain changes.
+ * Caches the members of each failure domain, in the order from which the
+ * distribution tree and its relay are computed. A change of a record
+ * invalidates the entry of its domain.
  *
  * @module
  */
@@ -11,19 +12,23 @@
 
 /** @internal */
 export type MemberList = {
-	/** The alive members of a domain, in tree order. Suspects are left out: news must not wait for them. */
+	/** Returns the alive members of a domain, in tree order. Suspects are left out, so that distribution does not wait for them. */
 	readonly listAliveMembers: (domain: FailureDomain) => readonly NodeId[];
-	/** Everybody in a domain who may still be there, for heartbeats. */
+	/** Returns the members of a domain that heartbeats are sent to: those that are alive or suspect. */
 	readonly listProbeTargets: (domain: FailureDomain) => readonly NodeId[];
+	/** Returns all failure domains of the directory. */
 	readonly listDomains: () => readonly FailureDomain[];
+	/** Invalidates the cached members of the domains of these records. */
 	readonly handleChange: (records: readonly NodeRecord[]) => void;
 };
 
 type DomainMembers = {readonly aliveMembers: readonly NodeId[]; readonly probeTargets: readonly NodeId[]};
 
 /**
- * @param getDirectory - The directory as it stands.
- * @returns The lists.
+ * Creates the member list of a directory.
+ *
+ * @param getDirectory - Returns the current directory.
+ * @returns The member list.
  * @internal
  */
 export function createMemberList(getDirectory: () => Directory): MemberList {
--- a/src/lib/node/node.ts
+++ b/src/lib/node/node.ts
@@ -1,5 +1,5 @@
 /**
- * One node: everything that runs beside a backend server, wired together.
+ * Creates a node: wires together everything that runs beside a backend server.
  *
  * @module
  */
@@ -49,40 +49,40 @@
 } from './ports.js';
 import {type StartError} from './start-error.js';
 
-/** What a node is handed by its surroundings. @public */
+/** Dependencies of a node. @public */
 export type NodeOptions = {
 	readonly store: Store;
-	/** Yields numbers from 0 up to 1. */
+	/** Returns random numbers from 0 (inclusive) to 1 (exclusive). */
 	readonly random: () => number;
-	/** How other nodes are reached; the operating system's network without it. */
+	/** Network to other nodes. Default: the network of the operating system. */
 	readonly network?: Network;
-	/** Told of every event of the time line. */
+	/** Called with each event of the timeline. */
 	readonly handleEvent?: (event: TimelineEvent) => void;
 };
 
 /** A node of the mesh. @public */
 export type Node = {
-	/** Listens on every port; the node joins the mesh in the background. */
+	/** Listens on all ports. The node then joins the mesh in the background. */
 	readonly start: () => Promise<Result<void, StartError>>;
-	/** Leaves without losing work: no new calls, those in flight end, then the node is gone. Yields whether all of them ended in time. */
+	/** Stops gracefully: rejects new calls, waits for those in flight, then leaves the mesh. Returns whether all calls ended in time. */
 	readonly drain: () => Promise<boolean>;
-	/** Stops at once. */
+	/** Stops immediately, without waiting for calls in flight. */
 	readonly dispose: () => Promise<void>;
 	readonly getStatus: () => NodeStatusAnswer;
 };
 
-/** Milliseconds between two looks at whether this node has to watch the store. */
+/** Interval at which the node checks whether it has to watch the store. */
 const relayDutyCheckMs = 250;
 
-/** Milliseconds between two looks for backend servers that are gone: it walks the whole directory. */
+/** Interval at which the loads of removed backend servers are deleted. It is long because each cleanup iterates over the whole directory. */
 const loadCleanupMs = 30_000;
 
 /**
  * Creates a node.
  *
- * @param settings - Its settings.
- * @param surroundings - The store, randomness and where events go.
- * @returns The node, not started yet.
+ * @param settings - The settings of the node.
+ * @param options - The dependencies of the node.
+ * @returns The node, not started.
  * @public
  * @example
  * ```ts
@@ -109,7 +109,7 @@
 
 	const handleConfiguration = (change: ConfigurationChange): void => {
 		const {configuration: next, deltas, from} = change;
-		// One assignment puts the version in force; a call keeps the snapshot that it began with.
+		// This assignment activates the version atomically. A call keeps the snapshot with which it started.
 		snapshot = advanceSnapshot(snapshot, next, deltas);
 		timeline.record({kind: 'configuration-applied', version: next.version, from});
 		distributor.handleConfiguration(change);
@@ -127,7 +127,7 @@
 		handleUrgentChange() {
 			gossip.sendUrgentPings();
 		},
-		// This node's store holds the configuration and idempotency keys alone: what crashed servers is told from node to node.
+		// The store of this node holds only the configuration and idempotency keys. Requests that crash backend servers are shared by gossip.
 		handleCrash: () => undefined,
 		handleQuarantined: () => undefined,
 	});
@@ -254,7 +254,7 @@
 	let relayDutyTimer: NodeJS.Timeout | undefined;
 	let loadCleanupTimer: NodeJS.Timeout | undefined;
 
-	/** The relay and its standby watch the store, once they have joined: a node that knows nobody yet takes itself for the relay. */
+	/** Starts or stops watching the store. Relay and standby watch it, but only once they are ready: a node that knows no other yet considers itself the relay. */
 	const updateRelayWatch = (): void => {
 		const {relay, standby} = distributor.getPlace();
 		relayWatch.update(isReady && !isDraining && (relay === self || standby === self));
--- a/src/lib/node/own-record.ts
+++ b/src/lib/node/own-record.ts
@@ -1,5 +1,5 @@
 /**
- * The record with which a node begins to tell of itself.
+ * The first record that a node publishes of itself.
  *
  * @module
  */
@@ -8,8 +8,10 @@
 import {type Settings} from '../settings/settings.js';
 
 /**
- * @param settings - The node's settings.
- * @returns Its first record.
+ * Creates the first record of a node.
+ *
+ * @param settings - The settings of the node.
+ * @returns The record.
  * @internal
  */
 export function createOwnRecord(settings: Settings): NodeRecord {
@@ -21,7 +23,7 @@
 		controlAddress: listen.control,
 		gossipAddress: listen.gossip,
 		operatorAddress: listen.operators,
-		// Only tells this run from the one before; a clock that went back is mended when a peer shows the later epoch.
+		// The epoch only distinguishes this run from earlier ones. If the clock was set back, the node raises its epoch when a peer sends a record with a later one.
 		epoch: readNow(),
 		sequence: 1,
 		status: 'alive',
--- a/src/lib/node/ports.ts
+++ b/src/lib/node/ports.ts
@@ -8,7 +8,7 @@
 import {type Address} from '../common/ids.js';
 import {createStartError, type StartError} from './start-error.js';
 
-/** One of the settings' addresses, and how it is listened on. @internal */
+/** A port to open: its name and address in the settings, and the function that listens on it. @internal */
 export type Port = {
 	readonly name: string;
 	readonly address: Address;
@@ -16,9 +16,11 @@
 };
 
 /**
- * @param server - An HTTP server.
- * @param address - Where it listens.
- * @returns Once it listens; an error of the system if it cannot.
+ * Listens on an address.
+ *
+ * @param server - The HTTP server.
+ * @param address - The address to listen on.
+ * @returns Resolves when the server listens; rejects with the system error if it cannot.
  * @internal
  */
 export async function listenOn(server: Server, address: Address): Promise<void> {
@@ -33,10 +35,10 @@
 }
 
 /**
- * Closes a server and cuts its connections.
+ * Closes a server and all its connections.
  *
- * @param server - An HTTP server, listening or not.
- * @returns Once it is closed.
+ * @param server - The HTTP server, listening or not.
+ * @returns Resolves when the server is closed.
  * @internal
  */
 export async function closeServer(server: Server): Promise<void> {
@@ -49,10 +51,10 @@
 }
 
 /**
- * Opens ports one after another.
+ * Opens ports in order, up to the first that fails.
  *
  * @param ports - The ports.
- * @returns The first one that could not be opened, or `undefined`.
+ * @returns The error of the port that could not be opened, or `undefined` if all are open.
  * @internal
  */
 export async function openPorts(ports: readonly Port[]): Promise<StartError | undefined> {
--- a/src/lib/node/start-error.ts
+++ b/src/lib/node/start-error.ts
@@ -1,5 +1,5 @@
 /**
- * Why a node could not start.
+ * The reason why a node could not start.
  *
  * @module
  */
@@ -7,23 +7,27 @@
 /** @public */
 export type StartError = {
 	readonly type: 'cannot-listen';
-	/** Which of the settings' addresses. */
+	/** Name of the port, as in the `listen` settings. */
 	readonly port: string;
 	readonly address: string;
+	/** How to solve the problem, or the message of the system error. */
 	readonly reason: string;
 };
 
+/** Advice by code of the system error. */
 const remedies: ReadonlyMap<string, string> = new Map([
-	['EADDRINUSE', 'another process uses it; stop that process or choose another port'],
-	['EADDRNOTAVAIL', 'this VM does not have that IP number; correct the settings'],
-	['EACCES', 'this user may not listen there; choose a port above 1023'],
+	['EADDRINUSE', 'another process uses this port; stop that process or choose another port'],
+	['EADDRNOTAVAIL', 'this VM does not have this IP address; correct the address in the settings'],
+	['EACCES', 'this user has no permission to listen on this port; choose a port above 1023'],
 ]);
 
 /**
- * @param port - Which of the settings' addresses.
+ * Creates the error for a port that could not be opened.
+ *
+ * @param port - Name of the port, as in the `listen` settings.
  * @param address - The address.
- * @param error - What the system said.
- * @returns The error, with the remedy.
+ * @param error - The system error.
+ * @returns The error, with advice if the code of the system error is known.
  * @internal
  */
 export function createStartError(port: string, address: string, error: unknown): StartError {
@@ -34,8 +38,10 @@
 }
 
 /**
+ * Formats a start error for an operator.
+ *
  * @param error - The error.
- * @returns One line for people.
+ * @returns One line of text.
  * @public
  */
 export function formatStartError(error: StartError): string {
--- a/src/lib/policy/compile-policy.test.ts
+++ b/src/lib/policy/compile-policy.test.ts
@@ -16,7 +16,7 @@
 	return compilePolicy(policy)._unsafeUnwrapErr().map(({field, message}) => `${field}: ${message}`).join('\n');
 }
 
-test('a program decides by the request, with defaults for what it leaves out', () => {
+test('a program decides from the attributes of the request, with defaults for omitted fields', () => {
 	const compiled = compilePolicy(createPolicy('is_read ? {"action": "forward", "isRepeatable": true} : {"action": "refuse", "status": 405}', [
 		{name: 'is_read', expression: 'request.method == "GET"'},
 	]))._unsafeUnwrap();
@@ -27,12 +27,12 @@
 	assert.equal(refused.action === 'refuse' ? refused.status : 0, 405);
 });
 
-test('a request may not be repeated unless the program says so', () => {
+test('a request is not repeatable by default', () => {
 	const decision = compilePolicy(createPolicy('{"action": "forward"}'))._unsafeUnwrap().decide(get)._unsafeUnwrap();
 	assert.equal(decision.action === 'forward' && decision.isRepeatable, false);
 });
 
-test('a program that is wrong, fails on a sample request or decides nothing is refused before it is accepted', () => {
+test('rejects a program that does not compile, fails on a sample request or returns no valid decision', () => {
 	assert.match(listMessages(createPolicy('request.method ==')), /decision: .*end of input/);
 	assert.match(listMessages(createPolicy('{"action": "forward", "timeoutMs": request.headers["x"]}')), /fails on the sample request GET/);
 	assert.match(listMessages(createPolicy('{"action": "fly"}')), /not a decision/);
@@ -40,7 +40,7 @@
 	assert.match(listMessages(createPolicy('{"action": "forward"}', [{name: 'request', expression: '1'}])), /taken/);
 });
 
-test('a program cannot cost much time', () => {
+test('limits the size of a program and the nesting of its loops', () => {
 	const huge = Array.from({length: 300}, (_, index) => String(index)).join(' + ');
 	assert.match(listMessages(createPolicy(`{"action": "forward", "timeoutMs": ${huge}}`)), /at most 400 are allowed/);
 	assert.match(listMessages(createPolicy('[1, 2].all(x, [1, 2].all(y, x == y)) ? {"action": "forward"} : {"action": "refuse"}')), /inside another/);
--- a/src/lib/policy/compile-policy.ts
+++ b/src/lib/policy/compile-policy.ts
@@ -1,7 +1,7 @@
 /**
  * Compiles policy programs, which are written in the Common Expression
- * Language (CEL). CEL terminates by construction and has no I/O; on top of
- * that, the size of a program and the nesting of its loops are bounded here.
+ * Language (CEL). CEL terminates by construction and has no I/O. In addition,
+ * this module limits the size of a program and the nesting of its loops.
  *
  * @module
  */
@@ -13,20 +13,20 @@
 import {decisionSchema, type Decision} from './decision.js';
 import {sampleRequests, type RequestAttributes} from './request-attributes.js';
 
-/** What is wrong with a program, and where. @public */
+/** A problem in a program, and its location. @public */
 export type PolicyProblem = {
 	/** `decision`, or `variables[i].expression`. */
 	readonly field: string;
 	readonly message: string;
 };
 
-/** A program that can be run. @public */
+/** A compiled program. @public */
 export type CompiledPolicy = {
 	readonly name: string;
 	/**
 	 * Runs the program on one request.
 	 *
-	 * @returns The decision, or why the program gave none.
+	 * @returns The decision, or the problem if the program failed or its result is no valid decision.
 	 */
 	readonly decide: (request: RequestAttributes) => Result<Decision, PolicyProblem>;
 };
@@ -39,12 +39,13 @@
 	readonly program: Program;
 };
 
+/** Maximum number of syntax nodes of one expression. */
 const maximumNodeCount = 400;
 const maximumLoopDepth = 1;
 
 type Cost = {readonly nodes: number; readonly loopDepth: number};
 
-/** Walks the syntax tree, whose nodes are plain objects, and adds up what can cost time. */
+/** Counts the nodes and the depth of nested loops in a syntax tree, whose nodes are plain objects. */
 function measureCost(value: unknown): Cost {
 	if (typeof value !== 'object' || value === null) {
 		return {nodes: 0, loopDepth: 0};
@@ -67,7 +68,7 @@
 		const {expr} = parse(text);
 		const cost = measureCost(expr);
 		if (cost.nodes > maximumNodeCount) {
-			return err({field, message: `the program has ${cost.nodes} parts; at most ${maximumNodeCount} are allowed`});
+			return err({field, message: `the expression has ${cost.nodes} syntax nodes; at most ${maximumNodeCount} are allowed`});
 		}
 
 		if (cost.loopDepth > maximumLoopDepth) {
@@ -109,7 +110,7 @@
 	return problems.length === 0 ? ok(steps) : err(problems);
 }
 
-/** Turns a CEL value into the JSON value it stands for. */
+/** Converts a CEL value into the equivalent JSON value. */
 function convertValue(value: unknown): unknown {
 	if (typeof value === 'bigint') {
 		return Number(value);
@@ -151,7 +152,7 @@
 }
 
 /**
- * Compiles a program and tries it on sample requests.
+ * Compiles a program and runs it on the sample requests.
  *
  * @param policy - The program as the operator wrote it.
  * @returns The compiled program, or every problem found.
@@ -181,7 +182,7 @@
 /**
  * Gets the compiled form of a policy of an accepted configuration, compiling it on first use.
  *
- * @param policy - A policy that was accepted, so it compiles.
+ * @param policy - A policy of an accepted configuration. It compiled on the node that accepted it.
  * @returns The compiled program, or `undefined` if this node cannot compile it.
  * @internal
  */
--- a/src/lib/policy/decision.ts
+++ b/src/lib/policy/decision.ts
@@ -1,11 +1,11 @@
 /**
- * What a policy program decides about one request.
+ * The decision of a policy program about one request.
  *
  * @module
  */
 import {z} from 'zod';
 
-/** Kinds of work that do not wait behind one another at the gate. @public */
+/** Classes of requests. At the gate, a request does not wait behind queued requests of the other class. @public */
 export type WorkClass = 'interactive' | 'bulk';
 
 const maximumTimeoutMs = 3_600_000;
--- a/src/lib/policy/request-attributes.ts
+++ b/src/lib/policy/request-attributes.ts
@@ -1,5 +1,5 @@
 /**
- * What a policy program sees of a request.
+ * Attributes of a request that a policy program can read.
  *
  * @module
  */
@@ -8,17 +8,17 @@
 export type RequestAttributes = {
 	readonly method: string;
 	readonly host: string;
-	/** The path without its query. */
+	/** The path without the query. */
 	readonly path: string;
-	/** Header names are in lower case. */
+	/** Values by header name, in lower case. */
 	readonly headers: ReadonlyMap<string, string>;
-	/** Bytes of the body, or -1 if the caller did not say. */
+	/** Size of the body in bytes, or -1 if the caller did not declare it. */
 	readonly size: number;
-	/** The caller's IP number. */
+	/** IP address of the caller. */
 	readonly caller: string;
 };
 
-/** Requests that every program is tried on before it is accepted. @internal */
+/** Requests on which each program is run before it is accepted. @internal */
 export const sampleRequests: readonly RequestAttributes[] = [
 	{
 		method: 'GET', host: 'example.test', path: '/', headers: new Map(), size: 0, caller: '192.0.2.1',
--- a/src/lib/routing/choose-server.ts
+++ b/src/lib/routing/choose-server.ts
@@ -1,6 +1,7 @@
 /**
- * Chooses the backend server of an attempt: the better of two random ones, in
- * this failure domain while it has room.
+ * Chooses the backend server of an attempt by power of two choices: the better
+ * of two random candidates. If the pool is local first, servers of this failure
+ * domain are preferred while they have free slots.
  *
  * @module
  */
@@ -9,44 +10,44 @@
 import {type DirectoryServer} from '../directory/directory.js';
 import {type ServerLoad} from './server-load.js';
 
-/** What a choice is made from. @internal */
+/** Input of a choice. @internal */
 export type ChoiceContext = {
 	readonly servers: readonly DirectoryServer[];
 	readonly pool: Pool;
 	readonly domain: FailureDomain;
-	/** Servers that this request was sent to before. */
+	/** Servers to which this request has already been sent. */
 	readonly tried: ReadonlySet<BackendServerId>;
-	/** Whether a tried server may be chosen when there is no other. */
+	/** Whether a tried server may be chosen again if there is no other. */
 	readonly mayReuse: boolean;
 	readonly getLoad: (id: BackendServerId) => ServerLoad;
 	readonly now: number;
 	readonly random: () => number;
 };
 
-/** Below this share of servers that look sound, the view is doubted and all are used. */
+/** If a smaller share of the servers looks healthy, health is ignored and all of them are candidates. */
 const panicThresholdShare = 0.5;
 
-/** A server that has just come up gets this share of its load at first. */
+/** Share of its normal load that a server gets at the beginning of slow start. */
 const slowStartMinimumShare = 0.1;
 
-/** A gate's report says little after this many milliseconds. */
+/** Age up to which the load reported by a gate is used. */
 const reportValidityMs = 1000;
 
-/** How many times slower a server must be for that to count. */
+/** Ratio of the latencies of two servers from which the faster one is chosen regardless of load, if it has a free slot. */
 const minimumSlowLatencyRatio = 3;
 
-/** Latency that was not seen again for so many milliseconds is forgotten, so that a server that has recovered is tried. */
+/** Age up to which a latency is used. Older ones are ignored, so that a server that has recovered gets requests again. */
 const latencyValidityMs = 10_000;
 
-/** A server with this share of its slots in use has no room. */
+/** A server with a higher load score has no free slot for the request. */
 const fullLoadScore = 1;
 
 /**
- * Judges how busy a server is.
+ * Computes the load score of a server.
  *
  * @param entry - The server.
- * @param context - What is known.
- * @returns Requests for each slot; a cold server counts as busier than it is.
+ * @param context - The input of the choice.
+ * @returns Requests per slot, including the one to send. During slow start, the score is higher.
  * @internal
  */
 export function computeLoadScore(entry: DirectoryServer, context: ChoiceContext): number {
@@ -55,14 +56,14 @@
 	const requests = Math.max(load.inFlight, isFresh ? load.reportedRequests : 0);
 	const age = context.now - load.firstSeenAt;
 	const slowStartShare = context.pool.slowStartMs === 0 ? 1 : Math.min(1, Math.max(slowStartMinimumShare, age / context.pool.slowStartMs));
-	// One is added so that of two idle servers the warmer one is less busy.
+	// Counting the request to send gives idle servers a score above 0. Of two idle servers, the one further in its slow start has the lower score.
 	return (requests + 1) / Math.max(1, entry.server.slots) / slowStartShare;
 }
 
 function chooseOfTwo(servers: readonly DirectoryServer[], context: ChoiceContext): DirectoryServer | undefined {
 	const firstIndex = Math.floor(context.random() * servers.length);
 	const first = servers[firstIndex];
-	// The second draw is from the others: the same one drawn twice would be chosen however bad it is.
+	// The second candidate is drawn from the others. A server drawn twice would be chosen whatever its load.
 	const step = 1 + Math.floor(context.random() * (servers.length - 1));
 	const second = servers[(firstIndex + step) % servers.length];
 	if (first === undefined || second === undefined) {
@@ -72,13 +73,16 @@
 	return chooseFaster(first, second, context) ?? (computeLoadScore(first, context) <= computeLoadScore(second, context) ? first : second);
 }
 
-/** @returns What is known of a server's latency lately, in milliseconds; `undefined` if nothing is. */
+/** Returns the average latency of a server in milliseconds, `undefined` if there is no recent one. */
 function getLatency(entry: DirectoryServer, context: ChoiceContext): number | undefined {
 	const {latencyMs, latencyAt} = context.getLoad(entry.server.id);
 	return latencyMs === 0 || context.now - latencyAt > latencyValidityMs ? undefined : latencyMs;
 }
 
-/** A server that is many times slower than another shows no load while its requests time out, so latency speaks first where it differs that much. */
+/**
+ * Returns the faster of two servers if their latencies differ widely and it has a free slot, `undefined` otherwise.
+ * Latency is compared before load because a server whose requests time out shows no load.
+ */
 function chooseFaster(first: DirectoryServer, second: DirectoryServer, context: ChoiceContext): DirectoryServer | undefined {
 	const firstMs = getLatency(first, context);
 	const secondMs = getLatency(second, context);
@@ -94,15 +98,15 @@
 	const notDraining = context.servers.filter(({server}) => !server.isDraining);
 	const isEjected = ({server}: DirectoryServer): boolean => context.getLoad(server.id).ejectedUntil > context.now;
 	const healthy = notDraining.filter(entry => !isEjected(entry) && entry.node.status === 'alive');
-	// When most of a pool looks dead, it is more likely that this node sees badly.
+	// If most of a pool looks unhealthy, it is more likely that this node's own observations are wrong.
 	return healthy.length < notDraining.length * panicThresholdShare ? notDraining : healthy;
 }
 
 /**
  * Chooses a server.
  *
- * @param context - What the choice is made from.
- * @returns The server, or `undefined` if the pool has none that may be chosen.
+ * @param context - The input of the choice.
+ * @returns The server, or `undefined` if there is no candidate.
  * @internal
  */
 export function chooseServer(context: ChoiceContext): DirectoryServer | undefined {
--- a/src/lib/routing/routing-snapshot.ts
+++ b/src/lib/routing/routing-snapshot.ts
@@ -1,6 +1,6 @@
 /**
- * A version of the configuration with its routing table: what a call is decided
- * by, from its beginning to its end.
+ * A version of the configuration with its routing table. A call uses the same
+ * snapshot from start to end.
  *
  * @module
  */
@@ -14,12 +14,12 @@
 };
 
 /**
- * Makes the snapshot of a newer version.
+ * Creates the snapshot of a newer version, incrementally where deltas are available.
  *
- * @param snapshot - The snapshot before, if there is one.
+ * @param snapshot - The previous snapshot, if there is one.
  * @param next - The newer version.
- * @param deltas - The steps from the one to the other; empty if there was no way of steps.
- * @returns The newer snapshot.
+ * @param deltas - The deltas from the previous version to the newer one; empty if there are none.
+ * @returns The snapshot of the newer version.
  * @internal
  */
 export function advanceSnapshot(snapshot: RoutingSnapshot | undefined, next: Configuration, deltas: readonly Delta[]): RoutingSnapshot {
--- a/src/lib/routing/routing-table.ts
+++ b/src/lib/routing/routing-table.ts
@@ -13,7 +13,7 @@
 	readonly byHost: ReadonlyMap<string, readonly Route[]>;
 };
 
-/** In a route, stands for each host that no route names. @internal */
+/** Wildcard host of a route. It is tried after the routes of the exact host. @internal */
 export const anyHost = '*';
 
 function compareRoutes(left: Route, right: Route): number {
@@ -28,9 +28,9 @@
 }
 
 /**
- * Builds the table of a whole configuration.
+ * Builds the routing table of a configuration.
  *
- * @param configuration - The version.
+ * @param configuration - The configuration.
  * @returns Its routing table.
  * @internal
  */
@@ -46,12 +46,12 @@
 }
 
 /**
- * Brings a table to the next version without building it anew.
+ * Updates a routing table to the next version incrementally.
  *
- * @param table - The table of the version before.
- * @param before - The version before.
- * @param changes - What the next version changes.
- * @returns The next version's table, which shares every host that has not changed.
+ * @param table - The table of the previous version.
+ * @param before - The previous version.
+ * @param changes - The changes of the next version.
+ * @returns The table of the next version, which shares the routes of unchanged hosts with `table`.
  * @internal
  */
 export function updateRoutingTable(table: RoutingTable, before: Configuration, changes: readonly ItemChange[]): RoutingTable {
@@ -101,7 +101,7 @@
 }
 
 /**
- * Finds the route of a request. A route that names the host goes before one for any host, then the longer path wins.
+ * Finds the route of a request. A route of the exact host takes precedence over a wildcard route, then the one with the longer path.
  *
  * @param table - The routing table.
  * @param request - The request.
--- a/src/lib/routing/routing.test.ts
+++ b/src/lib/routing/routing.test.ts
@@ -39,7 +39,7 @@
 	assert.equal(find({path: '/jobs', method: 'POST'}), 'posted');
 });
 
-test('a table that follows the steps is the one that would be built anew', () => {
+test('a table updated incrementally equals a rebuilt one', () => {
 	const routeChange = fc.record({
 		name: fc.constantFrom('a', 'b', 'c'), host: fc.constantFrom('*', 'x', 'y'), path: fc.constantFrom('/', '/p', '/p/q'), isRemoved: fc.boolean(),
 	});
@@ -93,14 +93,14 @@
 	assert.deepEqual([...countChoices({servers: createServers(1, () => ({isDraining: true}))}).keys()], ['none']);
 });
 
-test('a server that is many times slower is avoided while the other has room, and tried again later', t => {
+test('a server that is many times slower is avoided while the other has free slots, and is used again later', t => {
 	t.mock.timers.enable({apis: ['Date'], now: 1_000_000});
 	const loads = createServerLoads();
 	const servers = createServers(2);
 	loads.recordLatency(toBackendServerId('s0'), 1000);
 	loads.recordLatency(toBackendServerId('s1'), 100);
 	const count = (): number => countChoices({servers, getLoad: loads.get, now: Date.now()}).get('s0') ?? 0;
-	// Where both draws fall on it, it is chosen: one time in four.
+	// Without the comparison of latencies, s0 would get half of the 400 choices.
 	assert.ok(count() < 160);
 	for (let request = 0; request < 8; request++) {
 		loads.recordStart(toBackendServerId('s1'));
@@ -115,7 +115,7 @@
 	assert.ok(count() > 100);
 });
 
-test('a tried server is chosen again only when that may help and there is no other', () => {
+test('a tried server is chosen again only if reuse is allowed and there is no other', () => {
 	const servers = createServers(2);
 	const tried = new Set<BackendServerId>([toBackendServerId('s0')]);
 	const all = new Set<BackendServerId>([toBackendServerId('s0'), toBackendServerId('s1')]);
@@ -124,7 +124,7 @@
 	assert.deepEqual([...countChoices({servers, tried: all}).keys()], ['none']);
 });
 
-test('the own failure domain goes first while it has room', () => {
+test('servers of the own failure domain are preferred while they have free slots', () => {
 	const servers = createServers(4, index => ({domain: index < 2 ? 'd' : 'other'}));
 	assert.deepEqual([...countChoices({servers}).keys()].toSorted(), ['s0', 's1']);
 	const loads = createServerLoads();
@@ -133,7 +133,7 @@
 	assert.ok([...countChoices({servers, getLoad: loads.get}).keys()].some(name => name === 's2' || name === 's3'));
 });
 
-test('an ejected server is left out, unless most of the pool would be', () => {
+test('an ejected server is not chosen, unless most of the pool is ejected', () => {
 	const servers = createServers(4);
 	const loads = createServerLoads();
 	loads.eject(toBackendServerId('s0'), 1000);
@@ -143,7 +143,7 @@
 	assert.equal(countChoices({servers, getLoad: loads.get}).size, 4);
 });
 
-test('a cold server gets few requests at first', t => {
+test('a server gets few requests at the beginning of slow start', t => {
 	t.mock.timers.enable({apis: ['Date'], now: 1_000_000});
 	const loads = createServerLoads();
 	const servers = createServers(2);
--- a/src/lib/routing/server-load.ts
+++ b/src/lib/routing/server-load.ts
@@ -1,47 +1,53 @@
 /**
- * What this node has seen of each backend server on its own calls. It goes
- * before anything that the directory or a health endpoint says.
+ * Load and failures of each backend server, as observed by this node on its own
+ * calls. These take precedence over the directory and over health endpoints.
  *
  * @module
  */
 import {readNow} from '../common/clock.js';
 import {type BackendServerId} from '../common/ids.js';
 
-/** What is known of one server. @internal */
+/** Load and failures of one server. @internal */
 export type ServerLoad = {
-	/** This node's own requests that the server is working on. */
+	/** Requests of this node that are in flight to the server. */
 	readonly inFlight: number;
-	/** Requests in work and waiting, by the gate's last answer. */
+	/** Requests executing or queued at the gate of the server, according to its last response. */
 	readonly reportedRequests: number;
-	/** When the gate last answered, in milliseconds since the epoch. */
+	/** When the gate last reported, in milliseconds since the epoch; 0 if never. */
 	readonly reportedAt: number;
-	/** When this node first knew of the server. */
+	/** When this node first considered the server, in milliseconds since the epoch. Slow start is measured from then. */
 	readonly firstSeenAt: number;
-	/** Until when the server is left out. */
+	/** End of the ejection of the server, in milliseconds since the epoch; 0 if it is not ejected. */
 	readonly ejectedUntil: number;
-	/** Failures in a row. */
+	/** Number of consecutive failures. */
 	readonly failures: number;
-	/** Average milliseconds until an answer began, the latest counting most; 0 while nothing is known. */
+	/** Exponentially weighted moving average of the milliseconds until a response began; 0 if there is none yet. */
 	readonly latencyMs: number;
+	/** When the latency was last recorded, in milliseconds since the epoch. */
 	readonly latencyAt: number;
 };
 
 /** @internal */
 export type ServerLoads = {
 	readonly get: (id: BackendServerId) => ServerLoad;
+	/** Records that a request is sent to the server. */
 	readonly recordStart: (id: BackendServerId) => void;
+	/** Records that a request to the server has ended. */
 	readonly recordEnd: (id: BackendServerId) => void;
-	/** Notes how long an answer took to begin, or how long was waited in vain. */
+	/** Records how long it took until the response began, or until the request timed out. */
 	readonly recordLatency: (id: BackendServerId, milliseconds: number) => void;
+	/** Records the number of requests that a gate reported. Ends an ejection of the server. */
 	readonly recordReport: (id: BackendServerId, requests: number) => void;
-	/** Leaves a server out for a while, longer each time in a row; yields for how many milliseconds. */
+	/** Ejects a server; each consecutive failure extends the ejection by `baseMs`. Returns its duration in milliseconds. */
 	readonly eject: (id: BackendServerId, baseMs: number) => number;
+	/** Removes the servers for which `isKnown` returns false, except those with requests in flight. */
 	readonly retain: (isKnown: (id: BackendServerId) => boolean) => void;
 };
 
+/** Limit of an ejection, as a multiple of `baseMs`. */
 const maximumEjectionFactor = 8;
 
-/** Weight of the newest observation in the average. */
+/** Weight of the newest latency in the moving average. */
 const latencyWeight = 0.2;
 
 function createLoad(now: number): ServerLoad {
@@ -51,7 +57,9 @@
 }
 
 /**
- * @returns Loads of servers that nothing is known of yet.
+ * Creates the loads, without any server.
+ *
+ * @returns The loads.
  * @internal
  */
 export function createServerLoads(): ServerLoads {
