--- a/src/lib/drain/drain-node.ts
+++ b/src/lib/drain/drain-node.ts
@@ -1,54 +1,54 @@
 /**
- * Takes a node out of the mesh without losing work.
+ * Graceful shutdown of a node: takes it out of the mesh without losing work.
  *
  * @module
  */
 import {readNow, waitFor} from '../common/clock.js';
 
-/** What a node hands over to be drained. @internal */
-export type DrainParts = {
-	/** Closes the gates: what they turn away from now on has not run. */
-	readonly closeGates: () => void;
-	/** Takes no new connections of callers, and closes the idle ones. */
-	readonly closeEntry: () => void;
-	/** Calls of callers that have not been answered whole. */
+/** Functions of the node to drain. @internal */
+export type DrainContext = {
+	/** Makes the gates of this node's backend servers reject new requests. A rejected request was not executed. */
+	readonly startDrainingServers: () => void;
+	/** Stops accepting connections from callers, and closes idle ones. */
+	readonly startDrainingEntry: () => void;
+	/** Returns the number of calls whose response is not complete. */
 	readonly countCalls: () => number;
-	/** Waits until the backend servers beside the node work on nothing. */
+	/** Waits until the backend servers beside the node have no requests. Returns false on timeout. */
 	readonly waitUntilIdle: (timeoutMs: number) => Promise<boolean>;
-	/** Tells the others that the node has left. */
+	/** Publishes that the node has left the mesh. */
 	readonly leave: () => void;
-	/** Milliseconds that calls in flight have to end. */
+	/** Milliseconds within which calls in flight have to end. */
 	readonly drainMs: number;
 };
 
-/** Milliseconds for which a draining node goes on taking connections, so that those under way find it. */
+/** How long a draining node still accepts connections, so that callers that are connecting reach it, and how long it stays up after it has left. */
 const lingerMs = 300;
 
-const pollMs = 20;
+const pollIntervalMs = 20;
 
 async function waitForCalls(countCalls: () => number, deadline: number): Promise<boolean> {
 	while (countCalls() > 0 && readNow() < deadline) {
-		await waitFor(pollMs);
+		await waitFor(pollIntervalMs);
 	}
 
 	return countCalls() === 0;
 }
 
 /**
- * Drains a node: no new work, calls in flight end, the others hear of it.
+ * Drains a node: rejects new requests, waits until calls in flight end, then publishes that the node has left.
  *
- * @param parts - What is drained.
- * @returns Whether every call had ended in time.
+ * @param context - Functions of the node to drain.
+ * @returns Whether all calls ended in time.
  * @internal
  */
-export async function drainNode(parts: DrainParts): Promise<boolean> {
-	parts.closeGates();
+export async function drainNode(context: DrainContext): Promise<boolean> {
+	context.startDrainingServers();
 	await waitFor(lingerMs);
-	parts.closeEntry();
-	const deadline = readNow() + parts.drainMs;
-	const hasNoCalls = await waitForCalls(parts.countCalls, deadline);
-	const hasIdleServers = await parts.waitUntilIdle(Math.max(0, deadline - readNow()));
-	parts.leave();
+	context.startDrainingEntry();
+	const deadline = readNow() + context.drainMs;
+	const hasNoCalls = await waitForCalls(context.countCalls, deadline);
+	const hasIdleServers = await context.waitUntilIdle(Math.max(0, deadline - readNow()));
+	context.leave();
 	await waitFor(lingerMs);
 	return hasNoCalls && hasIdleServers;
 }
--- a/src/lib/membership/failure-detector.ts
+++ b/src/lib/membership/failure-detector.ts
@@ -1,10 +1,12 @@
 /**
- * Decides which nodes of this failure domain are alive, in the manner of SWIM:
- * each period one member is sent a heartbeat; without an answer, others are
- * asked to try; without an answer to them either, the member is suspected, and
- * after a while without refutation it is dead.
+ * Failure detector for the nodes of this failure domain, after the SWIM
+ * protocol. In each period it pings one member. If no ack arrives in time, it
+ * asks other members to ping that member (indirect probe). If these get no ack
+ * either, the member becomes suspect, and dead if nothing refutes the suspicion
+ * within a timeout.
  *
- * This is the decision part: state and message in, state and effects out.
+ * This module is a pure state machine: it takes a state and an event, and
+ * returns the next state and effects. gossip.ts does the I/O.
  *
  * @module
  */
@@ -13,13 +15,13 @@
 
 /** @public */
 export type DetectorSettings = {
-	/** Milliseconds between two heartbeats of this node. */
+	/** Milliseconds between two probes by this node. */
 	readonly periodMs: number;
-	/** Milliseconds until an answer is missed. */
+	/** Milliseconds to wait for the ack of a direct ping before indirect probes are sent. */
 	readonly ackTimeoutMs: number;
-	/** Members that are asked to try when an answer is missed. */
+	/** Number of members that are asked for an indirect probe. */
 	readonly indirectProbes: number;
-	/** Milliseconds from suspicion to death. */
+	/** Milliseconds after which a suspect is declared dead. */
 	readonly suspicionMs: number;
 };
 
@@ -28,7 +30,7 @@
 	periodMs: 1000, ackTimeoutMs: 400, indirectProbes: 3, suspicionMs: 4000,
 };
 
-/** A heartbeat that has not been answered yet. */
+/** A probe whose ack has not arrived yet. */
 type Probe = {
 	readonly target: NodeId;
 	readonly sequenceNumber: number;
@@ -40,23 +42,23 @@
 export type DetectorState = {
 	readonly nextSequenceNumber: number;
 	readonly lastTickAt: number;
-	/** Who is next; filled with all members in random order whenever it is empty. */
-	readonly queue: readonly NodeId[];
+	/** Members to probe next. Refilled with all members in random order when it is empty. */
+	readonly probeQueue: readonly NodeId[];
 	readonly probe: Probe | undefined;
-	/** When the next heartbeat is due, in milliseconds since the epoch. */
+	/** When the next probe is due, in milliseconds since the epoch. */
 	readonly nextProbeAt: number;
-	/** When each suspect is given up, in milliseconds since the epoch. */
+	/** When each suspect is declared dead, in milliseconds since the epoch. */
 	readonly suspects: ReadonlyMap<NodeId, number>;
 };
 
 /** @internal */
-export type DetectorMessage =
+export type DetectorEvent =
 	| {readonly type: 'tick'; readonly now: number; readonly members: readonly NodeId[]}
 	| {readonly type: 'ack'; readonly from: NodeId; readonly sequenceNumber: number}
 	| {readonly type: 'refuted'; readonly member: NodeId}
-	| {readonly type: 'accused'; readonly member: NodeId; readonly now: number};
+	| {readonly type: 'suspected'; readonly member: NodeId; readonly now: number};
 
-/** What is to be done. @internal */
+/** A side effect for the caller to carry out. @internal */
 export type DetectorEffect =
 	| {readonly type: 'ping'; readonly target: NodeId; readonly sequenceNumber: number}
 	| {readonly type: 'ping-request'; readonly through: NodeId; readonly target: NodeId; readonly sequenceNumber: number}
@@ -69,21 +71,23 @@
 	readonly effects: readonly DetectorEffect[];
 };
 
-/** A tick that comes this many periods late shows that this node itself was paused. */
-const pausedPeriods = 3;
+/** A gap between two ticks of more than this many periods means that this node itself was paused. */
+const pauseThresholdPeriods = 3;
 
 /**
+ * Creates the initial state of a detector, without probes or suspects.
+ *
  * @param now - Milliseconds since the epoch.
- * @returns The state of a detector that has probed nobody.
+ * @returns The state.
  * @internal
  */
 export function createDetectorState(now: number): DetectorState {
 	return {
-		nextSequenceNumber: 1, lastTickAt: now, queue: [], probe: undefined, nextProbeAt: now, suspects: new Map(),
+		nextSequenceNumber: 1, lastTickAt: now, probeQueue: [], probe: undefined, nextProbeAt: now, suspects: new Map(),
 	};
 }
 
-function withoutSuspect(suspects: ReadonlyMap<NodeId, number>, member: NodeId): ReadonlyMap<NodeId, number> {
+function removeSuspect(suspects: ReadonlyMap<NodeId, number>, member: NodeId): ReadonlyMap<NodeId, number> {
 	if (!suspects.has(member)) {
 		return suspects;
 	}
@@ -97,31 +101,31 @@
 	return state.suspects.has(member) ? state : {...state, suspects: new Map([...state.suspects, [member, deadline]])};
 }
 
-/** A paused node missed answers that did arrive, so it starts its judgements over. */
-function forgiveAfterPause(state: DetectorState, settings: DetectorSettings, now: number): DetectorState {
+/** Drops the probe in flight and restarts the timeout of each suspect: acks and refutations may have arrived unread during the pause. */
+function resetAfterPause(state: DetectorState, settings: DetectorSettings, now: number): DetectorState {
 	const suspects = new Map([...state.suspects.keys()].map(member => [member, now + settings.suspicionMs]));
 	return {...state, probe: undefined, suspects};
 }
 
-type TickMessage = Extract<DetectorMessage, {readonly type: 'tick'}>;
+type TickEvent = Extract<DetectorEvent, {readonly type: 'tick'}>;
 
-function startProbe(state: DetectorState, settings: DetectorSettings, message: TickMessage, random: () => number): DetectorStep {
-	const {now, members} = message;
+function startProbe(state: DetectorState, settings: DetectorSettings, event: TickEvent, random: () => number): DetectorStep {
+	const {now, members} = event;
 	if (state.probe !== undefined || now < state.nextProbeAt) {
 		return {state, effects: []};
 	}
 
-	const queue = state.queue.filter(member => members.includes(member));
+	const queue = state.probeQueue.filter(member => members.includes(member));
 	const [target, ...rest] = queue.length > 0 ? queue : shuffleList(members, random);
 	if (target === undefined) {
-		return {state: {...state, queue: []}, effects: []};
+		return {state: {...state, probeQueue: []}, effects: []};
 	}
 
 	const sequenceNumber = state.nextSequenceNumber;
 	return {
 		state: {
 			...state,
-			queue: rest,
+			probeQueue: rest,
 			nextProbeAt: now + settings.periodMs,
 			nextSequenceNumber: sequenceNumber + 1,
 			probe: {
@@ -132,26 +136,26 @@
 	};
 }
 
-function findExpired(state: DetectorState, now: number): DetectorStep {
+function removeExpiredSuspects(state: DetectorState, now: number): DetectorStep {
 	const expired = [...state.suspects].filter(([, deadline]) => deadline <= now).map(([member]) => member);
 	if (expired.length === 0) {
 		return {state, effects: []};
 	}
 
 	const suspects = new Map([...state.suspects].filter(([, deadline]) => deadline > now));
-	// A heartbeat to a member that has just been given up proves nothing more.
+	// The probe of a member that has just been declared dead is of no more use.
 	const probe = state.probe !== undefined && expired.includes(state.probe.target) ? undefined : state.probe;
 	return {state: {...state, suspects, probe}, effects: expired.map(member => ({type: 'dead', member}))};
 }
 
-function checkProbe(state: DetectorState, settings: DetectorSettings, message: TickMessage, random: () => number): DetectorStep {
+function checkProbe(state: DetectorState, settings: DetectorSettings, event: TickEvent, random: () => number): DetectorStep {
 	const {probe} = state;
-	if (probe === undefined || message.now - probe.sentAt < settings.ackTimeoutMs) {
+	if (probe === undefined || event.now - probe.sentAt < settings.ackTimeoutMs) {
 		return {state, effects: []};
 	}
 
 	if (!probe.isIndirect) {
-		const helpers = shuffleList(message.members.filter(member => member !== probe.target), random).slice(0, settings.indirectProbes);
+		const helpers = shuffleList(event.members.filter(member => member !== probe.target), random).slice(0, settings.indirectProbes);
 		return {
 			state: {...state, probe: {...probe, isIndirect: true}},
 			effects: helpers.map(through => ({
@@ -160,53 +164,53 @@
 		};
 	}
 
-	if (message.now - probe.sentAt < settings.periodMs) {
+	if (event.now - probe.sentAt < settings.periodMs) {
 		return {state, effects: []};
 	}
 
 	return {
-		state: addSuspect({...state, probe: undefined}, probe.target, message.now + settings.suspicionMs),
+		state: addSuspect({...state, probe: undefined}, probe.target, event.now + settings.suspicionMs),
 		effects: state.suspects.has(probe.target) ? [] : [{type: 'suspect', member: probe.target}],
 	};
 }
 
-function handleTick(state: DetectorState, settings: DetectorSettings, message: TickMessage, random: () => number): DetectorStep {
-	const wasPaused = message.now - state.lastTickAt > settings.periodMs * pausedPeriods;
-	const awake = wasPaused ? forgiveAfterPause(state, settings, message.now) : state;
-	const expired = findExpired({...awake, lastTickAt: message.now}, message.now);
-	const checked = checkProbe(expired.state, settings, message, random);
-	const started = startProbe(checked.state, settings, message, random);
+function handleTick(state: DetectorState, settings: DetectorSettings, event: TickEvent, random: () => number): DetectorStep {
+	const wasPaused = event.now - state.lastTickAt > settings.periodMs * pauseThresholdPeriods;
+	const resumed = wasPaused ? resetAfterPause(state, settings, event.now) : state;
+	const expired = removeExpiredSuspects({...resumed, lastTickAt: event.now}, event.now);
+	const checked = checkProbe(expired.state, settings, event, random);
+	const started = startProbe(checked.state, settings, event, random);
 	return {state: started.state, effects: [...expired.effects, ...checked.effects, ...started.effects]};
 }
 
 /**
- * Takes one step.
+ * Applies one event to the detector.
  *
- * @param state - The detector as it stands.
- * @param message - What happened.
- * @param settings - Its times.
- * @param random - Yields numbers from 0 up to 1.
- * @returns The next state and what is to be done.
+ * @param state - The current state.
+ * @param event - The event.
+ * @param settings - The timing of probes and suspicions.
+ * @param random - Returns random numbers from 0 (inclusive) to 1 (exclusive).
+ * @returns The next state, and the effects to carry out in order.
  * @internal
  */
-export function stepDetector(state: DetectorState, message: DetectorMessage, settings: DetectorSettings, random: () => number): DetectorStep {
-	switch (message.type) {
+export function stepDetector(state: DetectorState, event: DetectorEvent, settings: DetectorSettings, random: () => number): DetectorStep {
+	switch (event.type) {
 		case 'tick': {
-			return handleTick(state, settings, message, random);
+			return handleTick(state, settings, event, random);
 		}
 
 		case 'ack': {
-			const isAwaited = state.probe?.target === message.from && state.probe.sequenceNumber === message.sequenceNumber;
-			const suspects = withoutSuspect(state.suspects, message.from);
-			return {state: {...state, suspects, probe: isAwaited ? undefined : state.probe}, effects: []};
+			const isExpected = state.probe?.target === event.from && state.probe.sequenceNumber === event.sequenceNumber;
+			const suspects = removeSuspect(state.suspects, event.from);
+			return {state: {...state, suspects, probe: isExpected ? undefined : state.probe}, effects: []};
 		}
 
 		case 'refuted': {
-			return {state: {...state, suspects: withoutSuspect(state.suspects, message.member)}, effects: []};
+			return {state: {...state, suspects: removeSuspect(state.suspects, event.member)}, effects: []};
 		}
 
-		case 'accused': {
-			return {state: addSuspect(state, message.member, message.now + settings.suspicionMs), effects: []};
+		case 'suspected': {
+			return {state: addSuspect(state, event.member, event.now + settings.suspicionMs), effects: []};
 		}
 	}
 }
--- a/src/lib/node/node.ts
+++ b/src/lib/node/node.ts
@@ -1,5 +1,5 @@
 /**
- * One node: everything that runs beside a backend server, wired together.
+ * Creates a node: wires together everything that runs beside a backend server.
  *
  * @module
  */
@@ -32,7 +32,7 @@
 import {createStatusCollector} from '../distribution/status-collector.js';
 import {createSubmissionQueue} from '../distribution/submission-queue.js';
 import {createGossip} from '../membership/gossip.js';
-import {joinMesh, seekSeeds} from '../membership/joiner.js';
+import {joinMesh, joinUnknownSeeds} from '../membership/join-mesh.js';
 import {createMemberList} from '../membership/member-list.js';
 import {createOperatorApi} from '../operators/operator-api.js';
 import {type NodeStatusAnswer} from '../operators/operator-messages.js';
@@ -49,40 +49,40 @@
 } from './ports.js';
 import {type StartError} from './start-error.js';
 
-/** What a node is handed by its surroundings. @public */
-export type NodeSurroundings = {
+/** Dependencies of a node. @public */
+export type NodeOptions = {
 	readonly store: Store;
-	/** Yields numbers from 0 up to 1. */
+	/** Returns random numbers from 0 (inclusive) to 1 (exclusive). */
 	readonly random: () => number;
-	/** How other nodes are reached; the operating system's network without it. */
+	/** Network to other nodes. Default: the network of the operating system. */
 	readonly network?: Network;
-	/** Told of every event of the time line. */
+	/** Called with each event of the timeline. */
 	readonly handleEvent?: (event: TimelineEvent) => void;
 };
 
 /** A node of the mesh. @public */
 export type Node = {
-	/** Listens on every port; the node joins the mesh in the background. */
+	/** Listens on all ports. The node then joins the mesh in the background. */
 	readonly start: () => Promise<Result<void, StartError>>;
-	/** Leaves without losing work: no new calls, those in flight end, then the node is gone. Yields whether all of them ended in time. */
+	/** Stops gracefully: rejects new calls, waits for those in flight, then leaves the mesh. Returns whether all calls ended in time. */
 	readonly drain: () => Promise<boolean>;
-	/** Stops at once. */
+	/** Stops immediately, without waiting for calls in flight. */
 	readonly dispose: () => Promise<void>;
 	readonly getStatus: () => NodeStatusAnswer;
 };
 
-/** Milliseconds between two looks at whether this node has to watch the store. */
-const dutyCheckMs = 250;
+/** Interval at which the node checks whether it has to watch the store. */
+const relayDutyCheckMs = 250;
 
-/** Milliseconds between two looks for backend servers that are gone: it walks the whole directory. */
-const forgetLoadsMs = 30_000;
+/** Interval at which the loads of removed backend servers are deleted. It is long because each cleanup iterates over the whole directory. */
+const loadCleanupMs = 30_000;
 
 /**
  * Creates a node.
  *
- * @param settings - Its settings.
- * @param surroundings - The store, randomness and where events go.
- * @returns The node, not started yet.
+ * @param settings - The settings of the node.
+ * @param options - The dependencies of the node.
+ * @returns The node, not started.
  * @public
  * @example
  * ```ts
@@ -90,17 +90,17 @@
  * const started = await node.start();
  * ```
  */
-export function createNode(settings: Settings, surroundings: NodeSurroundings): Node {
-	const {random} = surroundings;
+export function createNode(settings: Settings, options: NodeOptions): Node {
+	const {random} = options;
 	const {node: self, failureDomain: domain} = settings;
 	const clock = createLamportClock();
-	const timeline = createTimeline(self, clock, surroundings.handleEvent);
+	const timeline = createTimeline(self, clock, options.handleEvent);
 	const meter = createByteMeter();
-	const network = surroundings.network ?? createSystemNetwork();
+	const network = options.network ?? createSystemNetwork();
 	const peers = createPeers(meter, network);
-	const store = createBudgetedStore(surroundings.store, {perSecond: settings.store.callsPerSecond, burst: settings.store.burst});
+	const store = createBudgetedStore(options.store, {perSecond: settings.store.callsPerSecond, burst: settings.store.burst});
 	const reported = createReportedVersions();
-	const joining = new AbortController();
+	const joinAbort = new AbortController();
 	const loads = createServerLoads();
 	const metrics = createCallMetrics();
 	let isReady = false;
@@ -109,7 +109,7 @@
 
 	const handleConfiguration = (change: ConfigurationChange): void => {
 		const {configuration: next, deltas, from} = change;
-		// One assignment puts the version in force; a call keeps the snapshot that it began with.
+		// This assignment activates the version atomically. A call keeps the snapshot with which it started.
 		snapshot = advanceSnapshot(snapshot, next, deltas);
 		timeline.record({kind: 'configuration-applied', version: next.version, from});
 		distributor.handleConfigurationChange(change);
@@ -125,9 +125,9 @@
 			},
 		},
 		handleUrgentChange() {
-			gossip.announce();
+			gossip.sendUrgentPings();
 		},
-		// This node's store holds the configuration and idempotency keys alone: what crashed servers is told from node to node.
+		// The store of this node holds only the configuration and idempotency keys. Requests that crash backend servers are shared by gossip.
 		handleCrash: () => undefined,
 		handleQuarantined: () => undefined,
 	});
@@ -202,7 +202,7 @@
 
 	const getStatus = (): NodeStatusAnswer => {
 		const current = configuration.getConfiguration();
-		const place = distributor.getPlace();
+		const treePlace = distributor.getPlace();
 		const memory = process.memoryUsage();
 		const cpu = process.cpuUsage();
 		return {
@@ -212,11 +212,11 @@
 			digest: current.digest,
 			floor: configuration.getFloor(),
 			isReady,
-			isRelay: place.relay === self,
+			isRelay: treePlace.relay === self,
 			isDraining,
-			relay: place.relay,
-			parent: place.parent ?? '',
-			children: place.children,
+			relay: treePlace.relay,
+			parent: treePlace.parent ?? '',
+			children: treePlace.children,
 			knownNodes: directory.getDirectory().tree.size,
 			store: store.getCounts(),
 			controlBytes: meter.getCounts(),
@@ -251,38 +251,38 @@
 	});
 	const operatorServer = createHttpServer(getRequestListener(operatorApi.fetch));
 	const announcementServer = createHttpServer(getRequestListener(createAnnouncementApi(localServers).fetch));
-	let dutyTimer: NodeJS.Timeout | undefined;
-	let forgetTimer: NodeJS.Timeout | undefined;
+	let relayDutyTimer: NodeJS.Timeout | undefined;
+	let loadCleanupTimer: NodeJS.Timeout | undefined;
 
-	/** The relay and its standby watch the store, once they have joined: a node that knows nobody yet takes itself for the relay. */
-	const checkDuty = (): void => {
+	/** Starts or stops watching the store. Relay and standby watch it, but only once they are ready: a node that knows no other yet considers itself the relay. */
+	const updateRelayWatch = (): void => {
 		const {relay, standby} = distributor.getPlace();
 		relayWatch.update(isReady && !isDraining && (relay === self || standby === self));
 	};
 
-	const forgetLoads = (): void => {
+	const removeUnknownLoads = (): void => {
 		const known = new Set([...directory.getDirectory().services.values()].flatMap(servers => [...servers.keys()]));
-		loads.forget(id => known.has(id));
+		loads.retain(id => known.has(id));
 	};
 
 	const join = async (): Promise<void> => {
 		const context = {
 			seeds: settings.seeds, store, configuration, directory, distributor, peers, clock, random,
 		};
-		isReady = await joinMesh(context, joining.signal);
+		isReady = await joinMesh(context, joinAbort.signal);
 		if (isReady) {
 			timeline.record({kind: 'node-ready', version: configuration.getConfiguration().version});
-			await seekSeeds(context, joining.signal);
+			await joinUnknownSeeds(context, joinAbort.signal);
 		}
 	};
 
 	const listPorts = (): readonly Port[] => {
 		const {listen} = settings;
-		const gossipPlace = parseAddress(listen.gossip);
-		const controlPlace = parseAddress(listen.control);
+		const gossipEndpoint = parseAddress(listen.gossip);
+		const controlEndpoint = parseAddress(listen.control);
 		return [
-			{name: 'gossip', address: listen.gossip, listen: async () => gossip.listen(gossipPlace.host, gossipPlace.port)},
-			{name: 'control', address: listen.control, listen: async () => control.listen(controlPlace.host, controlPlace.port)},
+			{name: 'gossip', address: listen.gossip, listen: async () => gossip.listen(gossipEndpoint.host, gossipEndpoint.port)},
+			{name: 'control', address: listen.control, listen: async () => control.listen(controlEndpoint.host, controlEndpoint.port)},
 			{name: 'gate', address: listen.gate, listen: async () => listenOn(gateServer, listen.gate)},
 			{name: 'operators', address: listen.operators, listen: async () => listenOn(operatorServer, listen.operators)},
 			{name: 'announcements', address: listen.announcements, listen: async () => listenOn(announcementServer, listen.announcements)},
@@ -291,9 +291,9 @@
 	};
 
 	const dispose = async (): Promise<void> => {
-		joining.abort();
-		clearInterval(dutyTimer);
-		clearInterval(forgetTimer);
+		joinAbort.abort();
+		clearInterval(relayDutyTimer);
+		clearInterval(loadCleanupTimer);
 		relayWatch.dispose();
 		distributor.dispose();
 		peers.dispose();
@@ -318,8 +318,8 @@
 			}
 
 			gossip.start();
-			dutyTimer = setInterval(checkDuty, dutyCheckMs);
-			forgetTimer = setInterval(forgetLoads, forgetLoadsMs);
+			relayDutyTimer = setInterval(updateRelayWatch, relayDutyCheckMs);
+			loadCleanupTimer = setInterval(removeUnknownLoads, loadCleanupMs);
 			void join();
 			return ok();
 		},
@@ -327,8 +327,8 @@
 			isDraining = true;
 			timeline.record({kind: 'node-draining'});
 			const isDone = await drainNode({
-				closeGates: localServers.drainAll,
-				closeEntry: entry.startDraining,
+				startDrainingServers: localServers.drainAll,
+				startDrainingEntry: entry.startDraining,
 				countCalls: entry.countCalls,
 				waitUntilIdle: localServers.waitUntilIdle,
 				leave() {
--- a/src/lib/routing/server-load.ts
+++ b/src/lib/routing/server-load.ts
@@ -1,57 +1,65 @@
 /**
- * What this node has seen of each backend server on its own calls. It goes
- * before anything that the directory or a health endpoint says.
+ * Load and failures of each backend server, as observed by this node on its own
+ * calls. These take precedence over the directory and over health endpoints.
  *
  * @module
  */
 import {readNow} from '../common/clock.js';
 import {type BackendServerId} from '../common/ids.js';
 
-/** What is known of one server. @internal */
+/** Load and failures of one server. @internal */
 export type ServerLoad = {
-	/** This node's own requests that the server is working on. */
+	/** Requests of this node that are in flight to the server. */
 	readonly inFlight: number;
-	/** Requests in work and waiting, by the gate's last answer. */
-	readonly reported: number;
-	/** When the gate last answered, in milliseconds since the epoch. */
+	/** Requests executing or queued at the gate of the server, according to its last response. */
+	readonly reportedRequests: number;
+	/** When the gate last reported, in milliseconds since the epoch; 0 if never. */
 	readonly reportedAt: number;
-	/** When this node first knew of the server. */
+	/** When this node first considered the server, in milliseconds since the epoch. Slow start is measured from then. */
 	readonly firstSeenAt: number;
-	/** Until when the server is left out. */
+	/** End of the ejection of the server, in milliseconds since the epoch; 0 if it is not ejected. */
 	readonly ejectedUntil: number;
-	/** Failures in a row. */
+	/** Number of consecutive failures. */
 	readonly failures: number;
-	/** Average milliseconds until an answer began, the latest counting most; 0 while nothing is known. */
+	/** Exponentially weighted moving average of the milliseconds until a response began; 0 if there is none yet. */
 	readonly latencyMs: number;
+	/** When the latency was last recorded, in milliseconds since the epoch. */
 	readonly latencyAt: number;
 };
 
 /** @internal */
 export type ServerLoads = {
 	readonly get: (id: BackendServerId) => ServerLoad;
-	readonly begin: (id: BackendServerId) => void;
-	readonly end: (id: BackendServerId) => void;
-	/** Notes how long an answer took to begin, or how long was waited in vain. */
-	readonly noteLatency: (id: BackendServerId, milliseconds: number) => void;
-	readonly report: (id: BackendServerId, requests: number) => void;
-	/** Leaves a server out for a while, longer each time in a row; yields for how many milliseconds. */
+	/** Records that a request is sent to the server. */
+	readonly recordStart: (id: BackendServerId) => void;
+	/** Records that a request to the server has ended. */
+	readonly recordEnd: (id: BackendServerId) => void;
+	/** Records how long it took until the response began, or until the request timed out. */
+	readonly recordLatency: (id: BackendServerId, milliseconds: number) => void;
+	/** Records the number of requests that a gate reported. Ends an ejection of the server. */
+	readonly recordReport: (id: BackendServerId, requests: number) => void;
+	/** Ejects a server; each consecutive failure extends the ejection by `baseMs`. Returns its duration in milliseconds. */
 	readonly eject: (id: BackendServerId, baseMs: number) => number;
-	readonly forget: (isKnown: (id: BackendServerId) => boolean) => void;
+	/** Removes the servers for which `isKnown` returns false, except those with requests in flight. */
+	readonly retain: (isKnown: (id: BackendServerId) => boolean) => void;
 };
 
-const longestEjection = 8;
+/** Limit of an ejection, as a multiple of `baseMs`. */
+const maximumEjectionFactor = 8;
 
-/** Weight of the newest observation in the average. */
+/** Weight of the newest latency in the moving average. */
 const latencyWeight = 0.2;
 
 function createLoad(now: number): ServerLoad {
 	return {
-		inFlight: 0, reported: 0, reportedAt: 0, firstSeenAt: now, ejectedUntil: 0, failures: 0, latencyMs: 0, latencyAt: 0,
+		inFlight: 0, reportedRequests: 0, reportedAt: 0, firstSeenAt: now, ejectedUntil: 0, failures: 0, latencyMs: 0, latencyAt: 0,
 	};
 }
 
 /**
- * @returns Loads of servers that nothing is known of yet.
+ * Creates the loads, without any server.
+ *
+ * @returns The loads.
  * @internal
  */
 export function createServerLoads(): ServerLoads {
@@ -74,29 +82,29 @@
 
 	return {
 		get,
-		begin(id) {
+		recordStart(id) {
 			update(id, {inFlight: get(id).inFlight + 1});
 		},
-		end(id) {
+		recordEnd(id) {
 			update(id, {inFlight: Math.max(0, get(id).inFlight - 1)});
 		},
-		noteLatency(id, milliseconds) {
+		recordLatency(id, milliseconds) {
 			const {latencyMs} = get(id);
 			const average = latencyMs === 0 ? milliseconds : (latencyMs * (1 - latencyWeight)) + (milliseconds * latencyWeight);
 			update(id, {latencyMs: average, latencyAt: readNow()});
 		},
-		report(id, requests) {
+		recordReport(id, requests) {
 			update(id, {
-				reported: requests, reportedAt: readNow(), failures: 0, ejectedUntil: 0,
+				reportedRequests: requests, reportedAt: readNow(), failures: 0, ejectedUntil: 0,
 			});
 		},
 		eject(id, baseMs) {
 			const failures = get(id).failures + 1;
-			const forMs = baseMs * Math.min(longestEjection, failures);
+			const forMs = baseMs * Math.min(maximumEjectionFactor, failures);
 			update(id, {failures, ejectedUntil: readNow() + forMs});
 			return forMs;
 		},
-		forget(isKnown) {
+		retain(isKnown) {
 			for (const [id, load] of loads) {
 				if (load.inFlight === 0 && !isKnown(id)) {
 					loads.delete(id);
