--- a/scripts/faults.ts
+++ b/scripts/faults.ts
@@ -197,7 +197,7 @@
 	},
 	{
 		promise: 'sidecar: bytes on a connection are a sign of life',
-		file: `${library}/sidecar/peer-watch.js`,
+		file: `${library}/sidecar/liveness-monitor.js`,
 		from: 'gateClient.getReceivedAt(peer.report.gate) > peer.heardAt',
 		to: 'false',
 		tests: `${library}/sidecar`,
@@ -345,8 +345,8 @@
 	{
 		promise: 'sidecar: a server is found when most of a large service are gone',
 		file: `${library}/sidecar/list-candidates.js`,
-		from: 'return drawn.length > 0 ? drawn : listAll();',
-		to: 'return drawn;',
+		from: 'return sampled.length > 0 ? sampled : listAll();',
+		to: 'return sampled;',
 		tests: `${library}/sidecar`,
 	},
 	{
@@ -407,8 +407,8 @@
 	},
 	{
 		promise: 'sidecar: a node that shuts down ends what is in work',
-		file: `${library}/sidecar/stop-in-order.js`,
-		from: 'while (steps.countWork() > 0',
+		file: `${library}/sidecar/graceful-shutdown.js`,
+		from: 'while (steps.countInFlight() > 0',
 		to: 'while (false',
 		tests: `${library}/sidecar`,
 	},
@@ -652,15 +652,15 @@
 	},
 	{
 		promise: 'sidecar: bytes: the whole configuration is encoded once',
-		file: `${library}/sidecar/config-answers.js`,
+		file: `${library}/sidecar/config-answer-cache.js`,
 		from: 'wholeAnswer ??=',
 		to: 'wholeAnswer =',
 		tests: `${library}/sidecar`,
 	},
 	{
 		promise: 'sidecar: bytes: a version that the store does not have is not waited for',
-		file: `${library}/sidecar/newer-config.js`,
-		from: 'if (noteClaim(report).isRefuted) {',
+		file: `${library}/sidecar/newer-config-fetcher.js`,
+		from: 'if (recordClaim(report).isRefuted) {',
 		to: 'if (false) {',
 		tests: `${library}/sidecar`,
 	},
@@ -800,7 +800,7 @@
 	{
 		promise: 'eras: a node whose watch hangs hears of it from others',
 		file: `${library}/sidecar/config-sync.js`,
-		from: 'hearEra(report.duties.storeEra);',
+		from: 'checkReportedEra(report.duties.storeEra);',
 		to: '',
 		tests: `${library}/sidecar/config-sync.test.js`,
 	},
@@ -926,7 +926,7 @@
 	{
 		promise: 'behind: a watcher that stands still asks the store',
 		file: `${library}/sidecar/config-sync.js`,
-		from: 'newer.getBehindMs(now) > ownReadAfterMs && now - resyncedAt >= leastAskMs',
+		from: 'newerConfigFetcher.getStalledMs(now) > stalledReadAfterMs && now - watchResyncedAt >= minResyncIntervalMs',
 		to: 'false',
 		tests: 'platform/newer-version-known.test.js',
 	},
--- a/src/lib/sidecar/announcement-server.ts
+++ b/src/lib/sidecar/announcement-server.ts
@@ -15,20 +15,20 @@
 import {type Refusals} from '../timeline/refusals.js';
 
 /** A call of a backend server. @internal */
-export type ServerCall =
+export type ServerMessage =
 	| {readonly type: 'announce'; readonly announcement: ServerAnnouncement}
 	| {readonly type: 'leave'; readonly leave: ServerLeave};
 
 /** @internal */
 export type AnnouncementContext = {
 	/** Decodes a call; `undefined` if there is no such call. */
-	readonly decode: (method: string, target: string, body: string) => Result<ServerCall | undefined, CallRefusal>;
+	readonly decode: (method: string, target: string, body: string) => Result<ServerMessage | undefined, CallRefusal>;
 	/** Takes a call in, or says why it is not. */
-	readonly handleCall: (call: ServerCall) => Result<undefined, CallRefusal>;
+	readonly handleMessage: (message: ServerMessage) => Result<undefined, CallRefusal>;
 	readonly refusals: Refusals;
 };
 
-type CallOutcome =
+type MessageOutcome =
 	| {readonly type: 'taken'}
 	| {readonly type: 'no-such-call'}
 	| {readonly type: 'refused'; readonly cause: RefusalCause; readonly reason: string};
@@ -36,7 +36,7 @@
 /** An announcement is a few hundred bytes. */
 const maxBodyBytes = 16_384;
 
-function answer(response: ServerResponse, status: number, body: string): void {
+function sendResponse(response: ServerResponse, status: number, body: string): void {
 	response.writeHead(status, {'content-type': 'application/json', 'content-length': Buffer.byteLength(body)});
 	response.end(body);
 }
@@ -47,19 +47,19 @@
  * @internal
  */
 export function createAnnouncementServer(context: AnnouncementContext): Server {
-	const {decode, handleCall, refusals} = context;
+	const {decode, handleMessage, refusals} = context;
 
 	const refuse = (response: ServerResponse, place: string, cause: RefusalCause, reason: string): void => {
 		refusals.note({
 			kind: 'announcement-refused', cause, place, reason,
 		});
-		answer(response, 400, JSON.stringify({error: reason}));
+		sendResponse(response, 400, JSON.stringify({error: reason}));
 	};
 
-	const apply = (request: IncomingMessage, body: string): CallOutcome => {
+	const apply = (request: IncomingMessage, body: string): MessageOutcome => {
 		try {
 			const outcome = decode(request.method ?? 'GET', request.url ?? '/', body)
-				.andThen((call): Result<CallOutcome, CallRefusal> => call === undefined ? ok({type: 'no-such-call'}) : handleCall(call).map(() => ({type: 'taken'})));
+				.andThen((message): Result<MessageOutcome, CallRefusal> => message === undefined ? ok({type: 'no-such-call'}) : handleMessage(message).map(() => ({type: 'taken'})));
 			return outcome.match(taken => taken, ({cause, text}) => ({type: 'refused', cause, reason: text}));
 		} catch (error) {
 			// What nobody foresaw in a call must not end the node, and must not be acknowledged.
@@ -80,12 +80,12 @@
 		const outcome = apply(request, body);
 		switch (outcome.type) {
 			case 'taken': {
-				answer(response, 200, '{}');
+				sendResponse(response, 200, '{}');
 				break;
 			}
 
 			case 'no-such-call': {
-				answer(response, 404, JSON.stringify({error: 'no such call'}));
+				sendResponse(response, 404, JSON.stringify({error: 'no such call'}));
 				break;
 			}
 
--- a/src/lib/sidecar/config-answers.test.ts
+++ b/src/lib/sidecar/config-answer-cache.test.ts
@@ -4,9 +4,9 @@
 import {type RouteConfig} from '../route-config/route-config.js';
 import {createRouteIndex} from '../route-config/route-index.js';
 import {computeTextDelta} from '../route-config/text-delta.js';
-import {createConfigAnswers} from './config-answers.js';
+import {createConfigAnswerCache} from './config-answer-cache.js';
 
-type Holder = Parameters<typeof createConfigAnswers>[0];
+type Holder = Parameters<typeof createConfigAnswerCache>[0];
 
 const config: RouteConfig = {
 	version: 7, routes: [], services: [], unreadHosts: new Set(), warnings: [],
@@ -25,7 +25,7 @@
 }
 
 test('a node that lacks one step is sent it, any other one the whole', () => {
-	const answerConfig = createConfigAnswers(createHolder(7, '{b}'));
+	const answerConfig = createConfigAnswerCache(createHolder(7, '{b}'));
 	const ask = (version: number) => {
 		const {head, body} = answerConfig(version);
 		return decodeConfigAnswer(head, body)?.type;
@@ -35,7 +35,7 @@
 });
 
 test('whatever versions are asked with, the whole is made once', () => {
-	const answerConfig = createConfigAnswers(createHolder(7, '{b}'));
+	const answerConfig = createConfigAnswerCache(createHolder(7, '{b}'));
 	const first = answerConfig(0);
 	for (const version of [1, 2, -5, 1e300, 0.5, Number.MAX_SAFE_INTEGER]) {
 		assert.equal(answerConfig(version), first);
@@ -44,7 +44,7 @@
 
 test('a new version is answered anew', () => {
 	let holder = createHolder(7, '{b}');
-	const answerConfig = createConfigAnswers({
+	const answerConfig = createConfigAnswerCache({
 		get: () => holder.get(), getVersion: () => holder.getVersion(), listSteps: version => holder.listSteps(version),
 	});
 	answerConfig(0);
--- a/src/lib/sidecar/config-answers.ts
+++ b/src/lib/sidecar/config-answer-cache.ts
@@ -12,19 +12,19 @@
  * @returns What a node is sent that has a version of it.
  * @internal
  */
-export function createConfigAnswers(holder: Pick<ConfigHolder, 'get' | 'getVersion' | 'listSteps'>): (version: number) => EncodedConfigAnswer {
-	let inForce = 0;
+export function createConfigAnswerCache(holder: Pick<ConfigHolder, 'get' | 'getVersion' | 'listSteps'>): (version: number) => EncodedConfigAnswer {
+	let cachedVersion = 0;
 	const stepAnswers = new Map<number, EncodedConfigAnswer>();
 	let wholeAnswer: EncodedConfigAnswer | undefined;
 
-	const encodeWhole = (): EncodedConfigAnswer => {
-		const held = holder.get();
-		return encodeConfigAnswer(held === undefined ? undefined : {type: 'whole', text: held.text});
+	const encodeWholeAnswer = (): EncodedConfigAnswer => {
+		const active = holder.get();
+		return encodeConfigAnswer(active === undefined ? undefined : {type: 'whole', text: active.text});
 	};
 
 	return version => {
-		if (holder.getVersion() !== inForce) {
-			inForce = holder.getVersion();
+		if (holder.getVersion() !== cachedVersion) {
+			cachedVersion = holder.getVersion();
 			stepAnswers.clear();
 			wholeAnswer = undefined;
 		}
@@ -32,12 +32,12 @@
 		const steps = holder.listSteps(version);
 		if (steps === undefined) {
 			// One for all versions to which no steps are known, whatever numbers are asked for.
-			wholeAnswer ??= encodeWhole();
+			wholeAnswer ??= encodeWholeAnswer();
 			return wholeAnswer;
 		}
 
-		const known = stepAnswers.get(version) ?? encodeConfigAnswer({type: 'steps', steps});
-		stepAnswers.set(version, known);
-		return known;
+		const stepAnswer = stepAnswers.get(version) ?? encodeConfigAnswer({type: 'steps', steps});
+		stepAnswers.set(version, stepAnswer);
+		return stepAnswer;
 	};
 }
--- a/src/lib/sidecar/config-sync.test.ts
+++ b/src/lib/sidecar/config-sync.test.ts
@@ -42,8 +42,8 @@
 		peerLimits: {
 			silenceMs: 1000, probeMs: 500, forgetMs: 60_000, avoidMs: 250, getPeriodMs: () => 400,
 		},
-		isNear: () => true, fetchConfig: async () => err({type: 'nothing', reason: 'none'}), log: silentLog, refusals: silentRefusals, random: () => 0,
-		suspects: {listQuarantined: () => [], handleRecords: () => undefined}, handleAdopted: () => undefined,
+		isInOwnDomain: () => true, fetchConfig: async () => err({type: 'nothing', reason: 'none'}), log: silentLog, refusals: silentRefusals, random: () => 0,
+		suspects: {listQuarantined: () => [], handleRecords: () => undefined}, handleConfigApplied: () => undefined,
 	});
 	context.after(sync.dispose);
 	sync.start();
--- a/src/lib/sidecar/config-sync.ts
+++ b/src/lib/sidecar/config-sync.ts
@@ -26,8 +26,8 @@
 } from '../sync/suspect-entries.js';
 import {type MeshLog} from '../timeline/mesh-log.js';
 import {type Refusals} from '../timeline/refusals.js';
-import {createConfigAnswers} from './config-answers.js';
-import {createNewerConfigFetcher} from './newer-config.js';
+import {createConfigAnswerCache} from './config-answer-cache.js';
+import {createNewerConfigFetcher} from './newer-config-fetcher.js';
 
 /** @internal */
 export type ConfigSyncContext = {
@@ -43,7 +43,7 @@
 	readonly link: PeerLink;
 	readonly peerLimits: PeerLimits;
 	/** Whether another node stands in the same failure domain. */
-	readonly isNear: (report: PeerReport) => boolean;
+	readonly isInOwnDomain: (report: PeerReport) => boolean;
 	readonly fetchConfig: GateClient['fetchConfig'];
 	readonly log: MeshLog;
 	readonly refusals: Refusals;
@@ -51,7 +51,7 @@
 	/** What keeps and finds quarantined requests in the store. */
 	readonly suspects: Pick<SuspectEntriesContext, 'listQuarantined' | 'handleRecords'>;
 	/** Told of each configuration that comes into force. */
-	readonly handleAdopted: (held: ActiveConfig) => void;
+	readonly handleConfigApplied: (active: ActiveConfig) => void;
 };
 
 /** @internal */
@@ -62,18 +62,18 @@
 	/** Takes in what another node says that it has. */
 	readonly handleReport: (report: PeerReport) => void;
 	/** What a node is sent that has a version of the configuration. */
-	readonly answerConfig: (version: number) => EncodedConfigAnswer;
+	readonly getConfigAnswer: (version: number) => EncodedConfigAnswer;
 	readonly isStoreReachable: () => boolean;
 	/** Whether a newer version is known of than the one in force here. */
-	readonly isBehind: () => boolean;
+	readonly isConfigOutdated: () => boolean;
 	/** Waits until this node is not behind any more, or a moment has passed. */
-	readonly waitForNewer: () => Promise<void>;
+	readonly waitForNewerConfig: () => Promise<void>;
 	/** Looks at the store anew: what is in force stays so. */
-	readonly startAnew: () => void;
+	readonly resyncWithStore: () => void;
 	/** Keeps quarantined requests in the store. */
 	readonly storeSuspects: SuspectEntries['write'];
 	/** Tells of a crash through the store. */
-	readonly tellCrash: CrashEntries['publish'];
+	readonly publishCrash: CrashEntries['publish'];
 	readonly start: () => void;
 	/** Takes this node out of the store. */
 	readonly withdraw: () => Promise<void>;
@@ -81,16 +81,16 @@
 };
 
 /** A node that has known of a newer version for this long and got it from nobody asks the store itself: it may hear the others and not reach them. Milliseconds: what is left of the time in which a change has to be in force is enough to read it. */
-const ownReadAfterMs = 1000;
+const stalledReadAfterMs = 1000;
 
 /** How long a request waits for a version that is known of and not here. Milliseconds: nearly all versions are handed over within it, and it is a part of the shortest latency objectives. */
-const newerWaitMs = 200;
+const newerConfigWaitMs = 200;
 
 /** Between two questions to the store because of what other nodes say of it, in milliseconds. */
-const leastAskMs = 1000;
+const minResyncIntervalMs = 1000;
 
 /** Milliseconds until what failed by a fault of this program runs again. */
-const faultPauseMs = 1000;
+const faultRetryMs = 1000;
 
 /**
  * @param context - The store, the other nodes, and who is told.
@@ -98,20 +98,20 @@
  * @internal
  */
 export function createConfigSync(context: ConfigSyncContext): ConfigSync {
-	const {store, self, link, peerLimits, isNear, log, random} = context;
+	const {store, self, link, peerLimits, isInOwnDomain, log, random} = context;
 	const disposed = new AbortController();
 
 	/** Those who wait for the next version. */
-	const waiting = new Set<() => void>();
+	const configWaiters = new Set<() => void>();
 
-	const holder = createConfigHolder((held, source) => {
-		context.handleAdopted(held);
-		for (const handleAdopted of waiting) {
-			handleAdopted();
+	const holder = createConfigHolder((active, source) => {
+		context.handleConfigApplied(active);
+		for (const wakeWaiter of configWaiters) {
+			wakeWaiter();
 		}
 
 		log.record('info', {
-			kind: 'configuration-applied', version: held.config.version, from: source, routes: held.config.routes.length,
+			kind: 'configuration-applied', version: active.config.version, from: source, routes: active.config.routes.length,
 		});
 		if (follower.isFollowing()) {
 			// Those that do not watch the store wait for this word.
@@ -128,7 +128,7 @@
 	});
 
 	/** Describes the other nodes of the failure domain one by one, since few of them are looked at. */
-	function * describeHeard(now: number): Generator<DomainNode> {
+	function * listLiveDomainNodes(now: number): Generator<DomainNode> {
 		for (const peer of link.table.listOwnDomain()) {
 			const {report: {node, isLeaving, duties}, reportedAt, periodMs} = peer;
 			if (!isLeaving && isHeard(peer, peerLimits, now)) {
@@ -141,21 +141,21 @@
 	}
 
 	/** Whether this node watches the store, by what it hears of the others in its failure domain. */
-	const mayFollow = (): boolean => {
+	const shouldFollowStore = (): boolean => {
 		const now = readSteadyMs();
-		if (newer.getBehindMs(now) > ownReadAfterMs) {
+		if (newerConfigFetcher.getStalledMs(now) > stalledReadAfterMs) {
 			return true;
 		}
 
 		const self: DomainNode = {
 			...describeDuties(), node: context.self, heardMsAgo: 0, periodMs: 0,
 		};
-		return isRelay(self, describeHeard(now), link.table.countDomains());
+		return isRelay(self, listLiveDomainNodes(now), link.table.countDomains());
 	};
 
 	const follower = createConfigFollower({
-		store, health, holder, key: context.configKey, decode: context.decodeConfig, log, random, shouldFollow: mayFollow, handleRead(startedAt) {
-			newer.noteStoreRead(startedAt);
+		store, health, holder, key: context.configKey, decode: context.decodeConfig, log, random, shouldFollow: shouldFollowStore, handleRead(startedAt) {
+			newerConfigFetcher.recordStoreRead(startedAt);
 		},
 	});
 	const suspects = createSuspectEntries({
@@ -174,7 +174,7 @@
 	});
 
 	/** What was known by revision or lease is void; what is in force stays so. */
-	const startAnew = (): void => {
+	const resyncWithStore = (): void => {
 		follower.resync();
 		registration.checkSoon();
 	};
@@ -183,99 +183,99 @@
 		log.record('warn', {kind: 'store-restored', era});
 		crashes.handleRestored();
 		suspects.handleRestored();
-		startAnew();
+		resyncWithStore();
 	});
 
 	/** The era that another node told of last, and when this node last asked the store because of it. */
-	let toldEra = noEra;
-	let askedAt = Number.NEGATIVE_INFINITY;
+	let lastReportedEra = noEra;
+	let eraCheckedAt = Number.NEGATIVE_INFINITY;
 
 	/** A watch that hangs hears of nothing; the others may know. The store itself tells whether it is true, so that a node that names any number costs a call a second at the most. */
-	const hearEra = (era: StoreEra): void => {
+	const checkReportedEra = (era: StoreEra): void => {
 		const known = store.getEra();
 		const now = readSteadyMs();
-		if (known === undefined || era <= known || era === toldEra || now - askedAt < leastAskMs) {
+		if (known === undefined || era <= known || era === lastReportedEra || now - eraCheckedAt < minResyncIntervalMs) {
 			return;
 		}
 
-		toldEra = era;
-		askedAt = now;
-		startAnew();
+		lastReportedEra = era;
+		eraCheckedAt = now;
+		resyncWithStore();
 	};
 
-	const newer = createNewerConfigFetcher({
+	const newerConfigFetcher = createNewerConfigFetcher({
 		getCurrent() {
-			const held = holder.get();
-			return held === undefined ? undefined : {version: held.config.version, text: held.text};
+			const active = holder.get();
+			return active === undefined ? undefined : {version: active.config.version, text: active.text};
 		},
-		hasOwnWatch: () => follower.isFollowing() && health.isReachable(),
-		isNear,
+		isWatchingStore: () => follower.isFollowing() && health.isReachable(),
+		isInOwnDomain,
 		fetchConfig: context.fetchConfig,
-		adoptText: follower.applyText,
-		handleUnusable(report, reason) {
+		applyText: follower.applyText,
+		handleUnusableAnswer(report, reason) {
 			log.record('warn', {
 				kind: 'configuration-refused', version: report.version, from: report.node, reason,
 			});
 		},
-		handleHeard({node, version}) {
+		handleNewVersion({node, version}) {
 			log.record('info', {
 				kind: 'configuration-heard', version, from: node, held: holder.getVersion(),
 			});
 		},
-		handleFailed({node, version}, {type, reason}, tookMs) {
+		handleFetchFailed({node, version}, {type, reason}, tookMs) {
 			log.record('info', {
 				kind: 'configuration-not-fetched', version, from: node, held: holder.getVersion(), outcome: type, reason, tookMs: Math.round(tookMs),
 			});
 		},
 	});
 
-	const waitForNewer = async (): Promise<void> => {
-		const endsAt = readSteadyMs() + newerWaitMs;
-		for (let now = readSteadyMs(); newer.isBehind() && now < endsAt; now = readSteadyMs()) {
-			const adopted = new AbortController();
-			const handleAdopted = (): void => {
-				adopted.abort();
+	const waitForNewerConfig = async (): Promise<void> => {
+		const endsAt = readSteadyMs() + newerConfigWaitMs;
+		for (let now = readSteadyMs(); newerConfigFetcher.isOutdated() && now < endsAt; now = readSteadyMs()) {
+			const applied = new AbortController();
+			const wakeWaiter = (): void => {
+				applied.abort();
 			};
 
-			waiting.add(handleAdopted);
-			await waitFor(endsAt - now, adopted.signal);
-			waiting.delete(handleAdopted);
+			configWaiters.add(wakeWaiter);
+			await waitFor(endsAt - now, applied.signal);
+			configWaiters.delete(wakeWaiter);
 		}
 	};
 
-	const tellFault = (error: unknown): void => {
+	const recordFault = (error: unknown): void => {
 		log.record('error', {kind: 'node-failed', reason: (error as Error).stack ?? String(error)});
 	};
 
 	/** A fault of this program must neither end the node nor what it hears from the store. */
-	const keepRunning = async (run: () => Promise<void>): Promise<void> => {
+	const retryOnFault = async (run: () => Promise<void>): Promise<void> => {
 		while (!disposed.signal.aborted) {
 			try {
 				await run();
 				return;
 			} catch (error) {
-				tellFault(error);
-				await waitFor(faultPauseMs, disposed.signal);
+				recordFault(error);
+				await waitFor(faultRetryMs, disposed.signal);
 			}
 		}
 	};
 
-	let resyncedAt = Number.NEGATIVE_INFINITY;
+	let watchResyncedAt = Number.NEGATIVE_INFINITY;
 
 	/** A watch may hang, or others may claim what is not there: a watcher that stands still asks the store as any other node does. */
-	const checkOwnWatch = (): void => {
+	const checkStoreWatch = (): void => {
 		const now = readSteadyMs();
-		if (follower.isFollowing() && newer.getBehindMs(now) > ownReadAfterMs && now - resyncedAt >= leastAskMs) {
-			resyncedAt = now;
+		if (follower.isFollowing() && newerConfigFetcher.getStalledMs(now) > stalledReadAfterMs && now - watchResyncedAt >= minResyncIntervalMs) {
+			watchResyncedAt = now;
 			follower.resync();
 		}
 	};
 
 	const handleReport = async (report: PeerReport): Promise<void> => {
 		try {
-			await newer.handleReport(report);
+			await newerConfigFetcher.handleReport(report);
 		} catch (error) {
-			tellFault(error);
+			recordFault(error);
 		}
 	};
 
@@ -283,23 +283,23 @@
 		holder,
 		describeDuties,
 		handleReport(report) {
-			hearEra(report.duties.storeEra);
+			checkReportedEra(report.duties.storeEra);
 			// Most reports tell of the version that is in force here: no work is begun for these.
 			if (report.version > holder.getVersion()) {
-				checkOwnWatch();
+				checkStoreWatch();
 				void handleReport(report);
 			}
 		},
-		answerConfig: createConfigAnswers(holder),
+		getConfigAnswer: createConfigAnswerCache(holder),
 		isStoreReachable: health.isReachable,
-		isBehind: newer.isBehind,
-		waitForNewer,
-		startAnew,
+		isConfigOutdated: newerConfigFetcher.isOutdated,
+		waitForNewerConfig,
+		resyncWithStore,
 		storeSuspects: suspects.write,
-		tellCrash: crashes.publish,
+		publishCrash: crashes.publish,
 		start() {
-			void keepRunning(follower.run);
-			void keepRunning(registration.run);
+			void retryOnFault(follower.run);
+			void retryOnFault(registration.run);
 		},
 		withdraw: registration.withdraw,
 		dispose() {
--- a/src/lib/sidecar/stop-in-order.test.ts
+++ b/src/lib/sidecar/graceful-shutdown.test.ts
@@ -1,16 +1,16 @@
 import assert from 'node:assert/strict';
 import test, {mock} from 'node:test';
-import {stopInOrder} from './stop-in-order.js';
+import {runGracefulShutdown} from './graceful-shutdown.js';
 
 type Recorded = {
 	readonly events: readonly string[];
 	/** Lets so many milliseconds pass. */
-	readonly pass: (milliseconds: number) => Promise<void>;
+	readonly advance: (milliseconds: number) => Promise<void>;
 	readonly isDone: () => boolean;
 };
 
 /** Stops a node that has requests in work until a given time. */
-function startStopping(workEndsAtMs: number, limitMs: number): Recorded {
+function startShutdown(inFlightUntilMs: number, limitMs: number): Recorded {
 	const events: string[] = [];
 	const startedAt = performance.now();
 	let passed = 0;
@@ -20,9 +20,9 @@
 	};
 
 	const run = async (): Promise<void> => {
-		await stopInOrder({
+		await runGracefulShutdown({
 			withdraw: note('withdraw'), closeGate: note('close gate'), closeAfterAnswers: note('close after answers'), stopListening: note('stop listening'),
-			countWork: () => performance.now() - startedAt < workEndsAtMs ? 1 : 0,
+			countInFlight: () => performance.now() - startedAt < inFlightUntilMs ? 1 : 0,
 		}, limitMs);
 		isDone = true;
 	};
@@ -31,7 +31,7 @@
 	return {
 		events,
 		isDone: () => isDone,
-		async pass(milliseconds) {
+		async advance(milliseconds) {
 			for (let step = 0; step < milliseconds; step += 100) {
 				passed += 100;
 				mock.timers.tick(100);
@@ -57,14 +57,14 @@
 		mock.timers.reset();
 		mock.restoreAll();
 	});
-	const stopping = startStopping(3400, 6000);
-	await stopping.pass(1700);
-	assert.deepEqual(stopping.events, ['withdraw 0']);
-	await stopping.pass(1200);
-	assert.deepEqual(stopping.events.map(event => event.replace(/ \d+$/, '')), ['withdraw', 'close gate', 'close after answers', 'stop listening']);
-	assert.equal(stopping.isDone(), false);
-	await stopping.pass(800);
-	assert.equal(stopping.isDone(), true);
+	const shutdown = startShutdown(3400, 6000);
+	await shutdown.advance(1700);
+	assert.deepEqual(shutdown.events, ['withdraw 0']);
+	await shutdown.advance(1200);
+	assert.deepEqual(shutdown.events.map(event => event.replace(/ \d+$/, '')), ['withdraw', 'close gate', 'close after answers', 'stop listening']);
+	assert.equal(shutdown.isDone(), false);
+	await shutdown.advance(800);
+	assert.equal(shutdown.isDone(), true);
 });
 
 test('it goes before the time is over, whatever is in work', async context => {
@@ -74,9 +74,9 @@
 		mock.timers.reset();
 		mock.restoreAll();
 	});
-	const stopping = startStopping(60_000, 6000);
-	await stopping.pass(4900);
-	assert.equal(stopping.isDone(), false);
-	await stopping.pass(600);
-	assert.equal(stopping.isDone(), true);
+	const shutdown = startShutdown(60_000, 6000);
+	await shutdown.advance(4900);
+	assert.equal(shutdown.isDone(), false);
+	await shutdown.advance(600);
+	assert.equal(shutdown.isDone(), true);
 });
--- a/src/lib/sidecar/stop-in-order.ts
+++ b/src/lib/sidecar/graceful-shutdown.ts
@@ -16,23 +16,23 @@
 	/** Takes no more connections, and closes idle ones. */
 	readonly stopListening: () => void;
 	/** Requests in work. */
-	readonly countWork: () => number;
+	readonly countInFlight: () => number;
 };
 
 /** For how long requests for the backend server are still taken. Milliseconds: the server goes on working and the node stays anyway until its callers have gone; a request taken last still has the longest time that users' callers wait before the node has to go. */
 const gateOpenMs = 1800;
 
 /** From when on answers close their connections. Milliseconds: by then callers have been told twice that the node is not ready. */
-const closeAfterMs = 2300;
+const closeConnectionsAfterMs = 2300;
 
 /** Before when the node does not go, since callers may still come. Milliseconds. */
-const leaveAfterMs = 2700;
+const stopListeningAfterMs = 2700;
 
 /** How long before the end of the time to shut down the node goes, whatever is still in work. Milliseconds. */
-const lastExitMs = 900;
+const exitMarginMs = 900;
 
 /** Between two looks at what is still in work. Milliseconds. */
-const idlePollMs = 25;
+const inFlightPollMs = 25;
 
 /**
  * Shuts a node down; it has to be not ready by then.
@@ -42,21 +42,21 @@
  * @returns How long it took, in milliseconds.
  * @internal
  */
-export async function stopInOrder(steps: ShutdownSteps, limitMs: number): Promise<number> {
-	const from = readSteadyMs();
-	const waitUntil = async (afterMs: number): Promise<void> => waitFor(Math.max(0, from + afterMs - readSteadyMs()));
+export async function runGracefulShutdown(steps: ShutdownSteps, limitMs: number): Promise<number> {
+	const startedAt = readSteadyMs();
+	const waitUntil = async (afterMs: number): Promise<void> => waitFor(Math.max(0, startedAt + afterMs - readSteadyMs()));
 	steps.withdraw();
 	await waitUntil(gateOpenMs);
 	steps.closeGate();
-	await waitUntil(closeAfterMs);
+	await waitUntil(closeConnectionsAfterMs);
 	steps.closeAfterAnswers();
-	await waitUntil(leaveAfterMs);
+	await waitUntil(stopListeningAfterMs);
 	steps.stopListening();
-	while (steps.countWork() > 0 && readSteadyMs() - from < limitMs - lastExitMs) {
-		await waitFor(idlePollMs);
+	while (steps.countInFlight() > 0 && readSteadyMs() - startedAt < limitMs - exitMarginMs) {
+		await waitFor(inFlightPollMs);
 	}
 
 	// The last answers are still on their way to the callers.
-	await waitFor(idlePollMs * 2);
-	return readSteadyMs() - from;
+	await waitFor(inFlightPollMs * 2);
+	return readSteadyMs() - startedAt;
 }
--- a/src/lib/sidecar/housekeeping.ts
+++ b/src/lib/sidecar/housekeeping.ts
@@ -15,14 +15,14 @@
 export type HousekeepingContext = {
 	readonly listPeers: PeerLink['table']['list'];
 	readonly loads: LoadView;
-	readonly silence: SilenceWatchers;
+	readonly silenceWatchers: SilenceWatchers;
 	/** Sets by how much the young generation of this process's heap grows. */
 	readonly applyGrowthFactor: (factor: number) => void;
 };
 
 /** @internal */
 export type Housekeeping = {
-	readonly noteCall: () => void;
+	readonly recordCall: () => void;
 	/** Called with rounds of heartbeats: a timer of its own would be a wake-up more a second. */
 	readonly handleRound: () => void;
 	readonly start: () => void;
@@ -30,48 +30,48 @@
 };
 
 /** Milliseconds between two looks at how busy the node is, at the least. */
-const loadCheckMs = 1000;
+const minLoadCheckIntervalMs = 1000;
 
 /** Milliseconds between two looks for servers that are gone. */
-const forgetMs = 30_000;
+const cleanupIntervalMs = 30_000;
 
 /**
  * @param context - What is known of others, and the heap.
  * @returns Housekeeping that has not started.
  * @internal
  */
-export function createHousekeeping({listPeers, loads, silence, applyGrowthFactor}: HousekeepingContext): Housekeeping {
-	const young = createYoungGeneration(applyGrowthFactor);
+export function createHousekeeping({listPeers, loads, silenceWatchers, applyGrowthFactor}: HousekeepingContext): Housekeeping {
+	const youngGeneration = createYoungGeneration(applyGrowthFactor);
 	let finishedCalls = 0;
 	let loadCheckedAt = readSteadyMs();
-	let forgetTimer: NodeJS.Timeout | undefined;
+	let cleanupTimer: NodeJS.Timeout | undefined;
 
 	/** Servers come and go all day: what is known of those that are gone must not pile up. */
-	const forgetGone = (): void => {
+	const removeGoneServers = (): void => {
 		const known = new Set([...listPeers()].flatMap(({report}) => report.server === undefined ? [] : [toLifetimeKey(report.server.lifetime)]));
 		loads.retain(lifetime => known.has(lifetime));
-		silence.forgetIdle();
+		silenceWatchers.removeUnwatchedNodes();
 	};
 
 	return {
-		noteCall() {
+		recordCall() {
 			finishedCalls++;
 		},
 		handleRound() {
 			const now = readSteadyMs();
-			if (now - loadCheckedAt < loadCheckMs) {
+			if (now - loadCheckedAt < minLoadCheckIntervalMs) {
 				return;
 			}
 
-			young.note(finishedCalls, now - loadCheckedAt);
+			youngGeneration.note(finishedCalls, now - loadCheckedAt);
 			finishedCalls = 0;
 			loadCheckedAt = now;
 		},
 		start() {
-			forgetTimer = setInterval(forgetGone, forgetMs);
+			cleanupTimer = setInterval(removeGoneServers, cleanupIntervalMs);
 		},
 		dispose() {
-			clearInterval(forgetTimer);
+			clearInterval(cleanupTimer);
 		},
 	};
 }
--- a/src/lib/sidecar/list-candidates.test.ts
+++ b/src/lib/sidecar/list-candidates.test.ts
@@ -41,8 +41,8 @@
 		peers: {ownDomain: peers.filter(({report}) => report.domain === domain), otherDomains: peers.filter(({report}) => report.domain !== domain)},
 		limits, loads: createLoadView(), random,
 	};
-	const needs = {service: 'logview', route: 'logs', tried: new Set(tried.map(id => toLifetimeKey(toLifetime(id))))};
-	return listCandidates(needs, sources, 5500).map(({id, isLocal}) => isLocal ? `own ${id}` : id);
+	const query = {service: 'logview', route: 'logs', tried: new Set(tried.map(id => toLifetimeKey(toLifetime(id))))};
+	return listCandidates(query, sources, 5500).map(({id, isLocal}) => isLocal ? `own ${id}` : id);
 }
 
 test('only servers of the service that are ready, beside nodes that can be reached, may be chosen', () => {
--- a/src/lib/sidecar/list-candidates.ts
+++ b/src/lib/sidecar/list-candidates.ts
@@ -16,7 +16,7 @@
 import {type Candidate} from '../decisions/rank-servers.js';
 
 /** Where this node stands, and the server beside it. @internal */
-export type OwnPlace = {
+export type OwnNode = {
 	readonly node: NodeId;
 	readonly gate: Address;
 	readonly domain: FailureDomain;
@@ -26,7 +26,7 @@
 
 /** @internal */
 export type CandidateSources = {
-	readonly own: OwnPlace;
+	readonly own: OwnNode;
 	/** Nodes beside servers of the service. */
 	readonly peers: ServicePeers;
 	readonly limits: PeerLimits;
@@ -35,7 +35,7 @@
 };
 
 /** The call that a server is sought for. @internal */
-export type CandidateNeeds = {
+export type CandidateQuery = {
 	readonly service: string;
 	readonly route: string;
 	/** Servers that are out of the question. */
@@ -48,13 +48,13 @@
  * Nodes of each kind that are looked at, own failure domain and others apart. A choice then costs the same at 60 servers of a
  * service and at 600. Up to this number all are compared.
  */
-const mostLooks = 12;
+const maxSampledPeers = 12;
 
 /** Servers of each kind with a free slot after which no more are looked for; the ranking compares three and four. */
-const enoughFree = 4;
+const enoughFreeServers = 4;
 
 /** What the own gate says is exact and of this moment. */
-function describeOwn({own, loads}: CandidateSources, server: ServerReport, route: string, now: number): Candidate {
+function describeLocal({own, loads}: CandidateSources, server: ServerReport, route: string, now: number): Candidate {
 	const {running, waiting, serviceMs, failureShare} = server;
 	const lifetime = toLifetimeKey(server.lifetime);
 	return {
@@ -74,48 +74,48 @@
 }
 
 /** Random places of a list, each at most once; all of them if the list is short. */
-function pickPlaces(length: number, random: () => number): Iterable<number> {
-	if (length <= mostLooks) {
-		return Array.from({length}, (_, place) => place);
+function pickIndexes(length: number, random: () => number): Iterable<number> {
+	if (length <= maxSampledPeers) {
+		return Array.from({length}, (_, index) => index);
 	}
 
-	return new Set(Array.from({length: mostLooks}, () => Math.floor(random() * length)));
+	return new Set(Array.from({length: maxSampledPeers}, () => Math.floor(random() * length)));
 }
 
 /**
- * @param needs - The call.
+ * @param query - The call.
  * @param sources - What is known of servers and nodes.
  * @param now - Steady milliseconds.
  * @returns Servers that are ready, in no particular order: all of them if there are few, else some drawn at random, with free slots as far as such were found.
  * @internal
  */
-export function listCandidates(needs: CandidateNeeds, sources: CandidateSources, now: number): readonly Candidate[] {
-	const {service, route, tried, trialOf} = needs;
+export function listCandidates(query: CandidateQuery, sources: CandidateSources, now: number): readonly Candidate[] {
+	const {service, route, tried, trialOf} = query;
 	const {own, peers, limits, loads, random} = sources;
 
 	/** A trial has one server for all nodes, also once that one has turned it away: to go on among the others would be trials at several at once. */
-	const isOut = (lifetime: LifetimeKey): boolean => trialOf === undefined && tried.has(lifetime);
+	const isExcluded = (lifetime: LifetimeKey): boolean => trialOf === undefined && tried.has(lifetime);
 
-	const describeUsable = (peer: Peer): Candidate | undefined => {
+	const describeIfUsable = (peer: Peer): Candidate | undefined => {
 		const {server} = peer.report;
 		// A list by service may hold a node whose server has changed since it was drawn up.
-		return server?.service === service && server.state === 'ready' && !isOut(toLifetimeKey(server.lifetime)) && isReachable(peer, limits, now)
+		return server?.service === service && server.state === 'ready' && !isExcluded(toLifetimeKey(server.lifetime)) && isReachable(peer, limits, now)
 			? describePeer({report: peer.report, server}, route, loads)
 			: undefined;
 	};
 
-	const findSome = (list: readonly Peer[]): readonly Candidate[] => {
+	const findSampled = (list: readonly Peer[]): readonly Candidate[] => {
 		const found: Candidate[] = [];
-		let free = 0;
-		for (const place of pickPlaces(list.length, random)) {
-			const candidate = describeUsable(list[place]!);
+		let freeServers = 0;
+		for (const index of pickIndexes(list.length, random)) {
+			const candidate = describeIfUsable(list[index]!);
 			if (candidate === undefined) {
 				continue;
 			}
 
 			found.push(candidate);
-			free += estimateSlotWait(candidate.view, candidate.slots, now) === 0 ? 1 : 0;
-			if (free >= enoughFree && list.length > mostLooks) {
+			freeServers += estimateSlotWait(candidate.view, candidate.slots, now) === 0 ? 1 : 0;
+			if (freeServers >= enoughFreeServers && list.length > maxSampledPeers) {
 				break;
 			}
 		}
@@ -123,13 +123,13 @@
 		return found;
 	};
 
-	const ownPart = own.server?.service === service && own.server.state === 'ready' && !isOut(toLifetimeKey(own.server.lifetime)) ? [describeOwn(sources, own.server, route, now)] : [];
-	const listAll = (): readonly Candidate[] => [...ownPart, ...[...peers.ownDomain, ...peers.otherDomains].flatMap(peer => describeUsable(peer) ?? [])];
+	const localCandidates = own.server?.service === service && own.server.state === 'ready' && !isExcluded(toLifetimeKey(own.server.lifetime)) ? [describeLocal(sources, own.server, route, now)] : [];
+	const listAll = (): readonly Candidate[] => [...localCandidates, ...[...peers.ownDomain, ...peers.otherDomains].flatMap(peer => describeIfUsable(peer) ?? [])];
 	if (trialOf !== undefined) {
 		return chooseTrialServer(trialOf, listAll()).filter(({lifetime}) => !tried.has(lifetime));
 	}
 
-	const drawn = [...ownPart, ...findSome(peers.ownDomain), ...findSome(peers.otherDomains)];
+	const sampled = [...localCandidates, ...findSampled(peers.ownDomain), ...findSampled(peers.otherDomains)];
 	// Most of a service may be gone at once, and the few that are left not be drawn.
-	return drawn.length > 0 ? drawn : listAll();
+	return sampled.length > 0 ? sampled : listAll();
 }
--- a/src/lib/sidecar/peer-watch.test.ts
+++ b/src/lib/sidecar/liveness-monitor.test.ts
@@ -8,7 +8,7 @@
 } from '../peers/peer-table.js';
 import {createSampleReport} from '../peers/sample-report.js';
 import {silentLog} from '../timeline/mesh-log.js';
-import {createPeerWatch} from './peer-watch.js';
+import {createLivenessMonitor} from './liveness-monitor.js';
 import {createSilenceWatchers} from './silence-watchers.js';
 
 const node = toNodeId('n2');
@@ -18,7 +18,7 @@
 
 type Fixture = {
 	/** When the node was asked, in milliseconds from the start. */
-	readonly asked: number[];
+	readonly probes: number[];
 	readonly silence: ReturnType<typeof createSilenceWatchers>;
 	readonly advance: (milliseconds: number) => void;
 	/** Lets a report of the node arrive. */
@@ -43,10 +43,10 @@
 	const fixture: Fixture = {
 		delays: [],
 		beginRound(lateMs) {
-			watch.handleRound(lateMs);
+			monitor.handleRound(lateMs);
 		},
 		isHeard: () => isHeard(table.get(node)!, limits, now),
-		asked: [],
+		probes: [],
 		silence: createSilenceWatchers(),
 		advance(milliseconds) {
 			for (let passed = 0; passed < milliseconds; passed += 100) {
@@ -65,9 +65,9 @@
 	fixture.hear();
 	const link: Pick<PeerLink, 'table' | 'probe' | 'forgiveSilence' | 'noteReached'> = {
 		table,
-		probe(asked: NodeId) {
-			fixture.asked.push(now);
-			table.noteProbed(asked, now);
+		probe(probed: NodeId) {
+			fixture.probes.push(now);
+			table.noteProbed(probed, now);
 		},
 		forgiveSilence: table.forgiveSilence,
 		noteReached(reached) {
@@ -75,87 +75,87 @@
 		},
 	};
 	const gateClient = {checkSilence: () => undefined, getReceivedAt: () => receivedAt} satisfies Pick<GateClient, 'checkSilence' | 'getReceivedAt'>;
-	const watch = createPeerWatch({
-		link, limits, silence: fixture.silence, gateClient, log: silentLog, handleDelay(delayMs) {
+	const monitor = createLivenessMonitor({
+		link, limits, silenceWatchers: fixture.silence, gateClient, log: silentLog, handleDelay(delayMs) {
 			fixture.delays.push(delayMs);
 		},
 	});
-	watch.start();
-	context.after(watch.dispose);
+	monitor.start();
+	context.after(monitor.dispose);
 	return fixture;
 }
 
 test('a node that nobody waits for is not asked', context => {
-	const {asked, advance} = createFixture(context);
+	const {probes, advance} = createFixture(context);
 	advance(3000);
-	assert.deepEqual(asked, []);
+	assert.deepEqual(probes, []);
 });
 
 test('a question or an answer that is lost on the way does not make a node silent', context => {
-	const {asked, silence, advance, hear} = createFixture(context);
-	let isTold = false;
+	const {probes, silence, advance, hear} = createFixture(context);
+	let isNotified = false;
 	silence.watch(node, () => {
-		isTold = true;
+		isNotified = true;
 	});
 	advance(700);
-	assert.equal(asked.length, 1);
+	assert.equal(probes.length, 1);
 	advance(200);
-	assert.equal(asked.length, 2);
+	assert.equal(probes.length, 2);
 	hear();
 	advance(500);
-	assert.equal(isTold, false);
+	assert.equal(isNotified, false);
 });
 
 test('a node that leaves every question unanswered is silent, and is not asked for ever', context => {
-	const {asked, silence, advance} = createFixture(context);
-	const toldAt: number[] = [];
+	const {probes, silence, advance} = createFixture(context);
+	const notifiedAt: number[] = [];
 	silence.watch(node, () => {
-		toldAt.push(asked.length);
+		notifiedAt.push(probes.length);
 	});
 	advance(1400);
-	assert.ok(toldAt.length > 0);
-	assert.ok(asked.length >= 3);
+	assert.ok(notifiedAt.length > 0);
+	assert.ok(probes.length >= 3);
 	advance(10_000);
-	assert.ok(asked.length < 20, `${asked.length} questions`);
+	assert.ok(probes.length < 20, `${probes.length} questions`);
 });
 
 test('a node that was asked for a request that has ended meanwhile is asked on, until it answers', context => {
-	const {asked, silence, advance, hear} = createFixture(context);
+	const {probes, silence, advance, hear} = createFixture(context);
 	const unwatch = silence.watch(node, () => undefined);
 	advance(700);
 	unwatch();
 	advance(400);
-	assert.ok(asked.length >= 3);
+	assert.ok(probes.length >= 3);
 	hear();
-	const before = asked.length;
+	const before = probes.length;
 	advance(2000);
-	assert.equal(asked.length, before);
+	assert.equal(probes.length, before);
 });
 
 test('a request that was sent just now shows nothing about a node that was heard long ago', context => {
-	const {asked, silence, advance} = createFixture(context);
+	const {probes, silence, advance} = createFixture(context);
 	advance(3000);
 	silence.watch(node, () => undefined);
 	advance(500);
-	assert.deepEqual(asked, []);
+	assert.deepEqual(probes, []);
 	advance(200);
-	assert.equal(asked.length, 1);
+	assert.equal(probes.length, 1);
 });
 
 test('a node whose datagrams are lost and on whose connection bytes arrive is not silent', context => {
 	const {silence, advance, receive} = createFixture(context);
-	let isTold = false;
+	let isNotified = false;
 	silence.watch(node, () => {
-		isTold = true;
+		isNotified = true;
 	});
 	for (let passed = 0; passed < 5000; passed += 500) {
 		advance(500);
 		receive();
 	}
 
-	assert.equal(isTold, false);
+	assert.equal(isNotified, false);
 	advance(3000);
-	assert.equal(isTold, true);
+	assert.equal(isNotified, true);
 });
 
 test('an idle node looks with its rounds only, and at its own pace from the first request that waits until nobody does', context => {
--- a/src/lib/sidecar/peer-watch.ts
+++ b/src/lib/sidecar/liveness-monitor.ts
@@ -14,10 +14,10 @@
 import {type SilenceWatchers} from './silence-watchers.js';
 
 /** @internal */
-export type PeerWatchContext = {
+export type LivenessMonitorContext = {
 	readonly link: Pick<PeerLink, 'probe' | 'forgiveSilence' | 'noteReached'> & {readonly table: Pick<PeerTableView, 'get' | 'findGate'>};
 	readonly limits: PeerLimits;
-	readonly silence: SilenceWatchers;
+	readonly silenceWatchers: SilenceWatchers;
 	readonly gateClient: Pick<GateClient, 'checkSilence' | 'getReceivedAt'>;
 	readonly log: MeshLog;
 	/** Told how late this process is, in milliseconds. */
@@ -25,7 +25,7 @@
 };
 
 /** @internal */
-export type PeerWatch = {
+export type LivenessMonitor = {
 	readonly start: () => void;
 	/** Called with each round of heartbeats and by how much it was late, in milliseconds: the pace of an idle node. */
 	readonly handleRound: (lateMs: number) => void;
@@ -36,49 +36,49 @@
  * Milliseconds between two looks while requests wait for other nodes, or a question of this node does. An idle node looks with its rounds of heartbeats,
  * for which it is awake anyway.
  */
-const checkMs = 100;
+const checkIntervalMs = 100;
 
 /** A node that requests wait for and that has not been heard for this long is asked for a report. Milliseconds, a little more than one period of heartbeats. */
-const askAfterMs = 500;
+const probeAfterMs = 500;
 
 /** Milliseconds until a node that has not answered is asked again: three questions fit into the time in which it has to answer, since datagrams are lost now and then. */
-const askAgainMs = 200;
+const probeRetryMs = 200;
 
 /** For how long it is asked; later its heartbeats tell. Milliseconds. */
-const askForMs = 3000;
+const probeDurationMs = 3000;
 
 /** A timer that fires this late shows that the process stood still, rather than that it was busy. Milliseconds. */
-const pauseMs = 400;
+const pauseThresholdMs = 400;
 
 /** The same for a round of an idle node, in milliseconds: a pause may have begun up to a period earlier, and with that the others must not seem silent. */
-const idlePauseMs = 150;
+const idlePauseThresholdMs = 150;
 
 /**
  * @param context - The other nodes and who waits for them.
  * @returns The watch, not started yet.
  * @internal
  */
-export function createPeerWatch(context: PeerWatchContext): PeerWatch {
-	const {link, limits, silence, gateClient, log, handleDelay} = context;
+export function createLivenessMonitor(context: LivenessMonitorContext): LivenessMonitor {
+	const {link, limits, silenceWatchers, gateClient, log, handleDelay} = context;
 	let timer: NodeJS.Timeout | undefined;
 	let isRunning = false;
 	let checkedAt = 0;
 	/** When nodes were last asked, in steady milliseconds. */
-	const askedAt = new Map<NodeId, number>();
+	const lastProbedAt = new Map<NodeId, number>();
 
 	const getHeardAt = (gate: Address): number | undefined => link.table.findGate(gate)?.heardAt;
 
 	/** Whether a node that has been asked still has to answer. */
-	const isAsked = ({probedAt}: Peer, now: number): boolean => probedAt !== undefined && now - probedAt < askForMs;
+	const isProbing = ({probedAt}: Peer, now: number): boolean => probedAt !== undefined && now - probedAt < probeDurationMs;
 
 	/** A request that has not waited for long yet shows nothing, however seldom the node's heartbeats are. */
-	const hasToAnswer = (peer: Peer, waitsSince: number, now: number): boolean => peer.probedAt === undefined
-		? now - Math.max(peer.heardAt, waitsSince) > askAfterMs
-		: isAsked(peer, now);
+	const isProbeDue = (peer: Peer, waitingSince: number, now: number): boolean => peer.probedAt === undefined
+		? now - Math.max(peer.heardAt, waitingSince) > probeAfterMs
+		: isProbing(peer, now);
 
-	const ask = (node: NodeId, now: number): void => {
-		if (now - (askedAt.get(node) ?? 0) >= askAgainMs) {
-			askedAt.set(node, now);
+	const sendProbe = (node: NodeId, now: number): void => {
+		if (now - (lastProbedAt.get(node) ?? 0) >= probeRetryMs) {
+			lastProbedAt.set(node, now);
 			link.probe(node);
 		}
 	};
@@ -87,8 +87,8 @@
 	 * Takes bytes on a connection for a sign of life. On a link that is full of large answers datagrams are lost, question and report alike, and what goes over a
 	 * connection gets through.
 	 */
-	const noteReceived = (): void => {
-		for (const [node] of silence.listAwaited()) {
+	const recordReceivedBytes = (): void => {
+		for (const [node] of silenceWatchers.listWatchedNodes()) {
 			const peer = link.table.get(node);
 			if (peer !== undefined && gateClient.getReceivedAt(peer.report.gate) > peer.heardAt) {
 				link.noteReached(node);
@@ -97,43 +97,43 @@
 	};
 
 	/** Asks the nodes that requests wait for, and those that have not answered yet: a question or its answer may be lost. */
-	const askSilent = (now: number): void => {
-		for (const [node, waitsSince] of silence.listAwaited()) {
+	const probeSilentNodes = (now: number): void => {
+		for (const [node, waitingSince] of silenceWatchers.listWatchedNodes()) {
 			const peer = link.table.get(node);
-			if (peer !== undefined && hasToAnswer(peer, waitsSince, now)) {
-				ask(node, now);
+			if (peer !== undefined && isProbeDue(peer, waitingSince, now)) {
+				sendProbe(node, now);
 			}
 		}
 
-		for (const node of askedAt.keys()) {
+		for (const node of lastProbedAt.keys()) {
 			const peer = link.table.get(node);
-			if (peer === undefined || !isAsked(peer, now)) {
-				askedAt.delete(node);
+			if (peer === undefined || !isProbing(peer, now)) {
+				lastProbedAt.delete(node);
 			} else {
-				ask(node, now);
+				sendProbe(node, now);
 			}
 		}
 	};
 
 	/** Names a pause. A node that answers others and waits for none may be a little late because it is busy, which is not worth a line. */
-	const notePause = (delayMs: number): void => {
-		if (delayMs > pauseMs) {
+	const reportPause = (delayMs: number): void => {
+		if (delayMs > pauseThresholdMs) {
 			log.record('warn', {kind: 'node-paused', forMs: Math.round(delayMs)});
 		}
 	};
 
-	const look = (now: number, delayMs: number, longestMs: number): void => {
+	const checkPeers = (now: number, delayMs: number, thresholdMs: number): void => {
 		handleDelay(delayMs);
-		if (delayMs > longestMs) {
-			notePause(delayMs);
+		if (delayMs > thresholdMs) {
+			reportPause(delayMs);
 			link.forgiveSilence(delayMs);
 		} else {
 			gateClient.checkSilence(now, getHeardAt);
 		}
 
-		noteReceived();
-		askSilent(now);
-		silence.tell(node => {
+		recordReceivedBytes();
+		probeSilentNodes(now);
+		silenceWatchers.notify(node => {
 			const peer = link.table.get(node);
 			return peer === undefined || !isHeard(peer, limits, now);
 		});
@@ -144,12 +144,12 @@
 		timer = undefined;
 	};
 
-	const check = (): void => {
+	const checkAtInterval = (): void => {
 		const now = readSteadyMs();
-		const delayMs = now - checkedAt - checkMs;
+		const delayMs = now - checkedAt - checkIntervalMs;
 		checkedAt = now;
-		look(now, delayMs, pauseMs);
-		if (askedAt.size === 0 && silence.countWaiting() === 0) {
+		checkPeers(now, delayMs, pauseThresholdMs);
+		if (lastProbedAt.size === 0 && silenceWatchers.countWatchers() === 0) {
 			stopChecking();
 		}
 	};
@@ -157,22 +157,22 @@
 	const startChecking = (): void => {
 		if (timer === undefined && isRunning) {
 			checkedAt = readSteadyMs();
-			timer = setInterval(check, checkMs);
+			timer = setInterval(checkAtInterval, checkIntervalMs);
 		}
 	};
 
 	return {
 		start() {
 			isRunning = true;
-			silence.listenForFirst(startChecking);
-			if (silence.countWaiting() > 0) {
+			silenceWatchers.listenForFirstWatcher(startChecking);
+			if (silenceWatchers.countWatchers() > 0) {
 				startChecking();
 			}
 		},
 		handleRound(lateMs) {
 			// While a timer of its own runs, that one tells of a pause.
 			if (timer === undefined && isRunning) {
-				look(readSteadyMs(), lateMs, idlePauseMs);
+				checkPeers(readSteadyMs(), lateMs, idlePauseThresholdMs);
 			}
 		},
 		dispose() {
--- a/src/lib/sidecar/own-server-calls.ts
+++ b/src/lib/sidecar/local-server-messages.ts
@@ -12,10 +12,10 @@
 import {type ServerAnnouncement} from '../local-server/local-server.js';
 import {createStartCheck} from '../local-server/start-check.js';
 import {type Peer} from '../peers/peer-table.js';
-import {type AnnouncementContext, type ServerCall} from './announcement-server.js';
+import {type AnnouncementContext, type ServerMessage} from './announcement-server.js';
 
 /** @internal */
-export type OwnServerContext = {
+export type LocalServerMessageContext = {
 	/** Decodes a call of a backend server; `undefined` if there is no such call. */
 	readonly decode: AnnouncementContext['decode'];
 	/** The service that the settings name. */
@@ -25,7 +25,7 @@
 };
 
 /** @internal */
-export type OwnServerCalls = Pick<AnnouncementContext, 'decode' | 'handleCall'>;
+export type LocalServerMessageHandler = Pick<AnnouncementContext, 'decode' | 'handleMessage'>;
 
 function * listLifetimes(peers: Iterable<Peer>): Generator<ServerLifetime> {
 	for (const {report: {server}} of peers) {
@@ -40,7 +40,7 @@
  * @returns The calls that speak for the server beside this node.
  * @internal
  */
-export function createOwnServerCalls({decode, service, listPeers, gate}: OwnServerContext): OwnServerCalls {
+export function createLocalServerMessageHandler({decode, service, listPeers, gate}: LocalServerMessageContext): LocalServerMessageHandler {
 	const startCheck = createStartCheck(() => listLifetimes(listPeers()));
 
 	const check = (announcement: ServerAnnouncement): Result<ServerAnnouncement, CallRefusal> => checkService(announcement, service)
@@ -48,16 +48,16 @@
 
 	return {
 		decode: (method, target, body) => decode(method, target, body)
-			.andThen((call): Result<ServerCall | undefined, CallRefusal> => call?.type === 'announce' ? check(call.announcement).map(() => call) : ok(call)),
-		handleCall(call) {
-			switch (call.type) {
+			.andThen((message): Result<ServerMessage | undefined, CallRefusal> => message?.type === 'announce' ? check(message.announcement).map(() => message) : ok(message)),
+		handleMessage(message) {
+			switch (message.type) {
 				case 'announce': {
-					gate.announce(call.announcement);
+					gate.announce(message.announcement);
 					return ok(undefined);
 				}
 
 				case 'leave': {
-					return gate.leave(call.leave);
+					return gate.leave(message.leave);
 				}
 			}
 		},
--- a/src/lib/sidecar/mesh-metrics.ts
+++ b/src/lib/sidecar/mesh-metrics.ts
@@ -19,7 +19,7 @@
 export type MeshMetrics = {
 	readonly recordCall: (call: FinishedCall) => void;
 	/** How late a timer fired, in milliseconds: the time for which the one thread was busy or stood still. */
-	readonly recordDelay: (milliseconds: number) => void;
+	readonly recordLoopDelay: (milliseconds: number) => void;
 	/** Counts input that was refused; most of it has no line of its own in the log. */
 	readonly countRefusal: (kind: RefusalKind, cause: RefusalCause) => void;
 	/** Counts every event of a log that passes through. */
@@ -28,8 +28,8 @@
 };
 
 /** Latencies are kept up to this many milliseconds, at two digits: some ten kilobytes a histogram. */
-const highestMs = 60_000;
-const digits = 2;
+const maxLatencyMs = 60_000;
+const significantDigits = 2;
 
 const percentiles: readonly number[] = [50, 90, 99, 99.9];
 
@@ -40,9 +40,9 @@
 };
 
 // The package is CommonJS without named exports: what an import yields depends on who loads it.
-const loadedHistogram = ('default' in Int32Histogram ? Int32Histogram.default : Int32Histogram) as unknown as () => unknown;
+const histogramConstructor = ('default' in Int32Histogram ? Int32Histogram.default : Int32Histogram) as unknown as () => unknown;
 
-const createHistogram = (): Histogram => Reflect.construct(loadedHistogram, [1, highestMs, digits]) as Histogram;
+const createHistogram = (): Histogram => Reflect.construct(histogramConstructor, [1, maxLatencyMs, significantDigits]) as Histogram;
 
 const formatLabels = (labels: Readonly<Record<string, string | number>>): string =>
 	Object.entries(labels).map(([name, value]) => `${name}="${String(value).replaceAll(/["\\\n]/g, '_')}"`).join(',');
@@ -72,7 +72,7 @@
 		},
 		format: () => [...counts].map(([key, count]) => {
 			const values = key.split(labelSeparator);
-			return `${name}{${formatLabels(Object.fromEntries(values.map((value, place) => [labels[place]!, value])))}} ${count}`;
+			return `${name}{${formatLabels(Object.fromEntries(values.map((value, index) => [labels[index]!, value])))}} ${count}`;
 		}),
 	};
 }
@@ -87,12 +87,12 @@
 	const events = createCounter('stonemoor_events_total', 'kind', 'reason');
 	const refusals = createCounter('stonemoor_refusals_total', 'kind', 'cause');
 	const latencies = new Map<string, Histogram>();
-	const delays = createHistogram();
+	const loopDelays = createHistogram();
 
-	const getLatency = (service: string): Histogram => {
-		const known = latencies.get(service);
-		if (known !== undefined) {
-			return known;
+	const getLatencyHistogram = (service: string): Histogram => {
+		const existing = latencies.get(service);
+		if (existing !== undefined) {
+			return existing;
 		}
 
 		const histogram = createHistogram();
@@ -108,10 +108,10 @@
 				attempts.add(service, outcome);
 			}
 
-			getLatency(service).recordValue(Math.min(highestMs, Math.max(1, call.tookMs)));
+			getLatencyHistogram(service).recordValue(Math.min(maxLatencyMs, Math.max(1, call.tookMs)));
 		},
-		recordDelay(milliseconds) {
-			delays.recordValue(Math.min(highestMs, Math.max(1, Math.round(milliseconds))));
+		recordLoopDelay(milliseconds) {
+			loopDelays.recordValue(Math.min(maxLatencyMs, Math.max(1, Math.round(milliseconds))));
 		},
 		countRefusal(kind, cause) {
 			refusals.add(kind, cause);
@@ -134,7 +134,7 @@
 				...events.format(),
 				...refusals.format(),
 				...[...latencies].flatMap(([service, histogram]) => formatSummary('stonemoor_call_milliseconds', {service}, histogram)),
-				...formatSummary('stonemoor_loop_delay_milliseconds', {}, delays),
+				...formatSummary('stonemoor_loop_delay_milliseconds', {}, loopDelays),
 				...gauges.flatMap(({name, help, read}) => [`# HELP ${name} ${help}`, `# TYPE ${name} gauge`, `${name} ${read()}`]),
 			];
 			return `${lines.join('\n')}\n`;
--- a/src/lib/sidecar/newer-config.test.ts
+++ b/src/lib/sidecar/newer-config-fetcher.test.ts
@@ -7,56 +7,56 @@
 import {createSampleReport} from '../peers/sample-report.js';
 import {type ConfigStep} from '../route-config/config-history.js';
 import {computeTextDelta} from '../route-config/text-delta.js';
-import {createNewerConfigFetcher, type NewerConfigFetcher} from './newer-config.js';
+import {createNewerConfigFetcher, type NewerConfigFetcher} from './newer-config-fetcher.js';
 
 type Answer = ConfigAnswer | undefined | Error;
 
 type Fixture = {
 	readonly fetch: NewerConfigFetcher['handleReport'];
-	readonly getBehindMs: NewerConfigFetcher['getBehindMs'];
-	readonly noteStoreRead: NewerConfigFetcher['noteStoreRead'];
-	readonly asked: string[];
-	readonly adopted: string[];
+	readonly getStalledMs: NewerConfigFetcher['getStalledMs'];
+	readonly recordStoreRead: NewerConfigFetcher['recordStoreRead'];
+	readonly fetches: string[];
+	readonly applied: string[];
 	readonly unusable: string[];
 	readonly failed: string[];
 	current: {version: number; text: string};
 	answer: Answer;
 };
 
-function createFixture(hasOwnWatch: boolean, answer: Answer): Fixture {
+function createFixture(isWatchingStore: boolean, answer: Answer): Fixture {
 	const fetcher = createNewerConfigFetcher({
 		getCurrent: () => fixture.current,
-		hasOwnWatch: () => hasOwnWatch,
-		isNear: ({domain}) => domain === 'a',
+		isWatchingStore: () => isWatchingStore,
+		isInOwnDomain: ({domain}) => domain === 'a',
 		async fetchConfig(gate, version) {
-			fixture.asked.push(`${gate} has ${version}`);
+			fixture.fetches.push(`${gate} has ${version}`);
 			if (fixture.answer instanceof Error) {
 				throw fixture.answer;
 			}
 
 			return fixture.answer === undefined ? err({type: 'nothing', reason: 'none'}) : ok(fixture.answer);
 		},
-		adoptText(text, source, steps) {
-			fixture.adopted.push(`${source}: ${text}${steps === undefined ? '' : ` by ${steps.length}`}`);
+		applyText(text, source, steps) {
+			fixture.applied.push(`${source}: ${text}${steps === undefined ? '' : ` by ${steps.length}`}`);
 		},
-		handleUnusable(_report, reason) {
+		handleUnusableAnswer(_report, reason) {
 			fixture.unusable.push(reason);
 		},
-		handleHeard: () => undefined,
-		handleFailed(report, {reason}) {
+		handleNewVersion: () => undefined,
+		handleFetchFailed(report, {reason}) {
 			fixture.failed.push(`${report.node}: ${reason}`);
 		},
 	});
 	const fixture: Fixture = {
 		current: {version: 7, text: 'seven'},
 		answer,
-		asked: [],
-		adopted: [],
+		fetches: [],
+		applied: [],
 		unusable: [],
 		failed: [],
 		fetch: fetcher.handleReport,
-		getBehindMs: fetcher.getBehindMs,
-		noteStoreRead: fetcher.noteStoreRead,
+		getStalledMs: fetcher.getStalledMs,
+		recordStoreRead: fetcher.recordStoreRead,
 	};
 	return fixture;
 }
@@ -68,8 +68,8 @@
 	const fixture = createFixture(false, whole);
 	await fixture.fetch(createSampleReport({version: 7}));
 	await fixture.fetch(newer);
-	assert.deepEqual(fixture.asked, ['10.0.0.2:1 has 7']);
-	assert.deepEqual(fixture.adopted, [`${newer.node}: nine`]);
+	assert.deepEqual(fixture.fetches, ['10.0.0.2:1 has 7']);
+	assert.deepEqual(fixture.applied, [`${newer.node}: nine`]);
 });
 
 test('a node whose own watch brings it meanwhile asks nobody', async () => {
@@ -77,7 +77,7 @@
 	const fetched = fixture.fetch(newer);
 	fixture.current = {version: 9, text: 'nine'};
 	await fetched;
-	assert.deepEqual(fixture.asked, []);
+	assert.deepEqual(fixture.fetches, []);
 });
 
 test('a node waits for those of its own failure domain before it asks another one, and is not kept from them meanwhile', async () => {
@@ -86,15 +86,15 @@
 	await fixture.fetch(newer);
 	fixture.current = {version: 9, text: 'nine'};
 	await far;
-	assert.deepEqual(fixture.asked, ['10.0.0.2:1 has 7']);
+	assert.deepEqual(fixture.fetches, ['10.0.0.2:1 has 7']);
 });
 
 test('a configuration that takes a second over a slow link is waited for', async () => {
-	const adopted: string[] = [];
+	const applied: string[] = [];
 	const {handleReport: fetchNewer} = createNewerConfigFetcher({
 		getCurrent: () => undefined,
-		hasOwnWatch: () => false,
-		isNear: () => true,
+		isWatchingStore: () => false,
+		isInOwnDomain: () => true,
 		fetchConfig: async (_gate, _version, scope) => new Promise(resolve => {
 			const timer = setTimeout(() => {
 				resolve(ok(whole));
@@ -104,23 +104,23 @@
 				resolve(err({type: 'timeout', reason: 'no answer in time'}));
 			});
 		}),
-		adoptText(text) {
-			adopted.push(text);
+		applyText(text) {
+			applied.push(text);
 		},
-		handleUnusable: () => undefined,
-		handleHeard: () => undefined,
-		handleFailed: () => undefined,
+		handleUnusableAnswer: () => undefined,
+		handleNewVersion: () => undefined,
+		handleFetchFailed: () => undefined,
 	});
 	await fetchNewer(newer);
-	assert.deepEqual(adopted, ['nine']);
+	assert.deepEqual(applied, ['nine']);
 });
 
 test('a node that does not answer does not keep another one from being asked for long', async () => {
 	const asked: string[] = [];
 	const {handleReport: fetchNewer} = createNewerConfigFetcher({
 		getCurrent: () => undefined,
-		hasOwnWatch: () => false,
-		isNear: () => true,
+		isWatchingStore: () => false,
+		isInOwnDomain: () => true,
 		async fetchConfig(gate, _version, scope) {
 			asked.push(gate);
 			return new Promise(resolve => {
@@ -129,10 +129,10 @@
 				});
 			});
 		},
-		adoptText: () => undefined,
-		handleUnusable: () => undefined,
-		handleHeard: () => undefined,
-		handleFailed: () => undefined,
+		applyText: () => undefined,
+		handleUnusableAnswer: () => undefined,
+		handleNewVersion: () => undefined,
+		handleFetchFailed: () => undefined,
 	});
 	const other = createSampleReport({node: toNodeId('n3'), version: 9, gate: toAddress('10.0.0.3:1')});
 	const first = fetchNewer(newer);
@@ -148,13 +148,13 @@
 	const silent = createFixture(false, undefined);
 	await silent.fetch(newer);
 	await silent.fetch(newer);
-	assert.equal(silent.asked.length, 2);
-	assert.deepEqual(silent.adopted, []);
+	assert.equal(silent.fetches.length, 2);
+	assert.deepEqual(silent.applied, []);
 	assert.deepEqual(silent.failed, [`${newer.node}: none`, `${newer.node}: none`], 'what came of asking is not told');
 	const failing = createFixture(false, new Error('x'));
 	await assert.rejects(failing.fetch(newer));
 	await assert.rejects(failing.fetch(newer));
-	assert.equal(failing.asked.length, 2);
+	assert.equal(failing.fetches.length, 2);
 });
 
 const step = (from: number, to: number, before: string, after: string): ConfigStep => ({from, to, delta: computeTextDelta(before, after)});
@@ -162,36 +162,36 @@
 test('steps lead from what is in force to the newest, those that are behind are passed over', async () => {
 	const fixture = createFixture(false, {type: 'steps', steps: [step(5, 7, 'five', 'seven'), step(7, 8, 'seven', 'eight'), step(8, 9, 'eight', 'nine')]});
 	await fixture.fetch(newer);
-	assert.deepEqual(fixture.adopted, [`${newer.node}: nine by 2`]);
+	assert.deepEqual(fixture.applied, [`${newer.node}: nine by 2`]);
 });
 
 test('steps that do not fit are named, change nothing, and are followed by a request for the whole', async () => {
 	const fixture = createFixture(false, {type: 'steps', steps: [step(7, 9, '{other}{seven}', '{other}{nine}')]});
 	await fixture.fetch(newer);
-	assert.deepEqual(fixture.adopted, []);
+	assert.deepEqual(fixture.applied, []);
 	assert.equal(fixture.unusable.length, 1);
 	fixture.answer = whole;
 	await fixture.fetch(newer);
-	assert.deepEqual(fixture.asked, ['10.0.0.2:1 has 7', '10.0.0.2:1 has 0']);
-	assert.deepEqual(fixture.adopted, [`${newer.node}: nine`]);
+	assert.deepEqual(fixture.fetches, ['10.0.0.2:1 has 7', '10.0.0.2:1 has 0']);
+	assert.deepEqual(fixture.applied, [`${newer.node}: nine`]);
 });
 
 test('a node knows for how long it has lacked a newer version that nobody hands over', async () => {
 	const fixture = createFixture(false, undefined);
 	const before = performance.now();
-	assert.equal(fixture.getBehindMs(before), 0);
+	assert.equal(fixture.getStalledMs(before), 0);
 	await fixture.fetch(newer);
 	await sleep(60);
 	await fixture.fetch(createSampleReport({version: 10, gate: toAddress('10.0.0.2:1')}));
-	const behindMs = fixture.getBehindMs(performance.now());
-	assert.ok(behindMs >= 55, `${behindMs} ms`);
+	const stalledMs = fixture.getStalledMs(performance.now());
+	assert.ok(stalledMs >= 55, `${stalledMs} ms`);
 	// It got one of those that it lacked: in a quick succession of changes the next one is always there already.
 	fixture.current = {version: 9, text: 'nine'};
-	assert.equal(fixture.getBehindMs(performance.now()), 0);
+	assert.equal(fixture.getStalledMs(performance.now()), 0);
 	await fixture.fetch(createSampleReport({version: 11, gate: toAddress('10.0.0.2:1')}));
-	assert.ok(fixture.getBehindMs(performance.now()) < 50);
+	assert.ok(fixture.getStalledMs(performance.now()) < 50);
 	fixture.current = {version: 11, text: 'eleven'};
-	assert.equal(fixture.getBehindMs(performance.now()), 0);
+	assert.equal(fixture.getStalledMs(performance.now()), 0);
 });
 
 test('a version that the store, asked after it was claimed, does not have, is not waited for, whoever goes on claiming it', async context => {
@@ -201,19 +201,19 @@
 	const claim = createSampleReport({node: toNodeId('n9'), version: 90});
 	await fixture.fetch(claim);
 	now += 2000;
-	assert.equal(fixture.getBehindMs(now), 2000);
-	fixture.noteStoreRead(1500);
-	assert.equal(fixture.getBehindMs(now), 0);
+	assert.equal(fixture.getStalledMs(now), 2000);
+	fixture.recordStoreRead(1500);
+	assert.equal(fixture.getStalledMs(now), 0);
 	await fixture.fetch(claim);
-	assert.deepEqual([fixture.asked.length, fixture.getBehindMs(now + 2000)], [1, 0]);
+	assert.deepEqual([fixture.fetches.length, fixture.getStalledMs(now + 2000)], [1, 0]);
 	// Another node, another version, and the same one beside the next version are heard.
 	await fixture.fetch(newer);
-	assert.equal(fixture.asked.length, 2);
+	assert.equal(fixture.fetches.length, 2);
 	await fixture.fetch({...claim, version: 91});
-	assert.equal(fixture.asked.length, 3);
+	assert.equal(fixture.fetches.length, 3);
 	fixture.current = {version: 8, text: 'eight'};
 	await fixture.fetch(claim);
-	assert.equal(fixture.asked.length, 4);
+	assert.equal(fixture.fetches.length, 4);
 });
 
 test('a version that was claimed while the store was asked may be newer than its answer', async context => {
@@ -221,9 +221,9 @@
 	context.mock.method(performance, 'now', () => now);
 	const fixture = createFixture(false, undefined);
 	await fixture.fetch(newer);
-	fixture.noteStoreRead(900);
+	fixture.recordStoreRead(900);
 	now += 2000;
-	assert.equal(fixture.getBehindMs(now), 2000);
+	assert.equal(fixture.getStalledMs(now), 2000);
 	await fixture.fetch(newer);
-	assert.equal(fixture.asked.length, 2);
+	assert.equal(fixture.fetches.length, 2);
 });
--- a/src/lib/sidecar/newer-config.ts
+++ b/src/lib/sidecar/newer-config-fetcher.ts
@@ -21,50 +21,50 @@
 	/** The one in force; `undefined` if there is none. */
 	readonly getCurrent: () => CurrentConfig | undefined;
 	/** Whether this node watches the store itself, and reaches it. */
-	readonly hasOwnWatch: () => boolean;
+	readonly isWatchingStore: () => boolean;
 	/** Whether another node stands in the same failure domain. */
-	readonly isNear: (report: PeerReport) => boolean;
+	readonly isInOwnDomain: (report: PeerReport) => boolean;
 	readonly fetchConfig: GateClient['fetchConfig'];
-	readonly adoptText: (text: string, source: string, steps?: readonly ConfigStep[]) => void;
+	readonly applyText: (text: string, source: string, steps?: readonly ConfigStep[]) => void;
 	/** Told of an answer that cannot be used, and why. */
-	readonly handleUnusable: (report: PeerReport, reason: string) => void;
+	readonly handleUnusableAnswer: (report: PeerReport, reason: string) => void;
 	/** Told of a version that nobody told of before. */
-	readonly handleHeard: (report: PeerReport) => void;
+	readonly handleNewVersion: (report: PeerReport) => void;
 	/** Told of a node that was asked and handed nothing over, and how long that took in milliseconds. */
-	readonly handleFailed: (report: PeerReport, error: ConfigFetchError, tookMs: number) => void;
+	readonly handleFetchFailed: (report: PeerReport, error: ConfigFetchError, tookMs: number) => void;
 };
 
 /** How long a node that watches the store waits for its own watch before it asks another node. Milliseconds. */
-const ownWatchMs = 600;
+const ownWatchDelayMs = 600;
 
 /** How long a node waits for those of its own failure domain to have it as well: bytes between failure domains are paid for. Milliseconds. */
-const ownDomainMs = 300;
+const ownDomainDelayMs = 300;
 
 /** How long another node may take to hand over its configuration. Milliseconds: over the slowest links of the users, beside their other traffic, the whole may take more than half of the time in which it has to be in force, and to begin anew would take longer. */
-const fetchMs = 2000;
+const fetchTimeoutMs = 2000;
 
 /** How long a node may take before another one is asked as well. Milliseconds: most answers are steps, which take a few. */
-const secondAfterMs = 700;
+const secondFetchAfterMs = 700;
 
 /** Nodes that are asked at once at the most. */
-const mostAsked = 2;
+const maxConcurrentFetches = 2;
 
 /** Claims that are remembered at the most: as many as nodes are held. */
-const mostClaims = 4000;
+const maxClaims = 4000;
 
 /** What a node said to have; refuted once the store, asked after that, had nothing newer than what is in force here. */
-type Claim = {readonly version: number; readonly heardAt: number; isRefuted: boolean};
+type VersionClaim = {readonly version: number; readonly heardAt: number; isRefuted: boolean};
 
 /** @internal */
 export type NewerConfigFetcher = {
 	/** Takes in what another node says that it has, and fetches it if it is newer. */
 	readonly handleReport: (report: PeerReport) => Promise<void>;
 	/** The store has told what is newest, asked at a time in steady milliseconds: what nodes claimed beyond it before does not exist. */
-	readonly noteStoreRead: (startedAt: number) => void;
+	readonly recordStoreRead: (startedAt: number) => void;
 	/** Whether a newer version is known of than the one in force here. */
-	readonly isBehind: () => boolean;
+	readonly isOutdated: () => boolean;
 	/** Milliseconds for which this node has known of a newer version without getting any. */
-	readonly getBehindMs: (now: number) => number;
+	readonly getStalledMs: (now: number) => number;
 };
 
 /**
@@ -73,29 +73,29 @@
  * @internal
  */
 export function createNewerConfigFetcher(context: NewerConfigContext): NewerConfigFetcher {
-	const {getCurrent, hasOwnWatch, isNear, fetchConfig, adoptText, handleUnusable, handleHeard, handleFailed} = context;
+	const {getCurrent, isWatchingStore, isInOwnDomain, fetchConfig, applyText, handleUnusableAnswer, handleNewVersion, handleFetchFailed} = context;
 	/** When each node that is being asked was asked, in steady milliseconds. */
-	const asked = new Map<NodeId, number>();
-	let isWaiting = false;
+	const fetchStartTimes = new Map<NodeId, number>();
+	let hasDelayedFetch = false;
 	/** The newest version that was heard of. */
-	let newest = 0;
+	let newestKnownVersion = 0;
 	/** Since when this node has stood still at a version although a newer one is there; steady milliseconds, and that version. */
-	let behindSince = 0;
-	let behindAt = 0;
+	let stalledSince = 0;
+	let stalledVersion = 0;
 	/** Newer versions that nodes said to have, while the version in force here stands. */
-	const claims = new Map<NodeId, Claim>();
-	let claimedBeside = 0;
+	const claims = new Map<NodeId, VersionClaim>();
+	let claimsBaseVersion = 0;
 	/** Steps could not be applied: the whole is asked for. */
-	let needsWhole = false;
+	let needsWholeConfig = false;
 
 	const getVersion = (): number => getCurrent()?.version ?? 0;
 
 	const computeDelay = (report: PeerReport): number => {
-		if (hasOwnWatch()) {
-			return ownWatchMs;
+		if (isWatchingStore()) {
+			return ownWatchDelayMs;
 		}
 
-		return isNear(report) ? 0 : ownDomainMs;
+		return isInOwnDomain(report) ? 0 : ownDomainDelayMs;
 	};
 
 	/** Applies the steps that lead on from what is in force now, which may have changed since they were asked for. */
@@ -109,8 +109,8 @@
 
 			const text = applyTextDelta(current.text, step.delta);
 			if (text === undefined) {
-				needsWhole = true;
-				handleUnusable(report, `the step from version ${step.from} to ${step.to} does not fit what is in force here`);
+				needsWholeConfig = true;
+				handleUnusableAnswer(report, `the step from version ${step.from} to ${step.to} does not fit what is in force here`);
 				return;
 			}
 
@@ -119,15 +119,15 @@
 		}
 
 		if (current !== undefined && applied.length > 0) {
-			adoptText(current.text, report.node, applied);
+			applyText(current.text, report.node, applied);
 		}
 	};
 
-	const take = (report: PeerReport, answer: ConfigAnswer): void => {
+	const applyAnswer = (report: PeerReport, answer: ConfigAnswer): void => {
 		switch (answer.type) {
 			case 'whole': {
-				needsWhole = false;
-				adoptText(answer.text, report.node);
+				needsWholeConfig = false;
+				applyText(answer.text, report.node);
 				break;
 			}
 
@@ -140,52 +140,52 @@
 
 	const fetchFrom = async (report: PeerReport): Promise<void> => {
 		const startedAt = readSteadyMs();
-		const scope = createCallScope(startedAt + fetchMs);
-		const answer = await fetchConfig(report.gate, needsWhole ? 0 : getVersion(), scope);
+		const scope = createCallScope(startedAt + fetchTimeoutMs);
+		const answer = await fetchConfig(report.gate, needsWholeConfig ? 0 : getVersion(), scope);
 		scope.dispose();
 		if (answer.isErr()) {
-			handleFailed(report, answer.error, readSteadyMs() - startedAt);
+			handleFetchFailed(report, answer.error, readSteadyMs() - startedAt);
 			return;
 		}
 
-		take(report, answer.value);
+		applyAnswer(report, answer.value);
 	};
 
 	/** One node is asked at a time, and another one when that takes long: it may have fallen silent. */
-	const mayAsk = (node: NodeId): boolean => {
+	const mayFetchFrom = (node: NodeId): boolean => {
 		const now = readSteadyMs();
-		return !asked.has(node) && asked.size < mostAsked && [...asked.values()].every(askedAt => now - askedAt > secondAfterMs);
+		return !fetchStartTimes.has(node) && fetchStartTimes.size < maxConcurrentFetches && [...fetchStartTimes.values()].every(startedAt => now - startedAt > secondFetchAfterMs);
 	};
 
-	const fetchOnce = async (report: PeerReport): Promise<void> => {
-		if (report.version <= getVersion() || !mayAsk(report.node)) {
+	const fetchIfAllowed = async (report: PeerReport): Promise<void> => {
+		if (report.version <= getVersion() || !mayFetchFrom(report.node)) {
 			return;
 		}
 
-		asked.set(report.node, readSteadyMs());
+		fetchStartTimes.set(report.node, readSteadyMs());
 		try {
 			await fetchFrom(report);
 		} finally {
-			asked.delete(report.node);
+			fetchStartTimes.delete(report.node);
 		}
 	};
 
 	/** In a quick succession of changes a node lacks the next one all the time; what counts is that it gets on. */
-	const isStanding = (): boolean => getVersion() < newest && getVersion() === behindAt;
+	const isStalled = (): boolean => getVersion() < newestKnownVersion && getVersion() === stalledVersion;
 
-	const noteNewer = (version: number): void => {
-		if (!isStanding()) {
-			behindSince = readSteadyMs();
-			behindAt = getVersion();
+	const recordNewerVersion = (version: number): void => {
+		if (!isStalled()) {
+			stalledSince = readSteadyMs();
+			stalledVersion = getVersion();
 		}
 
-		newest = Math.max(newest, version);
+		newestKnownVersion = Math.max(newestKnownVersion, version);
 	};
 
 	/** Claims are kept only as long as the version in force stands: the next one may be what was claimed. */
-	const noteClaim = ({node, version}: PeerReport): Claim => {
-		if (claimedBeside !== getVersion() || claims.size >= mostClaims) {
-			claimedBeside = getVersion();
+	const recordClaim = ({node, version}: PeerReport): VersionClaim => {
+		if (claimsBaseVersion !== getVersion() || claims.size >= maxClaims) {
+			claimsBaseVersion = getVersion();
 			claims.clear();
 		}
 
@@ -194,16 +194,16 @@
 			return known;
 		}
 
-		const claim: Claim = {version, heardAt: readSteadyMs(), isRefuted: false};
+		const claim: VersionClaim = {version, heardAt: readSteadyMs(), isRefuted: false};
 		claims.set(node, claim);
 		return claim;
 	};
 
-	const noteStoreRead = (startedAt: number): void => {
-		newest = getVersion();
+	const recordStoreRead = (startedAt: number): void => {
+		newestKnownVersion = getVersion();
 		for (const claim of claims.values()) {
 			claim.isRefuted ||= claim.heardAt < startedAt;
-			newest = claim.isRefuted ? newest : Math.max(newest, claim.version);
+			newestKnownVersion = claim.isRefuted ? newestKnownVersion : Math.max(newestKnownVersion, claim.version);
 		}
 	};
 
@@ -212,36 +212,36 @@
 			return;
 		}
 
-		if (noteClaim(report).isRefuted) {
+		if (recordClaim(report).isRefuted) {
 			return;
 		}
 
-		if (report.version > newest) {
-			handleHeard(report);
+		if (report.version > newestKnownVersion) {
+			handleNewVersion(report);
 		}
 
-		noteNewer(report.version);
+		recordNewerVersion(report.version);
 		const delayMs = computeDelay(report);
 		if (delayMs === 0) {
-			await fetchOnce(report);
+			await fetchIfAllowed(report);
 			return;
 		}
 
 		// While one report waits, another that need not wait is not kept back by it.
-		if (isWaiting) {
+		if (hasDelayedFetch) {
 			return;
 		}
 
-		isWaiting = true;
+		hasDelayedFetch = true;
 		await waitFor(delayMs);
-		isWaiting = false;
-		await fetchOnce(report);
+		hasDelayedFetch = false;
+		await fetchIfAllowed(report);
 	};
 
 	return {
 		handleReport,
-		noteStoreRead,
-		isBehind: () => getVersion() < newest,
-		getBehindMs: now => isStanding() ? now - behindSince : 0,
+		recordStoreRead,
+		isOutdated: () => getVersion() < newestKnownVersion,
+		getStalledMs: now => isStalled() ? now - stalledSince : 0,
 	};
 }
--- a/src/lib/sidecar/settings-change.test.ts
+++ b/src/lib/sidecar/settings-change.test.ts
@@ -1,7 +1,7 @@
 import assert from 'node:assert/strict';
 import test from 'node:test';
 import {toAddress, toFailureDomain, toNodeId} from '../common/ids.js';
-import {listFixedChanges, mergeSettings} from './settings-change.js';
+import {listChangesNeedingRestart, mergeSettings} from './settings-change.js';
 import {type SidecarSettings} from './sidecar-settings.js';
 
 const address = toAddress('127.0.0.1:7001');
@@ -21,6 +21,6 @@
 	assert.deepEqual(merged, {
 		...settings, seeds: [address], shutdownMs: 9000, retries: changed.retries,
 	});
-	assert.deepEqual(listFixedChanges(merged, changed), ['service']);
-	assert.deepEqual(listFixedChanges(merged, {...settings, seeds: []}), []);
+	assert.deepEqual(listChangesNeedingRestart(merged, changed), ['service']);
+	assert.deepEqual(listChangesNeedingRestart(merged, {...settings, seeds: []}), []);
 });
--- a/src/lib/sidecar/settings-change.ts
+++ b/src/lib/sidecar/settings-change.ts
@@ -7,7 +7,7 @@
 import {type SidecarSettings} from './sidecar-settings.js';
 
 /** Settings that are read each time they are used. */
-const changeable: ReadonlySet<keyof SidecarSettings> = new Set<keyof SidecarSettings>(['seeds', 'retries', 'shutdownMs']);
+const reloadableSettings: ReadonlySet<keyof SidecarSettings> = new Set<keyof SidecarSettings>(['seeds', 'retries', 'shutdownMs']);
 
 /**
  * @param current - Settings in use.
@@ -28,7 +28,7 @@
  * @returns Names of settings that differ and are not taken over before a restart: who and where this node is.
  * @internal
  */
-export function listFixedChanges(current: SidecarSettings, changed: SidecarSettings): readonly string[] {
+export function listChangesNeedingRestart(current: SidecarSettings, changed: SidecarSettings): readonly string[] {
 	const names = Object.keys(changed) as Array<keyof SidecarSettings>;
-	return names.filter(name => !changeable.has(name) && !isDeepStrictEqual(current[name], changed[name]));
+	return names.filter(name => !reloadableSettings.has(name) && !isDeepStrictEqual(current[name], changed[name]));
 }
--- a/src/lib/sidecar/sidecar-settings.ts
+++ b/src/lib/sidecar/sidecar-settings.ts
@@ -58,37 +58,37 @@
 	return value as Json;
 }
 
-function readText(parent: Json, name: string, place: string): string {
+function readString(parent: Json, name: string, prefix: string): string {
 	const value = parent[name];
 	if (typeof value !== 'string' || value === '') {
-		throw new SettingError(`${place}${name}: found ${JSON.stringify(value) ?? 'nothing'}, must be a text`);
+		throw new SettingError(`${prefix}${name}: found ${JSON.stringify(value) ?? 'nothing'}, must be a text`);
 	}
 
 	return value;
 }
 
-function readAddress(parent: Json, name: string, place: string): Address {
-	const text = readText(parent, name, place);
+function readAddress(parent: Json, name: string, prefix: string): Address {
+	const text = readString(parent, name, prefix);
 	if (!isAddress(text)) {
-		throw new SettingError(`${place}${name}: found "${text}", must be an IP number and a port, as in 127.0.0.1:7001`);
+		throw new SettingError(`${prefix}${name}: found "${text}", must be an IP number and a port, as in 127.0.0.1:7001`);
 	}
 
 	return toAddress(text);
 }
 
-function readAmount(parent: Json, name: string, place: string): number {
+function readNonNegativeNumber(parent: Json, name: string, prefix: string): number {
 	const value = parent[name];
 	if (typeof value !== 'number' || !Number.isFinite(value) || value < 0) {
-		throw new SettingError(`${place}${name}: found ${JSON.stringify(value) ?? 'nothing'}, must be a number that is not negative`);
+		throw new SettingError(`${prefix}${name}: found ${JSON.stringify(value) ?? 'nothing'}, must be a number that is not negative`);
 	}
 
 	return value;
 }
 
-function readDuration(parent: Json, name: string, place: string): number {
+function readDuration(parent: Json, name: string, prefix: string): number {
 	const milliseconds = parseDuration(parent[name]);
 	if (milliseconds === undefined || milliseconds < 0) {
-		throw new SettingError(`${place}${name}: found ${JSON.stringify(parent[name]) ?? 'nothing'}, must be a time, as in "1500ms" or "2.5s"`);
+		throw new SettingError(`${prefix}${name}: found ${JSON.stringify(parent[name]) ?? 'nothing'}, must be a time, as in "1500ms" or "2.5s"`);
 	}
 
 	return milliseconds;
@@ -106,9 +106,9 @@
 	const listen = readObject(settings, 'listen');
 	const retries = readObject(settings, 'retries');
 	return {
-		node: toNodeId(readText(settings, 'node', '')),
-		failureDomain: toFailureDomain(readText(settings, 'failureDomain', '')),
-		service: readText(settings, 'service', ''),
+		node: toNodeId(readString(settings, 'node', '')),
+		failureDomain: toFailureDomain(readString(settings, 'failureDomain', '')),
+		service: readString(settings, 'service', ''),
 		listen: {
 			callers: readAddress(listen, 'callers', 'listen.'),
 			gate: readAddress(listen, 'gate', 'listen.'),
@@ -118,11 +118,11 @@
 			metrics: readAddress(listen, 'metrics', 'listen.'),
 		},
 		storeAddress: readAddress(settings, 'storeAddress', ''),
-		linkMbps: readAmount(settings, 'linkMbps', ''),
+		linkMbps: readNonNegativeNumber(settings, 'linkMbps', ''),
 		seeds: readSeeds(settings.seeds ?? []),
 		retries: {
-			ratio: readAmount(retries, 'ratio', 'retries.'),
-			slack: readAmount(retries, 'slack', 'retries.'),
+			ratio: readNonNegativeNumber(retries, 'ratio', 'retries.'),
+			slack: readNonNegativeNumber(retries, 'slack', 'retries.'),
 			windowMs: readDuration(retries, 'window', 'retries.'),
 		},
 		shutdownMs: readDuration(settings, 'shutdown', ''),
--- a/src/lib/sidecar/sidecar.ts
+++ b/src/lib/sidecar/sidecar.ts
@@ -35,25 +35,25 @@
 import {createAnnouncementServer, type AnnouncementContext} from './announcement-server.js';
 import {createConfigSync} from './config-sync.js';
 import {createHousekeeping} from './housekeeping.js';
-import {listCandidates, type CandidateNeeds} from './list-candidates.js';
+import {listCandidates, type CandidateQuery} from './list-candidates.js';
 import {createMeshMetrics} from './mesh-metrics.js';
-import {createOwnServerCalls} from './own-server-calls.js';
-import {createPeerWatch} from './peer-watch.js';
-import {listFixedChanges, mergeSettings} from './settings-change.js';
+import {createLocalServerMessageHandler} from './local-server-messages.js';
+import {createLivenessMonitor} from './liveness-monitor.js';
+import {listChangesNeedingRestart, mergeSettings} from './settings-change.js';
 import {type SidecarSettings} from './sidecar-settings.js';
 import {createMetricsServer, createReadinessServer} from './status-servers.js';
-import {stopInOrder} from './stop-in-order.js';
+import {runGracefulShutdown} from './graceful-shutdown.js';
 import {createSilenceWatchers} from './silence-watchers.js';
 
 /** What a sidecar node is handed by its surroundings. @public */
-export type SidecarSurroundings = {
+export type SidecarDependencies = {
 	readonly store: MeshStore;
 	/** Key of the configuration in the store. */
 	readonly configKey: string;
 	readonly decodeConfig: (text: string) => Result<RouteConfig, string>;
 	/** Decodes a call of a backend server; `undefined` if there is no such call. */
-	readonly decodeServerCall: AnnouncementContext['decode'];
-	readonly wire: WireHeaders;
+	readonly decodeServerMessage: AnnouncementContext['decode'];
+	readonly headerNames: WireHeaders;
 	readonly log: MeshLog;
 	readonly random: () => number;
 	/** Sets by how much the young generation of this process's heap grows. */
@@ -71,7 +71,7 @@
 };
 
 /** Milliseconds between two heartbeats: short enough that a dark VM is noticed within little more than a second, at some 60 datagrams a second in a mesh of 13. */
-const heartbeatMs = 400;
+const heartbeatPeriodMs = 400;
 
 /** Two heartbeats may be lost before a node counts as silent. */
 const silenceMs = 1050;
@@ -80,27 +80,27 @@
 const probeMs = 650;
 
 /** Nodes that are taken to share the slack of the retry allowance while a node has just started, until it knows of more: the smallest mesh of the users has 13. */
-const assumedNodes = 12;
+const assumedNodeCount = 12;
 
 /** Connections to a backend server before a configuration says how many it accepts. */
-const defaultConnections = 64;
+const defaultMaxConnections = 64;
 
 /**
  * Creates a sidecar node.
  *
- * @param firstSettings - Its settings at the start.
- * @param surroundings - The store, the platform's formats, and where events go.
+ * @param initialSettings - Its settings at the start.
+ * @param dependencies - The store, the platform's formats, and where events go.
  * @returns The node, not started yet.
  * @public
  */
-export function createSidecar(firstSettings: SidecarSettings, surroundings: SidecarSurroundings): Sidecar {
-	const {store, wire, random} = surroundings;
-	let settings = firstSettings;
+export function createSidecar(initialSettings: SidecarSettings, dependencies: SidecarDependencies): Sidecar {
+	const {store, headerNames, random} = dependencies;
+	let settings = initialSettings;
 	const metrics = createMeshMetrics();
-	const log = metrics.countEvents(surroundings.log);
+	const log = metrics.countEvents(dependencies.log);
 	const refusals = createRefusals(log, metrics.countRefusal);
 	const {node: self, failureDomain: domain} = settings;
-	const run = createRunName(random);
+	const run = createRunId(random);
 	const createdAt = readSteadyMs();
 	let isLeaving = false;
 	let isGateLeaving = false;
@@ -117,16 +117,16 @@
 	 * the listening socket's queue for seconds while turns are short, and its caller have left, as at the last node of a failure domain whose
 	 * others have been killed.
 	 */
-	const waitForWork = async (isNewConnection: boolean): Promise<void> => {
+	const waitForPendingInput = async (isNewConnection: boolean): Promise<void> => {
 		await lag.catchUp(isNewConnection);
 		if (isNewConnection) {
 			await turns.begin();
 		}
 	};
 
-	const silence = createSilenceWatchers();
+	const silenceWatchers = createSilenceWatchers();
 
-	const handleAdopted = ({config}: ActiveConfig): void => {
+	const handleConfigApplied = ({config}: ActiveConfig): void => {
 		entry.applyLimits(config.limits);
 		if (!wasReady) {
 			wasReady = true;
@@ -145,7 +145,7 @@
 			link.announceToAll();
 		},
 		handleCrash(report) {
-			void sync.tellCrash(report);
+			void sync.publishCrash(report);
 		},
 		handleQuarantined(records) {
 			sync.storeSuspects(records);
@@ -154,13 +154,13 @@
 
 	const linkWriter = createLinkWriter(settings.linkMbps);
 	const gate = createLocalGate({
-		wire,
+		wire: headerNames,
 		log,
 		quarantine,
 		handleChange() {
 			link.announce();
 		},
-		getMaxConnections: service => sync.holder.get()?.config.services.find(({name}) => name === service)?.maxConnections ?? defaultConnections,
+		getMaxConnections: service => sync.holder.get()?.config.services.find(({name}) => name === service)?.maxConnections ?? defaultMaxConnections,
 		isLeaving: () => isGateLeaving,
 		linkMbps: settings.linkMbps,
 		countHeldBytes: linkWriter.countHeldBytes,
@@ -184,24 +184,24 @@
 		sync.handleReport(report);
 	};
 
-	const isNear = (report: PeerReport): boolean => report.domain === domain;
+	const isInOwnDomain = (report: PeerReport): boolean => report.domain === domain;
 	const peerLimits: PeerLimits = {
-		silenceMs, probeMs, forgetMs: 60_000, avoidMs: 250, getPeriodMs: report => isNear(report) ? report.periods.ownDomainMs : report.periods.otherDomainMs,
+		silenceMs, probeMs, forgetMs: 60_000, avoidMs: 250, getPeriodMs: report => isInOwnDomain(report) ? report.periods.ownDomainMs : report.periods.otherDomainMs,
 	};
 	const link = createPeerLink({
 		settings: {
-			...peerLimits, node: self, listen: settings.listen.gossip, domain, periodMs: heartbeatMs,
+			...peerLimits, node: self, listen: settings.listen.gossip, domain, periodMs: heartbeatPeriodMs,
 		}, describeSelf, isFollowing: () => sync.describeDuties().isFollowing, log, refusals, random, handleReport, handleRound(lateMs) {
 			alignClocks();
-			watch.handleRound(lateMs);
+			livenessMonitor.handleRound(lateMs);
 			housekeeping.handleRound();
 		},
 	});
 
 	const gateClient = createGateClient({link: linkWriter});
 	const sync = createConfigSync({
-		store, configKey: surroundings.configKey, decodeConfig: surroundings.decodeConfig, self, gossip: settings.listen.gossip, linkMbps: settings.linkMbps,
-		link, peerLimits, isNear, fetchConfig: gateClient.fetchConfig, log, refusals, random, handleAdopted,
+		store, configKey: dependencies.configKey, decodeConfig: dependencies.decodeConfig, self, gossip: settings.listen.gossip, linkMbps: settings.linkMbps,
+		link, peerLimits, isInOwnDomain, fetchConfig: gateClient.fetchConfig, log, refusals, random, handleConfigApplied,
 		suspects: {
 			listQuarantined: quarantine.listQuarantined,
 			handleRecords(records) {
@@ -218,23 +218,23 @@
 		}
 	};
 
-	const listServers = (needs: CandidateNeeds): readonly Candidate[] => listCandidates(needs, {
+	const listServers = (query: CandidateQuery): readonly Candidate[] => listCandidates(query, {
 		own: {
 			node: self, gate: settings.listen.gate, domain, server: isGateLeaving ? undefined : gate.describe(),
 		},
-		peers: link.table.listService(needs.service), limits: peerLimits, loads, random,
+		peers: link.table.listService(query.service), limits: peerLimits, loads, random,
 	}, readSteadyMs());
 
 	const handleFinished = (call: FinishedCall): void => {
 		metrics.recordCall(call);
-		housekeeping.noteCall();
+		housekeeping.recordCall();
 		const isOrdinary = call.status < 500 && call.attempts.filter(({verdict}) => verdict !== 'not-run').length <= 1;
 		const level = isOrdinary ? 'debug' : 'info';
 		log.record(level, {kind: 'call-finished', call: call.id, ...omitId(call)});
 	};
 
 	/** A node that has just started knows few of those that share the slack, and what it used of it before it restarted it has forgotten. */
-	const countSlackNodes = (): number => Math.max(link.table.size + 1, readSteadyMs() - createdAt < settings.retries.windowMs ? assumedNodes : 1);
+	const countRetryBudgetNodes = (): number => Math.max(link.table.size + 1, readSteadyMs() - createdAt < settings.retries.windowMs ? assumedNodeCount : 1);
 
 	const entry = createEntryServer({
 		self,
@@ -245,7 +245,7 @@
 		quarantine,
 		gateClient,
 		loads,
-		allowance: createRetryAllowance(() => settings.retries, countSlackNodes),
+		allowance: createRetryAllowance(() => settings.retries, countRetryBudgetNodes),
 		log,
 		random,
 		noteUnreachable(node, reason) {
@@ -254,25 +254,25 @@
 			log.record('info', {kind: 'peer-avoided', peer: node, reason});
 		},
 		noteReached: link.noteReached,
-		watchSilence: silence.watch,
-		wire,
+		watchSilence: silenceWatchers.watch,
+		wire: headerNames,
 		getConfig: sync.holder.get,
-		isBehind: sync.isBehind,
-		waitForNewer: sync.waitForNewer,
+		isBehind: sync.isConfigOutdated,
+		waitForNewer: sync.waitForNewerConfig,
 		splitter,
 		returningCallers,
 		awaitedRoutes,
 		handleFinished,
-		waitForWork,
+		waitForWork: waitForPendingInput,
 		estimateUnreadMs: lag.estimateUnreadMs,
 	});
 	const waitForLag = async (): Promise<void> => lag.catchUp();
 	const gateServer = createGateServer({
-		gate, getConfig: sync.answerConfig, catchUp: waitForLag, log, refusals, link: linkWriter,
+		gate, getConfig: sync.getConfigAnswer, catchUp: waitForLag, log, refusals, link: linkWriter,
 	});
 	const announcementServer = createAnnouncementServer({
-		...createOwnServerCalls({
-			decode: surroundings.decodeServerCall, service: settings.service, listPeers: link.table.list, gate,
+		...createLocalServerMessageHandler({
+			decode: dependencies.decodeServerMessage, service: settings.service, listPeers: link.table.list, gate,
 		}), refusals,
 	});
 
@@ -289,25 +289,25 @@
 	]);
 
 	const housekeeping = createHousekeeping({
-		listPeers: link.table.list, loads, silence, applyGrowthFactor: surroundings.applyGrowthFactor,
+		listPeers: link.table.list, loads, silenceWatchers, applyGrowthFactor: dependencies.applyGrowthFactor,
 	});
 
-	const watch = createPeerWatch({
-		link, limits: peerLimits, silence, gateClient, log, handleDelay(delayMs) {
+	const livenessMonitor = createLivenessMonitor({
+		link, limits: peerLimits, silenceWatchers, gateClient, log, handleDelay(delayMs) {
 			lag.note(delayMs);
-			metrics.recordDelay(delayMs);
+			metrics.recordLoopDelay(delayMs);
 		},
 	});
 
 	/** What was known of the store may be over: its timers stood still, and watches hang on connections that others have given up. */
 	const unwatchResume = watchResume(suspendedMs => {
 		log.record('warn', {kind: 'node-suspended', forMs: Math.round(suspendedMs)});
-		sync.startAnew();
+		sync.resyncWithStore();
 	});
 
 	const dispose = async (): Promise<void> => {
 		unwatchResume();
-		watch.dispose();
+		livenessMonitor.dispose();
 		housekeeping.dispose();
 		sync.dispose();
 		link.dispose();
@@ -324,7 +324,7 @@
 	};
 
 	/** A call whose answer has not left yet is in work: to go then would cut it. */
-	const countWork = (): number => entry.countCalls() + gate.countRequests() + entry.countUnsent() + gateServer.countUnsent();
+	const countInFlight = (): number => entry.countCalls() + gate.countRequests() + entry.countUnsent() + gateServer.countUnsent();
 
 	return {
 		async start() {
@@ -340,19 +340,19 @@
 				listenAt(metricsServer, settings.listen.metrics),
 			]);
 			link.addContacts(settings.seeds);
-			watch.start();
+			livenessMonitor.start();
 			housekeeping.start();
 			sync.start();
 		},
 		applySettings(changed) {
 			settings = mergeSettings(settings, changed);
 			link.addContacts(settings.seeds);
-			return listFixedChanges(settings, changed);
+			return listChangesNeedingRestart(settings, changed);
 		},
 		async drain() {
 			isLeaving = true;
-			log.record('info', {kind: 'node-draining', reason: 'signal', requests: countWork()});
-			const afterMs = await stopInOrder({
+			log.record('info', {kind: 'node-draining', reason: 'signal', requests: countInFlight()});
+			const afterMs = await runGracefulShutdown({
 				withdraw() {
 					void sync.withdraw();
 				},
@@ -362,9 +362,9 @@
 				},
 				closeAfterAnswers: entry.startClosing,
 				stopListening: entry.stopListening,
-				countWork,
+				countInFlight,
 			}, settings.shutdownMs);
-			log.record('info', {kind: 'node-stopped', requests: countWork(), afterMs: Math.round(afterMs)});
+			log.record('info', {kind: 'node-stopped', requests: countInFlight(), afterMs: Math.round(afterMs)});
 			await dispose();
 		},
 		dispose,
@@ -372,7 +372,7 @@
 }
 
 /** Names this run: some 53 random bits, so that two runs of a node that share a name do not meet in practice. */
-function createRunName(random: () => number): string {
+function createRunId(random: () => number): string {
 	return Math.floor(random() * Number.MAX_SAFE_INTEGER).toString(36);
 }
 
--- a/src/lib/sidecar/silence-watchers.ts
+++ b/src/lib/sidecar/silence-watchers.ts
@@ -11,15 +11,15 @@
 	/** Calls back each time that the node is found silent, ten times a second; yields a function that takes that back. */
 	readonly watch: (node: NodeId, handleSilence: () => void) => () => void;
 	/** Calls back whenever somebody begins to wait while nobody did. */
-	readonly listenForFirst: (handleFirst: () => void) => void;
+	readonly listenForFirstWatcher: (handleFirstWatcher: () => void) => void;
 	/** Tells those who wait for a node that is silent. */
-	readonly tell: (isSilent: (node: NodeId) => boolean) => void;
+	readonly notify: (isSilent: (node: NodeId) => boolean) => void;
 	/** Nodes that somebody waits for, each with when the one that has waited longest began. Steady milliseconds. */
-	readonly listAwaited: () => ReadonlyArray<readonly [node: NodeId, waitsSince: number]>;
+	readonly listWatchedNodes: () => ReadonlyArray<readonly [node: NodeId, waitingSince: number]>;
 	/** How many wait. */
-	readonly countWaiting: () => number;
+	readonly countWatchers: () => number;
 	/** Forgets nodes that nobody waits for. */
-	readonly forgetIdle: () => void;
+	readonly removeUnwatchedNodes: () => void;
 };
 
 /**
@@ -29,33 +29,33 @@
 export function createSilenceWatchers(): SilenceWatchers {
 	/** Since when each waits: the first of a map is the one that has waited longest. */
 	const watchersByNode = new Map<NodeId, Map<() => void, number>>();
-	let waiting = 0;
-	let tellFirst = (): void => undefined;
+	let watcherCount = 0;
+	let handleFirstWatcher = (): void => undefined;
 	return {
-		listenForFirst(handleFirst) {
-			tellFirst = handleFirst;
+		listenForFirstWatcher(handler) {
+			handleFirstWatcher = handler;
 		},
 		watch(node, handleSilence) {
 			const watchers = watchersByNode.get(node) ?? new Map<() => void, number>();
 			// A function of its own for each, so that one that watches twice counts twice.
-			const tellOnce = (): void => {
+			const notifyWatcher = (): void => {
 				handleSilence();
 			};
 
-			watchers.set(tellOnce, readSteadyMs());
+			watchers.set(notifyWatcher, readSteadyMs());
 			watchersByNode.set(node, watchers);
-			waiting++;
-			if (waiting === 1) {
-				tellFirst();
+			watcherCount++;
+			if (watcherCount === 1) {
+				handleFirstWatcher();
 			}
 
 			return () => {
-				if (watchers.delete(tellOnce)) {
-					waiting--;
+				if (watchers.delete(notifyWatcher)) {
+					watcherCount--;
 				}
 			};
 		},
-		tell(isSilent) {
+		notify(isSilent) {
 			for (const [node, watchers] of watchersByNode) {
 				if (watchers.size === 0 || !isSilent(node)) {
 					continue;
@@ -66,12 +66,12 @@
 				}
 			}
 		},
-		listAwaited: () => [...watchersByNode].flatMap(([node, watchers]) => {
-			const [waitsSince] = watchers.values();
-			return waitsSince === undefined ? [] : [[node, waitsSince] as const];
+		listWatchedNodes: () => [...watchersByNode].flatMap(([node, watchers]) => {
+			const [waitingSince] = watchers.values();
+			return waitingSince === undefined ? [] : [[node, waitingSince] as const];
 		}),
-		countWaiting: () => waiting,
-		forgetIdle() {
+		countWatchers: () => watcherCount,
+		removeUnwatchedNodes() {
 			for (const [node, watchers] of watchersByNode) {
 				if (watchers.size === 0) {
 					watchersByNode.delete(node);
--- a/src/lib/sidecar/status-servers.ts
+++ b/src/lib/sidecar/status-servers.ts
@@ -38,9 +38,9 @@
  * @internal
  */
 export function createMetricsServer(metrics: MeshMetrics, gauges: readonly Gauge[]): Server {
-	const all = [...gauges, ...processGauges];
+	const allGauges = [...gauges, ...processGauges];
 	return createServer((_request, response) => {
-		const text = metrics.format(all);
+		const text = metrics.format(allGauges);
 		response.writeHead(200, {'content-type': 'text/plain; version=0.0.4', 'content-length': Buffer.byteLength(text)});
 		response.end(text);
 	});
