--- a/src/lib/sidecar/announcement-server.ts
+++ b/src/lib/sidecar/announcement-server.ts
@@ -1,5 +1,6 @@
 /**
- * Takes what the backend server beside this node says of itself.
+ * HTTP server for the announcements and leaves of the backend server beside
+ * this node.
  *
  * @module
  */
@@ -14,16 +15,16 @@
 import {type RefusalCause} from '../timeline/mesh-log.js';
 import {type Refusals} from '../timeline/refusals.js';
 
-/** A call of a backend server. @internal */
+/** A message of the backend server to its node. @internal */
 export type ServerMessage =
 	| {readonly type: 'announce'; readonly announcement: ServerAnnouncement}
 	| {readonly type: 'leave'; readonly leave: ServerLeave};
 
 /** @internal */
 export type AnnouncementContext = {
-	/** Decodes a call; `undefined` if there is no such call. */
+	/** Decodes a message; yields `undefined` if there is no such method and path. */
 	readonly decode: (method: string, target: string, body: string) => Result<ServerMessage | undefined, CallRefusal>;
-	/** Takes a call in, or says why it is not. */
+	/** Applies a message, or returns why it is refused. */
 	readonly handleMessage: (message: ServerMessage) => Result<undefined, CallRefusal>;
 	readonly refusals: Refusals;
 };
@@ -42,7 +43,7 @@
 }
 
 /**
- * @param context - How calls are decoded and what is told of them.
+ * @param context - Decodes and applies messages, and records refusals.
  * @returns The server, not listening yet.
  * @internal
  */
@@ -62,7 +63,7 @@
 				.andThen((message): Result<MessageOutcome, CallRefusal> => message === undefined ? ok({type: 'no-such-call'}) : handleMessage(message).map(() => ({type: 'taken'})));
 			return outcome.match(taken => taken, ({cause, text}) => ({type: 'refused', cause, reason: text}));
 		} catch (error) {
-			// What nobody foresaw in a call must not end the node, and must not be acknowledged.
+			// An unexpected exception must neither terminate the node nor acknowledge the message.
 			return {type: 'refused', cause: 'unreadable', reason: (error as Error).message};
 		}
 	};
@@ -76,7 +77,7 @@
 			return;
 		}
 
-		// It takes effect before it is acknowledged: whoever reads the answer can rely on it.
+		// The message takes effect before the response is sent, so that the backend server can rely on the acknowledgement.
 		const outcome = apply(request, body);
 		switch (outcome.type) {
 			case 'taken': {
--- a/src/lib/sidecar/config-answer-cache.test.ts
+++ b/src/lib/sidecar/config-answer-cache.test.ts
@@ -24,7 +24,7 @@
 	};
 }
 
-test('a node that lacks one step is sent it, any other one the whole', () => {
+test('a node that lacks one known step gets that step, any other node gets the whole configuration', () => {
 	const answerConfig = createConfigAnswerCache(createHolder(7, '{b}'));
 	const ask = (version: number) => {
 		const {head, body} = answerConfig(version);
@@ -34,7 +34,7 @@
 	assert.deepEqual([6, 0, 3].map(version => ask(version)), ['steps', 'whole', 'whole']);
 });
 
-test('whatever versions are asked with, the whole is made once', () => {
+test('the whole configuration is encoded once for all requested versions', () => {
 	const answerConfig = createConfigAnswerCache(createHolder(7, '{b}'));
 	const first = answerConfig(0);
 	for (const version of [1, 2, -5, 1e300, 0.5, Number.MAX_SAFE_INTEGER]) {
@@ -42,7 +42,7 @@
 	}
 });
 
-test('a new version is answered anew', () => {
+test('a new version invalidates the cache', () => {
 	let holder = createHolder(7, '{b}');
 	const answerConfig = createConfigAnswerCache({
 		get: () => holder.get(), getVersion: () => holder.getVersion(), listSteps: version => holder.listSteps(version),
--- a/src/lib/sidecar/config-answer-cache.ts
+++ b/src/lib/sidecar/config-answer-cache.ts
@@ -1,6 +1,6 @@
 /**
- * What other nodes are sent when they ask for the configuration. Many ask for
- * the same at once, so that each answer is made once.
+ * Caches the encoded answers to requests of other nodes for the configuration.
+ * Many nodes request the same version at once, so each answer is encoded once.
  *
  * @module
  */
@@ -8,8 +8,8 @@
 import {type ConfigHolder} from '../route-config/config-holder.js';
 
 /**
- * @param holder - Holds the configuration in force.
- * @returns What a node is sent that has a version of it.
+ * @param holder - Holds the active configuration.
+ * @returns A function that returns the answer for a node that has a given version of the configuration.
  * @internal
  */
 export function createConfigAnswerCache(holder: Pick<ConfigHolder, 'get' | 'getVersion' | 'listSteps'>): (version: number) => EncodedConfigAnswer {
@@ -31,7 +31,7 @@
 
 		const steps = holder.listSteps(version);
 		if (steps === undefined) {
-			// One for all versions to which no steps are known, whatever numbers are asked for.
+			// All versions without known steps share one answer, so that arbitrary version numbers do not fill the cache.
 			wholeAnswer ??= encodeWholeAnswer();
 			return wholeAnswer;
 		}
--- a/src/lib/sidecar/config-sync.test.ts
+++ b/src/lib/sidecar/config-sync.test.ts
@@ -10,7 +10,7 @@
 import {silentRefusals} from '../timeline/refusals.js';
 import {createConfigSync, type ConfigSync} from './config-sync.js';
 
-/** A node alone with a store in era 1 that holds no configuration and whose watches hang. */
+/** Starts a node without peers, with a store in era 1 that holds no configuration and whose watches hang. */
 function startSync(context: TestContext): {readonly sync: ConfigSync; readonly countReads: () => number} {
 	let reads = 0;
 	const position = {era: 1, revision: 5};
@@ -21,7 +21,7 @@
 		},
 		watchItems: async (_prefix, _after, _waitMs, signal) => new Promise(resolve => {
 			signal.addEventListener('abort', () => {
-				resolve(err({type: 'unavailable', reason: 'given up'}));
+				resolve(err({type: 'unavailable', reason: 'aborted'}));
 			});
 		}),
 		listItems: async () => ok({items: [], position}),
@@ -56,13 +56,13 @@
 	},
 });
 
-test('a node whose watch hangs asks the store anew when another node tells of a later era, once for each and once a second at the most', async context => {
+test('a node whose watch hangs resyncs with the store when another node reports a later era, at most once per era and once a second', async context => {
 	const {sync, countReads} = startSync(context);
 	await sleep(50);
 	assert.equal(countReads(), 1);
 	sync.handleReport(createReport(1));
 	await sleep(50);
-	assert.equal(countReads(), 1, 'the era that is known was asked for');
+	assert.equal(countReads(), 1, 'a report of the known era caused a read');
 	sync.handleReport(createReport(2));
 	await sleep(50);
 	assert.equal(countReads(), 2);
@@ -74,7 +74,7 @@
 	assert.equal(countReads(), 2);
 });
 
-test('a node that names an era far ahead keeps nobody from hearing of the next one', async context => {
+test('a report of an era far ahead does not block the resync for the next era', async context => {
 	const {sync, countReads} = startSync(context);
 	await sleep(50);
 	sync.handleReport(createReport(1_000_000));
--- a/src/lib/sidecar/config-sync.ts
+++ b/src/lib/sidecar/config-sync.ts
@@ -1,6 +1,7 @@
 /**
- * Keeps a node's configuration in step with the store and with the other
- * nodes: who watches the store, who hears from whom, and what is handed on.
+ * Synchronizes a node's configuration with the store and with the other nodes:
+ * decides whether this node watches the store, fetches newer versions from other
+ * nodes, and serves its own version to them.
  *
  * @module
  */
@@ -36,72 +37,72 @@
 	readonly configKey: string;
 	readonly decodeConfig: (text: string) => Result<RouteConfig, string>;
 	readonly self: NodeId;
-	/** Where this node takes heartbeats. */
+	/** Address at which this node receives heartbeats. */
 	readonly gossip: Address;
-	/** Megabits a second of this VM's link. */
+	/** Bandwidth of this VM's link in megabits per second. */
 	readonly linkMbps: number;
 	readonly link: PeerLink;
 	readonly peerLimits: PeerLimits;
-	/** Whether another node stands in the same failure domain. */
+	/** Returns whether another node is in the failure domain of this node. */
 	readonly isInOwnDomain: (report: PeerReport) => boolean;
 	readonly fetchConfig: GateClient['fetchConfig'];
 	readonly log: MeshLog;
 	readonly refusals: Refusals;
 	readonly random: () => number;
-	/** What keeps and finds quarantined requests in the store. */
+	/** Lists the quarantined requests to store, and handles those found in the store. */
 	readonly suspects: Pick<SuspectEntriesContext, 'listQuarantined' | 'handleRecords'>;
-	/** Told of each configuration that comes into force. */
+	/** Called with each configuration that becomes active. */
 	readonly handleConfigApplied: (active: ActiveConfig) => void;
 };
 
 /** @internal */
 export type ConfigSync = {
 	readonly holder: Pick<ConfigHolder, 'get' | 'getVersion'>;
-	/** What this node tells the others of its part in this. */
+	/** Describes this node's part in the distribution of the configuration, for its reports to other nodes. */
 	readonly describeDuties: () => NodeDuties;
-	/** Takes in what another node says that it has. */
+	/** Handles a report of another node. */
 	readonly handleReport: (report: PeerReport) => void;
-	/** What a node is sent that has a version of the configuration. */
+	/** Returns the answer for a node that has a given version of the configuration. */
 	readonly getConfigAnswer: (version: number) => EncodedConfigAnswer;
 	readonly isStoreReachable: () => boolean;
-	/** Whether a newer version is known of than the one in force here. */
+	/** Returns whether this node knows of a newer version than its active one. */
 	readonly isConfigOutdated: () => boolean;
-	/** Waits until this node is not behind any more, or a moment has passed. */
+	/** Waits until the configuration is not outdated any more, at most `newerConfigWaitMs`. */
 	readonly waitForNewerConfig: () => Promise<void>;
-	/** Looks at the store anew: what is in force stays so. */
+	/** Reads the store again and checks the registration. The active configuration stays active. */
 	readonly resyncWithStore: () => void;
-	/** Keeps quarantined requests in the store. */
+	/** Writes quarantined requests to the store. */
 	readonly storeSuspects: SuspectEntries['write'];
-	/** Tells of a crash through the store. */
+	/** Publishes a crash to the other nodes through the store. */
 	readonly publishCrash: CrashEntries['publish'];
 	readonly start: () => void;
-	/** Takes this node out of the store. */
+	/** Removes this node's entry from the store. */
 	readonly withdraw: () => Promise<void>;
 	readonly dispose: () => void;
 };
 
-/** A node that has known of a newer version for this long and got it from nobody asks the store itself: it may hear the others and not reach them. Milliseconds: what is left of the time in which a change has to be in force is enough to read it. */
+/** A node that has been stalled for this long reads the store itself: it may receive heartbeats of other nodes without being able to connect to them. The rest of the time in which a change must become active is enough for the read. */
 const stalledReadAfterMs = 1000;
 
-/** How long a request waits for a version that is known of and not here. Milliseconds: nearly all versions are handed over within it, and it is a part of the shortest latency objectives. */
+/** How long a request waits for a newer version. Nearly all versions arrive within this time, and it is only a part of the shortest latency objective. */
 const newerConfigWaitMs = 200;
 
-/** Between two questions to the store because of what other nodes say of it, in milliseconds. */
+/** Minimum interval between two resyncs with the store that are caused by reports of other nodes. */
 const minResyncIntervalMs = 1000;
 
-/** Milliseconds until what failed by a fault of this program runs again. */
+/** Delay before a loop that threw an unexpected exception runs again. */
 const faultRetryMs = 1000;
 
 /**
- * @param context - The store, the other nodes, and who is told.
- * @returns What keeps the configuration, not started yet.
+ * @param context - The store, the other nodes and the callbacks.
+ * @returns The synchronization, not started yet.
  * @internal
  */
 export function createConfigSync(context: ConfigSyncContext): ConfigSync {
 	const {store, self, link, peerLimits, isInOwnDomain, log, random} = context;
 	const disposed = new AbortController();
 
-	/** Those who wait for the next version. */
+	/** Callbacks of requests that wait for the next version. */
 	const configWaiters = new Set<() => void>();
 
 	const holder = createConfigHolder((active, source) => {
@@ -114,7 +115,7 @@
 			kind: 'configuration-applied', version: active.config.version, from: source, routes: active.config.routes.length,
 		});
 		if (follower.isFollowing()) {
-			// Those that do not watch the store wait for this word.
+			// Nodes that do not watch the store learn of the new version from this announcement.
 			link.announceToDomain();
 		}
 	});
@@ -127,7 +128,7 @@
 		linkMbps: context.linkMbps, isFollowing: follower.isFollowing(), storeSeenMs: health.getLastAnswerAgeMs(readSteadyMs()), storeEra: store.getEra() ?? noEra,
 	});
 
-	/** Describes the other nodes of the failure domain one by one, since few of them are looked at. */
+	/** Yields the other live nodes of the failure domain. A generator, since the caller reads only a few of them. */
 	function * listLiveDomainNodes(now: number): Generator<DomainNode> {
 		for (const peer of link.table.listOwnDomain()) {
 			const {report: {node, isLeaving, duties}, reportedAt, periodMs} = peer;
@@ -140,7 +141,7 @@
 		}
 	}
 
-	/** Whether this node watches the store, by what it hears of the others in its failure domain. */
+	/** Returns whether this node should watch the store, by the reports of the other nodes in its failure domain. */
 	const shouldFollowStore = (): boolean => {
 		const now = readSteadyMs();
 		if (newerConfigFetcher.getStalledMs(now) > stalledReadAfterMs) {
@@ -173,7 +174,7 @@
 		},
 	});
 
-	/** What was known by revision or lease is void; what is in force stays so. */
+	/** Reads the store again and checks the registration: known revisions and leases may be invalid. The active configuration stays active. */
 	const resyncWithStore = (): void => {
 		follower.resync();
 		registration.checkSoon();
@@ -186,11 +187,11 @@
 		resyncWithStore();
 	});
 
-	/** The era that another node told of last, and when this node last asked the store because of it. */
+	/** The era that another node last reported, and when this node last resynced with the store because of a reported era. */
 	let lastReportedEra = noEra;
 	let eraCheckedAt = Number.NEGATIVE_INFINITY;
 
-	/** A watch that hangs hears of nothing; the others may know. The store itself tells whether it is true, so that a node that names any number costs a call a second at the most. */
+	/** Resyncs with the store if another node reports a later era, since a watch that hangs does not notice that the store was restored. Only the store decides which era holds, so a node that reports a wrong era costs at most one resync per interval. */
 	const checkReportedEra = (era: StoreEra): void => {
 		const known = store.getEra();
 		const now = readSteadyMs();
@@ -247,7 +248,7 @@
 		log.record('error', {kind: 'node-failed', reason: (error as Error).stack ?? String(error)});
 	};
 
-	/** A fault of this program must neither end the node nor what it hears from the store. */
+	/** Runs a loop again after an unexpected exception, which must neither terminate the node nor stop its synchronization with the store. */
 	const retryOnFault = async (run: () => Promise<void>): Promise<void> => {
 		while (!disposed.signal.aborted) {
 			try {
@@ -262,7 +263,7 @@
 
 	let watchResyncedAt = Number.NEGATIVE_INFINITY;
 
-	/** A watch may hang, or others may claim what is not there: a watcher that stands still asks the store as any other node does. */
+	/** Resyncs with the store if this node watches it and is still stalled: its watch may hang, or other nodes may report a version that does not exist. */
 	const checkStoreWatch = (): void => {
 		const now = readSteadyMs();
 		if (follower.isFollowing() && newerConfigFetcher.getStalledMs(now) > stalledReadAfterMs && now - watchResyncedAt >= minResyncIntervalMs) {
@@ -284,7 +285,7 @@
 		describeDuties,
 		handleReport(report) {
 			checkReportedEra(report.duties.storeEra);
-			// Most reports tell of the version that is in force here: no work is begun for these.
+			// Most reports name the active version and need no work.
 			if (report.version > holder.getVersion()) {
 				checkStoreWatch();
 				void handleReport(report);
--- a/src/lib/sidecar/graceful-shutdown.test.ts
+++ b/src/lib/sidecar/graceful-shutdown.test.ts
@@ -4,12 +4,12 @@
 
 type Recorded = {
 	readonly events: readonly string[];
-	/** Lets so many milliseconds pass. */
+	/** Advances the clock and the timers. */
 	readonly advance: (milliseconds: number) => Promise<void>;
 	readonly isDone: () => boolean;
 };
 
-/** Stops a node that has requests in work until a given time. */
+/** Shuts down a node that has requests in flight until a given time. */
 function startShutdown(inFlightUntilMs: number, limitMs: number): Recorded {
 	const events: string[] = [];
 	const startedAt = performance.now();
@@ -35,7 +35,7 @@
 			for (let step = 0; step < milliseconds; step += 100) {
 				passed += 100;
 				mock.timers.tick(100);
-				// Lets whatever waited for the timer go on.
+				// Lets the code that awaited the timer continue.
 				for (let turn = 0; turn < 10; turn++) {
 					await Promise.resolve();
 				}
@@ -44,13 +44,13 @@
 	};
 }
 
-/** The steady clock, which the runtime's mocked timers do not move. */
+/** Replaces the steady clock, which the mocked timers of Node.js do not advance. */
 function replaceSteadyClock(): void {
 	const startedAt = Date.now();
 	mock.method(performance, 'now', () => Date.now() - startedAt);
 }
 
-test('the gate is open while callers leave, and the node goes when nothing is in work', async context => {
+test('the gate stays open while callers leave, and the shutdown ends when no request is in flight', async context => {
 	mock.timers.enable({apis: ['setTimeout', 'Date']});
 	replaceSteadyClock();
 	context.after(() => {
@@ -67,7 +67,7 @@
 	assert.equal(shutdown.isDone(), true);
 });
 
-test('it goes before the time is over, whatever is in work', async context => {
+test('the shutdown ends before its deadline although requests are in flight', async context => {
 	mock.timers.enable({apis: ['setTimeout', 'Date']});
 	replaceSteadyClock();
 	context.after(() => {
--- a/src/lib/sidecar/graceful-shutdown.ts
+++ b/src/lib/sidecar/graceful-shutdown.ts
@@ -1,45 +1,44 @@
 /**
- * The order in which a node leaves without losing work.
+ * Shuts a node down in an order that loses no requests.
  *
  * @module
  */
 import {readSteadyMs, waitFor} from '../common/clock.js';
 
-/** What a node does on its way out. @internal */
+/** The steps of a shutdown. @internal */
 export type ShutdownSteps = {
-	/** Takes the node out of the store. */
+	/** Removes the node's entry from the store. */
 	readonly withdraw: () => void;
-	/** Takes no more requests for the backend server, and says so to the other nodes. */
+	/** Stops accepting requests for the backend server and announces that to the other nodes. */
 	readonly closeGate: () => void;
-	/** From here on each answer closes its connection. */
+	/** Makes each further response close its connection. */
 	readonly closeAfterAnswers: () => void;
-	/** Takes no more connections, and closes idle ones. */
+	/** Stops accepting connections and closes idle ones. */
 	readonly stopListening: () => void;
-	/** Requests in work. */
+	/** Returns the number of requests in flight. */
 	readonly countInFlight: () => number;
 };
 
-/** For how long requests for the backend server are still taken. Milliseconds: the server goes on working and the node stays anyway until its callers have gone; a request taken last still has the longest time that users' callers wait before the node has to go. */
+/** How long the gate still accepts requests. The backend server keeps working, and the node stays until its callers have left anyway. A request accepted last still has the longest timeout of the callers before the node must exit. */
 const gateOpenMs = 1800;
 
-/** From when on answers close their connections. Milliseconds: by then callers have been told twice that the node is not ready. */
+/** Responses close their connections after this time. By then the readiness check has told callers twice that the node is not ready. */
 const closeConnectionsAfterMs = 2300;
 
-/** Before when the node does not go, since callers may still come. Milliseconds. */
+/** The node accepts connections until this time, since callers may still connect. */
 const stopListeningAfterMs = 2700;
 
-/** How long before the end of the time to shut down the node goes, whatever is still in work. Milliseconds. */
+/** The node stops waiting for requests in flight this long before its deadline. */
 const exitMarginMs = 900;
 
-/** Between two looks at what is still in work. Milliseconds. */
 const inFlightPollMs = 25;
 
 /**
- * Shuts a node down; it has to be not ready by then.
+ * Shuts a node down. Its readiness check must already report that it is not ready.
  *
- * @param steps - What it does.
- * @param limitMs - When it must be gone, in milliseconds from now.
- * @returns How long it took, in milliseconds.
+ * @param steps - The steps of the shutdown.
+ * @param limitMs - Time until the process must have exited.
+ * @returns How long the shutdown took, in milliseconds.
  * @internal
  */
 export async function runGracefulShutdown(steps: ShutdownSteps, limitMs: number): Promise<number> {
@@ -56,7 +55,7 @@
 		await waitFor(inFlightPollMs);
 	}
 
-	// The last answers are still on their way to the callers.
+	// The last responses are still on their way to the callers.
 	await waitFor(inFlightPollMs * 2);
 	return readSteadyMs() - startedAt;
 }
--- a/src/lib/sidecar/housekeeping.ts
+++ b/src/lib/sidecar/housekeeping.ts
@@ -1,6 +1,6 @@
 /**
- * What a sidecar node does now and then for its own sake: it forgets servers
- * that are gone, and fits its heap to the calls that it makes.
+ * Periodic maintenance of a sidecar node: removes the state of backend servers
+ * that are gone, and adapts the heap to the rate of calls.
  *
  * @module
  */
@@ -16,28 +16,27 @@
 	readonly listPeers: PeerLink['table']['list'];
 	readonly loads: LoadView;
 	readonly silenceWatchers: SilenceWatchers;
-	/** Sets by how much the young generation of this process's heap grows. */
+	/** Sets the growth factor of the young generation of this process's heap. */
 	readonly applyGrowthFactor: (factor: number) => void;
 };
 
 /** @internal */
 export type Housekeeping = {
 	readonly recordCall: () => void;
-	/** Called with rounds of heartbeats: a timer of its own would be a wake-up more a second. */
+	/** Called with each round of heartbeats. A separate timer would wake the process once more per second. */
 	readonly handleRound: () => void;
 	readonly start: () => void;
 	readonly dispose: () => void;
 };
 
-/** Milliseconds between two looks at how busy the node is, at the least. */
+/** Minimum time between two measurements of the rate of calls. */
 const minLoadCheckIntervalMs = 1000;
 
-/** Milliseconds between two looks for servers that are gone. */
 const cleanupIntervalMs = 30_000;
 
 /**
- * @param context - What is known of others, and the heap.
- * @returns Housekeeping that has not started.
+ * @param context - The state to clean up, and the setter of the heap's growth factor.
+ * @returns The housekeeping, not started yet.
  * @internal
  */
 export function createHousekeeping({listPeers, loads, silenceWatchers, applyGrowthFactor}: HousekeepingContext): Housekeeping {
@@ -46,7 +45,7 @@
 	let loadCheckedAt = readSteadyMs();
 	let cleanupTimer: NodeJS.Timeout | undefined;
 
-	/** Servers come and go all day: what is known of those that are gone must not pile up. */
+	/** Removes the state of backend servers that are gone. Servers are replaced all day, so this state would grow without bound. */
 	const removeGoneServers = (): void => {
 		const known = new Set([...listPeers()].flatMap(({report}) => report.server === undefined ? [] : [toLifetimeKey(report.server.lifetime)]));
 		loads.retain(lifetime => known.has(lifetime));
--- a/src/lib/sidecar/list-candidates.test.ts
+++ b/src/lib/sidecar/list-candidates.test.ts
@@ -45,7 +45,7 @@
 	return listCandidates(query, sources, 5500).map(({id, isLocal}) => isLocal ? `own ${id}` : id);
 }
 
-test('only servers of the service that are ready, beside nodes that can be reached, may be chosen', () => {
+test('only ready servers of the service beside reachable nodes are listed', () => {
 	assert.deepEqual(list([
 		createPeer('ready'),
 		createPeer('silent', {}, {heardAt: 4000}),
@@ -57,18 +57,18 @@
 	]), ['i-ready']);
 });
 
-test('the own server is one of them, unless it is not ready', () => {
+test('the server beside this node is listed if it is ready and belongs to the service', () => {
 	assert.deepEqual(list([createPeer('ready')], {own: server}), ['own i-1', 'i-ready']);
 	assert.deepEqual(list([], {own: {...server, state: 'draining'}}), []);
 	assert.deepEqual(list([], {own: {...server, service: 'hall'}}), []);
 });
 
-test('a server that was tried is not among them', () => {
+test('a server that was already tried is not listed', () => {
 	assert.deepEqual(list([createPeer('first'), createPeer('second')], {tried: ['i-first']}), ['i-second']);
 	assert.deepEqual(list([createPeer('first')], {own: server, tried: ['i-1']}), ['i-first']);
 });
 
-test('of a large service only some are looked at, from each failure domain, and none twice', () => {
+test('a large service is sampled from the own failure domain and from the others, without duplicates', () => {
 	const peers = Array.from({length: 600}, (_, index) => createPeer(`n${index}`, {domain: toFailureDomain(index < 120 ? 'a' : 'b')}));
 	const found = list(peers, {random: Math.random});
 	assert.equal(new Set(found).size, found.length);
@@ -77,7 +77,7 @@
 	assert.equal(found.filter(id => own.has(id)).length, 4);
 });
 
-test('property: when all but a few of a service are gone, one that is left is found', () => {
+test('property: the only server that is left of a service is found', () => {
 	fc.assert(fc.property(fc.integer({min: 1, max: 300}), fc.nat(), fc.double({min: 0, max: 0.999, noNaN: true}), (size, place, drawn) => {
 		const left = place % size;
 		const peers = Array.from({length: size}, (_, index) => createPeer(`n${index}`, {domain: toFailureDomain(index % 2 === 0 ? 'a' : 'b')}, index === left ? {} : {heardAt: 0}));
--- a/src/lib/sidecar/list-candidates.ts
+++ b/src/lib/sidecar/list-candidates.ts
@@ -1,6 +1,6 @@
 /**
- * Lists backend servers of a service that a call may be sent to now: the
- * one beside this node and some of those beside nodes that can be reached.
+ * Lists backend servers of a service that a call may be sent to now: the one
+ * beside this node, and some of the servers beside reachable nodes.
  *
  * @module
  */
@@ -15,45 +15,45 @@
 import {estimateSlotWait, type LoadView} from '../decisions/load-view.js';
 import {type Candidate} from '../decisions/rank-servers.js';
 
-/** Where this node stands, and the server beside it. @internal */
+/** This node and the backend server beside it. @internal */
 export type OwnNode = {
 	readonly node: NodeId;
 	readonly gate: Address;
 	readonly domain: FailureDomain;
-	/** `undefined` if there is none, or if it takes nothing new. */
+	/** `undefined` if there is none, or if it accepts no new requests. */
 	readonly server: ServerReport | undefined;
 };
 
 /** @internal */
 export type CandidateSources = {
 	readonly own: OwnNode;
-	/** Nodes beside servers of the service. */
+	/** Nodes whose backend servers belong to the service. */
 	readonly peers: ServicePeers;
 	readonly limits: PeerLimits;
 	readonly loads: LoadView;
 	readonly random: () => number;
 };
 
-/** The call that a server is sought for. @internal */
+/** The call to find a backend server for. @internal */
 export type CandidateQuery = {
 	readonly service: string;
 	readonly route: string;
-	/** Servers that are out of the question. */
+	/** Servers that the call was already sent to, which are excluded. */
 	readonly tried: ReadonlySet<LifetimeKey>;
-	/** The request may crash servers: it goes to one that all nodes choose alike, so that one of it is in work in the whole mesh. */
+	/** Set if the request may crash backend servers. All nodes then choose the same server, so that only one such request is in flight in the whole mesh. */
 	readonly trialOf?: Fingerprint | undefined;
 };
 
 /**
- * Nodes of each kind that are looked at, own failure domain and others apart. A choice then costs the same at 60 servers of a
- * service and at 600. Up to this number all are compared.
+ * Peers that are sampled from the own failure domain, and as many from the others. The cost of a choice is then the same for 60 servers of a
+ * service as for 600. A list of up to this length is searched completely.
  */
 const maxSampledPeers = 12;
 
-/** Servers of each kind with a free slot after which no more are looked for; the ranking compares three and four. */
+/** The search of the own failure domain, or of the others, ends after this many servers with a free slot. The ranking compares three and four. */
 const enoughFreeServers = 4;
 
-/** What the own gate says is exact and of this moment. */
+/** Describes the server beside this node. Its numbers come from the local gate, so they are exact and current. */
 function describeLocal({own, loads}: CandidateSources, server: ServerReport, route: string, now: number): Candidate {
 	const {running, waiting, serviceMs, failureShare} = server;
 	const lifetime = toLifetimeKey(server.lifetime);
@@ -73,7 +73,7 @@
 	};
 }
 
-/** Random places of a list, each at most once; all of them if the list is short. */
+/** Returns random indexes of a list, each at most once, or all indexes if the list is short. */
 function pickIndexes(length: number, random: () => number): Iterable<number> {
 	if (length <= maxSampledPeers) {
 		return Array.from({length}, (_, index) => index);
@@ -83,22 +83,24 @@
 }
 
 /**
+ * Lists the servers that a call may be sent to.
+ *
  * @param query - The call.
- * @param sources - What is known of servers and nodes.
+ * @param sources - The known servers and nodes.
  * @param now - Steady milliseconds.
- * @returns Servers that are ready, in no particular order: all of them if there are few, else some drawn at random, with free slots as far as such were found.
+ * @returns Servers that are ready, in no particular order: all of them if there are few, otherwise a random sample that ends when enough servers have a free slot.
  * @internal
  */
 export function listCandidates(query: CandidateQuery, sources: CandidateSources, now: number): readonly Candidate[] {
 	const {service, route, tried, trialOf} = query;
 	const {own, peers, limits, loads, random} = sources;
 
-	/** A trial has one server for all nodes, also once that one has turned it away: to go on among the others would be trials at several at once. */
+	/** Returns whether a server is excluded. A server that refused a trial stays in the choice: to choose among the others would run the trial at several servers at once. */
 	const isExcluded = (lifetime: LifetimeKey): boolean => trialOf === undefined && tried.has(lifetime);
 
 	const describeIfUsable = (peer: Peer): Candidate | undefined => {
 		const {server} = peer.report;
-		// A list by service may hold a node whose server has changed since it was drawn up.
+		// The list of a service may contain a node whose server has changed since the list was built.
 		return server?.service === service && server.state === 'ready' && !isExcluded(toLifetimeKey(server.lifetime)) && isReachable(peer, limits, now)
 			? describePeer({report: peer.report, server}, route, loads)
 			: undefined;
@@ -130,6 +132,6 @@
 	}
 
 	const sampled = [...localCandidates, ...findSampled(peers.ownDomain), ...findSampled(peers.otherDomains)];
-	// Most of a service may be gone at once, and the few that are left not be drawn.
+	// If most servers of a service fail at once, the sample may miss the few that are left.
 	return sampled.length > 0 ? sampled : listAll();
 }
--- a/src/lib/sidecar/liveness-monitor.test.ts
+++ b/src/lib/sidecar/liveness-monitor.test.ts
@@ -17,22 +17,22 @@
 };
 
 type Fixture = {
-	/** When the node was asked, in milliseconds from the start. */
+	/** When the node was probed, in milliseconds from the start. */
 	readonly probes: number[];
 	readonly silence: ReturnType<typeof createSilenceWatchers>;
 	readonly advance: (milliseconds: number) => void;
-	/** Lets a report of the node arrive. */
+	/** Simulates a report of the node. */
 	readonly hear: () => void;
-	/** Lets bytes arrive on a connection to its gate. */
+	/** Simulates received bytes on a connection to the gate of the node. */
 	readonly receive: () => void;
-	/** Lets a round of heartbeats begin, so many milliseconds late. */
+	/** Starts a round of heartbeats with a delay. */
 	readonly beginRound: (lateMs: number) => void;
-	/** How late timers were, as the watch tells it. */
+	/** The delays that the monitor reported. */
 	readonly delays: number[];
 	readonly isHeard: () => boolean;
 };
 
-/** A watch over one node whose heartbeats are seldom, under a clock that the test advances. */
+/** Creates a monitor of one node with rare heartbeats, and a clock that the test advances. */
 function createFixture(context: TestContext): Fixture {
 	context.mock.timers.enable({apis: ['setInterval']});
 	let now = 0;
@@ -85,13 +85,13 @@
 	return fixture;
 }
 
-test('a node that nobody waits for is not asked', context => {
+test('a node that no request waits for is not probed', context => {
 	const {probes, advance} = createFixture(context);
 	advance(3000);
 	assert.deepEqual(probes, []);
 });
 
-test('a question or an answer that is lost on the way does not make a node silent', context => {
+test('a lost probe or answer does not make a node silent', context => {
 	const {probes, silence, advance, hear} = createFixture(context);
 	let isNotified = false;
 	silence.watch(node, () => {
@@ -106,7 +106,7 @@
 	assert.equal(isNotified, false);
 });
 
-test('a node that leaves every question unanswered is silent, and is not asked for ever', context => {
+test('a node that answers no probe is silent, and probes to it end', context => {
 	const {probes, silence, advance} = createFixture(context);
 	const notifiedAt: number[] = [];
 	silence.watch(node, () => {
@@ -116,10 +116,10 @@
 	assert.ok(notifiedAt.length > 0);
 	assert.ok(probes.length >= 3);
 	advance(10_000);
-	assert.ok(probes.length < 20, `${probes.length} questions`);
+	assert.ok(probes.length < 20, `${probes.length} probes`);
 });
 
-test('a node that was asked for a request that has ended meanwhile is asked on, until it answers', context => {
+test('probes to a node continue until it answers, also when the request that waited for it has ended', context => {
 	const {probes, silence, advance, hear} = createFixture(context);
 	const unwatch = silence.watch(node, () => undefined);
 	advance(700);
@@ -132,7 +132,7 @@
 	assert.equal(probes.length, before);
 });
 
-test('a request that was sent just now shows nothing about a node that was heard long ago', context => {
+test('a node with an old heartbeat is not probed until a request has waited for it', context => {
 	const {probes, silence, advance} = createFixture(context);
 	advance(3000);
 	silence.watch(node, () => undefined);
@@ -142,7 +142,7 @@
 	assert.equal(probes.length, 1);
 });
 
-test('a node whose datagrams are lost and on whose connection bytes arrive is not silent', context => {
+test('a node is not silent while bytes arrive on its connection, even if its datagrams are lost', context => {
 	const {silence, advance, receive} = createFixture(context);
 	let isNotified = false;
 	silence.watch(node, () => {
@@ -158,7 +158,7 @@
 	assert.equal(isNotified, true);
 });
 
-test('an idle node looks with its rounds only, and at its own pace from the first request that waits until nobody does', context => {
+test('an idle node checks with its heartbeat rounds only, and at an interval while requests wait', context => {
 	const {silence, advance, beginRound, delays} = createFixture(context);
 	advance(1000);
 	assert.deepEqual(delays, []);
@@ -167,19 +167,19 @@
 	const unwatch = silence.watch(node, () => undefined);
 	advance(300);
 	assert.equal(delays.length, 4);
-	// A pause is told once.
+	// The interval timer reports the pause, so the round does not.
 	beginRound(900);
 	assert.equal(delays.length, 4);
 	unwatch();
 	advance(100);
-	// Rounds count again, so the pace of its own has ended.
+	// Rounds report delays again, so the interval timer has stopped.
 	beginRound(8);
 	assert.deepEqual(delays.slice(-1), [8]);
 });
 
-test('an idle node that stood still does not take others for silent', context => {
+test('an idle node does not consider other nodes silent after a pause', context => {
 	const {advance, beginRound, isHeard} = createFixture(context);
-	// Their heartbeats of a long period are not due yet, so what is looked at is the time itself.
+	// Checks the time directly, since heartbeats with a long period are not due yet.
 	advance(10_400);
 	assert.equal(isHeard(), true);
 	advance(700);
--- a/src/lib/sidecar/liveness-monitor.ts
+++ b/src/lib/sidecar/liveness-monitor.ts
@@ -1,7 +1,7 @@
 /**
- * Watches over the other nodes while requests wait for them: asks those that
- * have not been heard, tells the requests of those that are silent, and gives
- * up connections on which nothing arrives.
+ * Monitors the liveness of the nodes that requests wait for: probes nodes that
+ * have not sent anything for a while, notifies the requests of silent nodes, and
+ * runs the liveness check of connections to other nodes.
  *
  * @module
  */
@@ -20,42 +20,42 @@
 	readonly silenceWatchers: SilenceWatchers;
 	readonly gateClient: Pick<GateClient, 'checkSilence' | 'getReceivedAt'>;
 	readonly log: MeshLog;
-	/** Told how late this process is, in milliseconds. */
+	/** Called with the delay of each check: how late its timer fired. */
 	readonly handleDelay: (delayMs: number) => void;
 };
 
 /** @internal */
 export type LivenessMonitor = {
 	readonly start: () => void;
-	/** Called with each round of heartbeats and by how much it was late, in milliseconds: the pace of an idle node. */
+	/** Called with each round of heartbeats and its delay. An idle node checks only then. */
 	readonly handleRound: (lateMs: number) => void;
 	readonly dispose: () => void;
 };
 
 /**
- * Milliseconds between two looks while requests wait for other nodes, or a question of this node does. An idle node looks with its rounds of heartbeats,
- * for which it is awake anyway.
+ * Interval of checks while requests wait for other nodes or a probe is unanswered. An idle node checks with its rounds of heartbeats, for which the process
+ * wakes up anyway.
  */
 const checkIntervalMs = 100;
 
-/** A node that requests wait for and that has not been heard for this long is asked for a report. Milliseconds, a little more than one period of heartbeats. */
+/** A node that requests wait for is probed after this time without a sign of life. A little more than one heartbeat period. */
 const probeAfterMs = 500;
 
-/** Milliseconds until a node that has not answered is asked again: three questions fit into the time in which it has to answer, since datagrams are lost now and then. */
+/** Interval of probes to a node that does not answer. Three probes fit into the probe timeout, since datagrams may be lost. */
 const probeRetryMs = 200;
 
-/** For how long it is asked; later its heartbeats tell. Milliseconds. */
+/** How long a node that does not answer is probed. After that, only its heartbeats show that it is alive again. */
 const probeDurationMs = 3000;
 
-/** A timer that fires this late shows that the process stood still, rather than that it was busy. Milliseconds. */
+/** A timer that fires later than this shows that the process was paused, not just busy. */
 const pauseThresholdMs = 400;
 
-/** The same for a round of an idle node, in milliseconds: a pause may have begun up to a period earlier, and with that the others must not seem silent. */
+/** The same for a heartbeat round of an idle node. The pause may have begun up to one period earlier, and must not make the other nodes look silent. */
 const idlePauseThresholdMs = 150;
 
 /**
- * @param context - The other nodes and who waits for them.
- * @returns The watch, not started yet.
+ * @param context - The other nodes and the watchers of silent ones.
+ * @returns The monitor, not started yet.
  * @internal
  */
 export function createLivenessMonitor(context: LivenessMonitorContext): LivenessMonitor {
@@ -63,15 +63,15 @@
 	let timer: NodeJS.Timeout | undefined;
 	let isRunning = false;
 	let checkedAt = 0;
-	/** When nodes were last asked, in steady milliseconds. */
+	/** When each node was last probed, in steady milliseconds. */
 	const lastProbedAt = new Map<NodeId, number>();
 
 	const getHeardAt = (gate: Address): number | undefined => link.table.findGate(gate)?.heardAt;
 
-	/** Whether a node that has been asked still has to answer. */
+	/** Returns whether a node was probed and has not answered yet. */
 	const isProbing = ({probedAt}: Peer, now: number): boolean => probedAt !== undefined && now - probedAt < probeDurationMs;
 
-	/** A request that has not waited for long yet shows nothing, however seldom the node's heartbeats are. */
+	/** Returns whether a node needs a probe. A request that has waited only briefly is no reason for one, even if the last heartbeat of the node is old. */
 	const isProbeDue = (peer: Peer, waitingSince: number, now: number): boolean => peer.probedAt === undefined
 		? now - Math.max(peer.heardAt, waitingSince) > probeAfterMs
 		: isProbing(peer, now);
@@ -84,8 +84,8 @@
 	};
 
 	/**
-	 * Takes bytes on a connection for a sign of life. On a link that is full of large answers datagrams are lost, question and report alike, and what goes over a
-	 * connection gets through.
+	 * Treats bytes received on a connection as a sign of life. A link saturated by large responses drops datagrams, probes as well as reports, while data on a
+	 * connection is retransmitted.
 	 */
 	const recordReceivedBytes = (): void => {
 		for (const [node] of silenceWatchers.listWatchedNodes()) {
@@ -96,7 +96,7 @@
 		}
 	};
 
-	/** Asks the nodes that requests wait for, and those that have not answered yet: a question or its answer may be lost. */
+	/** Probes the nodes that requests wait for, and again those that have not answered yet, since a probe or its answer may be lost. */
 	const probeSilentNodes = (now: number): void => {
 		for (const [node, waitingSince] of silenceWatchers.listWatchedNodes()) {
 			const peer = link.table.get(node);
@@ -115,7 +115,7 @@
 		}
 	};
 
-	/** Names a pause. A node that answers others and waits for none may be a little late because it is busy, which is not worth a line. */
+	/** Logs a pause. Shorter delays are not logged, since a busy node that waits for no other node may be a little late. */
 	const reportPause = (delayMs: number): void => {
 		if (delayMs > pauseThresholdMs) {
 			log.record('warn', {kind: 'node-paused', forMs: Math.round(delayMs)});
@@ -170,7 +170,7 @@
 			}
 		},
 		handleRound(lateMs) {
-			// While a timer of its own runs, that one tells of a pause.
+			// While the interval timer runs, it reports pauses.
 			if (timer === undefined && isRunning) {
 				checkPeers(readSteadyMs(), lateMs, idlePauseThresholdMs);
 			}
--- a/src/lib/sidecar/local-server-messages.ts
+++ b/src/lib/sidecar/local-server-messages.ts
@@ -1,5 +1,6 @@
 /**
- * Takes in what the backend server beside this node says of itself, and refuses what others say in its place.
+ * Checks and applies the messages of the backend server beside this node, and
+ * refuses messages of other senders in its name.
  *
  * @module
  */
@@ -16,9 +17,9 @@
 
 /** @internal */
 export type LocalServerMessageContext = {
-	/** Decodes a call of a backend server; `undefined` if there is no such call. */
+	/** Decodes a message of the backend server; yields `undefined` if there is no such method and path. */
 	readonly decode: AnnouncementContext['decode'];
-	/** The service that the settings name. */
+	/** The service of this node's settings. */
 	readonly service: string;
 	readonly listPeers: () => Iterable<Peer>;
 	readonly gate: Pick<LocalGate, 'announce' | 'leave'>;
@@ -36,8 +37,8 @@
 }
 
 /**
- * @param context - What calls are checked by, and who is told of them.
- * @returns The calls that speak for the server beside this node.
+ * @param context - The decoder, the data for the checks, and the gate that messages are applied to.
+ * @returns The decoder and the handler of messages.
  * @internal
  */
 export function createLocalServerMessageHandler({decode, service, listPeers, gate}: LocalServerMessageContext): LocalServerMessageHandler {
--- a/src/lib/sidecar/mesh-metrics.test.ts
+++ b/src/lib/sidecar/mesh-metrics.test.ts
@@ -12,7 +12,7 @@
 	}],
 };
 
-test('calls, attempts and events are counted by their labels, which are written so that any scraper reads them', () => {
+test('calls, attempts and events are counted by their labels, whose values are escaped for the Prometheus text format', () => {
 	const metrics = createMeshMetrics();
 	metrics.recordCall(call);
 	metrics.recordCall(call);
--- a/src/lib/sidecar/mesh-metrics.ts
+++ b/src/lib/sidecar/mesh-metrics.ts
@@ -1,6 +1,6 @@
 /**
- * Counters and latency histograms of a sidecar node, in the text format of
- * Prometheus.
+ * Counters and latency histograms of a sidecar node, in the Prometheus text
+ * format.
  *
  * @module
  */
@@ -8,7 +8,7 @@
 import {type FinishedCall} from '../forwarding/entry-server.js';
 import {type MeshLog, type RefusalCause, type RefusalKind} from '../timeline/mesh-log.js';
 
-/** A value that is read when metrics are asked for. @internal */
+/** A value that is read when metrics are scraped. @internal */
 export type Gauge = {
 	readonly name: string;
 	readonly help: string;
@@ -18,16 +18,16 @@
 /** @internal */
 export type MeshMetrics = {
 	readonly recordCall: (call: FinishedCall) => void;
-	/** How late a timer fired, in milliseconds: the time for which the one thread was busy or stood still. */
+	/** Records how late a timer fired: the time for which the event loop was busy or the process was paused. */
 	readonly recordLoopDelay: (milliseconds: number) => void;
-	/** Counts input that was refused; most of it has no line of its own in the log. */
+	/** Counts refused input, most of which has no log line of its own. */
 	readonly countRefusal: (kind: RefusalKind, cause: RefusalCause) => void;
-	/** Counts every event of a log that passes through. */
+	/** Returns a log that counts each event and passes it on to a given log. */
 	readonly countEvents: (log: MeshLog) => MeshLog;
 	readonly format: (gauges: readonly Gauge[]) => string;
 };
 
-/** Latencies are kept up to this many milliseconds, at two digits: some ten kilobytes a histogram. */
+/** Longer latencies are recorded as this one. With two significant digits a histogram takes about ten kilobytes. */
 const maxLatencyMs = 60_000;
 const significantDigits = 2;
 
@@ -39,7 +39,7 @@
 	readonly totalCount: number;
 };
 
-// The package is CommonJS without named exports: what an import yields depends on who loads it.
+// The package is CommonJS without named exports, so the shape of the import depends on the module loader.
 const histogramConstructor = ('default' in Int32Histogram ? Int32Histogram.default : Int32Histogram) as unknown as () => unknown;
 
 const createHistogram = (): Histogram => Reflect.construct(histogramConstructor, [1, maxLatencyMs, significantDigits]) as Histogram;
@@ -54,13 +54,13 @@
 	];
 }
 
-/** Counts by labels. Names of labels are joined to their values when metrics are asked for, not at each event, so that a call costs no text. */
+/** A counter with labels. Label names are added when metrics are scraped, so that a call formats no text. */
 type Counter = {
 	readonly add: (...values: ReadonlyArray<string | number>) => void;
 	readonly format: () => readonly string[];
 };
 
-/** Stands between the values of labels; no name holds it. */
+/** Separates label values in a key; it does not occur in any of them. */
 const labelSeparator = '\0';
 
 function createCounter(name: string, ...labels: readonly string[]): Counter {
@@ -78,7 +78,7 @@
 }
 
 /**
- * @returns Metrics of a node that has done nothing yet.
+ * @returns Metrics without any recorded calls or events.
  * @internal
  */
 export function createMeshMetrics(): MeshMetrics {
--- a/src/lib/sidecar/newer-config-fetcher.test.ts
+++ b/src/lib/sidecar/newer-config-fetcher.test.ts
@@ -64,7 +64,7 @@
 const newer = createSampleReport({version: 9, gate: toAddress('10.0.0.2:1')});
 const whole: Answer = {type: 'whole', text: 'nine'};
 
-test('a node that does not watch the store takes a newer configuration from whoever has it', async () => {
+test('a node that does not watch the store fetches a newer configuration from a node that has it', async () => {
 	const fixture = createFixture(false, whole);
 	await fixture.fetch(createSampleReport({version: 7}));
 	await fixture.fetch(newer);
@@ -72,7 +72,7 @@
 	assert.deepEqual(fixture.applied, [`${newer.node}: nine`]);
 });
 
-test('a node whose own watch brings it meanwhile asks nobody', async () => {
+test('a node whose own watch delivers the version during the delay fetches from no node', async () => {
 	const fixture = createFixture(true, whole);
 	const fetched = fixture.fetch(newer);
 	fixture.current = {version: 9, text: 'nine'};
@@ -80,7 +80,7 @@
 	assert.deepEqual(fixture.fetches, []);
 });
 
-test('a node waits for those of its own failure domain before it asks another one, and is not kept from them meanwhile', async () => {
+test('a node delays a fetch from another failure domain, and fetches from its own domain during the delay', async () => {
 	const fixture = createFixture(false, whole);
 	const far = fixture.fetch(createSampleReport({version: 9, gate: toAddress('10.0.9.9:1'), domain: toFailureDomain('b')}));
 	await fixture.fetch(newer);
@@ -89,7 +89,7 @@
 	assert.deepEqual(fixture.fetches, ['10.0.0.2:1 has 7']);
 });
 
-test('a configuration that takes a second over a slow link is waited for', async () => {
+test('a fetch that takes a second over a slow link succeeds', async () => {
 	const applied: string[] = [];
 	const {handleReport: fetchNewer} = createNewerConfigFetcher({
 		getCurrent: () => undefined,
@@ -115,7 +115,7 @@
 	assert.deepEqual(applied, ['nine']);
 });
 
-test('a node that does not answer does not keep another one from being asked for long', async () => {
+test('a second fetch starts while the first node does not answer, and there is no third one', async () => {
 	const asked: string[] = [];
 	const {handleReport: fetchNewer} = createNewerConfigFetcher({
 		getCurrent: () => undefined,
@@ -144,13 +144,13 @@
 	assert.deepEqual(asked, ['10.0.0.2:1', '10.0.0.3:1']);
 });
 
-test('a node that hands over nothing, or fails, does not keep others from being asked', async () => {
+test('a failed fetch does not block later ones', async () => {
 	const silent = createFixture(false, undefined);
 	await silent.fetch(newer);
 	await silent.fetch(newer);
 	assert.equal(silent.fetches.length, 2);
 	assert.deepEqual(silent.applied, []);
-	assert.deepEqual(silent.failed, [`${newer.node}: none`, `${newer.node}: none`], 'what came of asking is not told');
+	assert.deepEqual(silent.failed, [`${newer.node}: none`, `${newer.node}: none`], 'failed fetches were not reported');
 	const failing = createFixture(false, new Error('x'));
 	await assert.rejects(failing.fetch(newer));
 	await assert.rejects(failing.fetch(newer));
@@ -159,13 +159,13 @@
 
 const step = (from: number, to: number, before: string, after: string): ConfigStep => ({from, to, delta: computeTextDelta(before, after)});
 
-test('steps lead from what is in force to the newest, those that are behind are passed over', async () => {
+test('steps lead from the active version to the newest; earlier steps are skipped', async () => {
 	const fixture = createFixture(false, {type: 'steps', steps: [step(5, 7, 'five', 'seven'), step(7, 8, 'seven', 'eight'), step(8, 9, 'eight', 'nine')]});
 	await fixture.fetch(newer);
 	assert.deepEqual(fixture.applied, [`${newer.node}: nine by 2`]);
 });
 
-test('steps that do not fit are named, change nothing, and are followed by a request for the whole', async () => {
+test('steps that do not apply are reported, change nothing, and the next fetch requests the whole configuration', async () => {
 	const fixture = createFixture(false, {type: 'steps', steps: [step(7, 9, '{other}{seven}', '{other}{nine}')]});
 	await fixture.fetch(newer);
 	assert.deepEqual(fixture.applied, []);
@@ -176,7 +176,7 @@
 	assert.deepEqual(fixture.applied, [`${newer.node}: nine`]);
 });
 
-test('a node knows for how long it has lacked a newer version that nobody hands over', async () => {
+test('a node measures for how long it has been stalled', async () => {
 	const fixture = createFixture(false, undefined);
 	const before = performance.now();
 	assert.equal(fixture.getStalledMs(before), 0);
@@ -185,7 +185,7 @@
 	await fixture.fetch(createSampleReport({version: 10, gate: toAddress('10.0.0.2:1')}));
 	const stalledMs = fixture.getStalledMs(performance.now());
 	assert.ok(stalledMs >= 55, `${stalledMs} ms`);
-	// It got one of those that it lacked: in a quick succession of changes the next one is always there already.
+	// The node made progress, although a newer version is already known: changes may follow quickly.
 	fixture.current = {version: 9, text: 'nine'};
 	assert.equal(fixture.getStalledMs(performance.now()), 0);
 	await fixture.fetch(createSampleReport({version: 11, gate: toAddress('10.0.0.2:1')}));
@@ -194,7 +194,7 @@
 	assert.equal(fixture.getStalledMs(performance.now()), 0);
 });
 
-test('a version that the store, asked after it was claimed, does not have, is not waited for, whoever goes on claiming it', async context => {
+test('a reported version that a later read of the store does not return is ignored, also when a node reports it again', async context => {
 	let now = 1000;
 	context.mock.method(performance, 'now', () => now);
 	const fixture = createFixture(false, undefined);
@@ -206,7 +206,7 @@
 	assert.equal(fixture.getStalledMs(now), 0);
 	await fixture.fetch(claim);
 	assert.deepEqual([fixture.fetches.length, fixture.getStalledMs(now + 2000)], [1, 0]);
-	// Another node, another version, and the same one beside the next version are heard.
+	// Not ignored: another node, another version, and the same version after the active one has changed.
 	await fixture.fetch(newer);
 	assert.equal(fixture.fetches.length, 2);
 	await fixture.fetch({...claim, version: 91});
@@ -216,7 +216,7 @@
 	assert.equal(fixture.fetches.length, 4);
 });
 
-test('a version that was claimed while the store was asked may be newer than its answer', async context => {
+test('a version that is reported during a read of the store may be newer than the result', async context => {
 	let now = 1000;
 	context.mock.method(performance, 'now', () => now);
 	const fixture = createFixture(false, undefined);
--- a/src/lib/sidecar/newer-config-fetcher.ts
+++ b/src/lib/sidecar/newer-config-fetcher.ts
@@ -1,6 +1,6 @@
 /**
- * Fetches a configuration from another node that has a newer one. Its word is
- * as good as the store's, since versions only grow.
+ * Fetches a newer configuration from another node. It is as reliable as one
+ * from the store, since versions only increase.
  *
  * @module
  */
@@ -13,79 +13,77 @@
 import {type ConfigStep} from '../route-config/config-history.js';
 import {applyTextDelta} from '../route-config/text-delta.js';
 
-/** A configuration in force. @internal */
+/** An active configuration. @internal */
 export type CurrentConfig = {readonly version: number; readonly text: string};
 
 /** @internal */
 export type NewerConfigContext = {
-	/** The one in force; `undefined` if there is none. */
+	/** Returns the active configuration; `undefined` if there is none. */
 	readonly getCurrent: () => CurrentConfig | undefined;
-	/** Whether this node watches the store itself, and reaches it. */
+	/** Returns whether this node watches the store itself and can reach it. */
 	readonly isWatchingStore: () => boolean;
-	/** Whether another node stands in the same failure domain. */
+	/** Returns whether another node is in the failure domain of this node. */
 	readonly isInOwnDomain: (report: PeerReport) => boolean;
 	readonly fetchConfig: GateClient['fetchConfig'];
 	readonly applyText: (text: string, source: string, steps?: readonly ConfigStep[]) => void;
-	/** Told of an answer that cannot be used, and why. */
+	/** Called when the answer of a node cannot be used, with the reason. */
 	readonly handleUnusableAnswer: (report: PeerReport, reason: string) => void;
-	/** Told of a version that nobody told of before. */
+	/** Called with the first report of a version. */
 	readonly handleNewVersion: (report: PeerReport) => void;
-	/** Told of a node that was asked and handed nothing over, and how long that took in milliseconds. */
+	/** Called when a fetch from a node fails, with its duration. */
 	readonly handleFetchFailed: (report: PeerReport, error: ConfigFetchError, tookMs: number) => void;
 };
 
-/** How long a node that watches the store waits for its own watch before it asks another node. Milliseconds. */
+/** How long a node that watches the store waits for its own watch before it fetches from another node. */
 const ownWatchDelayMs = 600;
 
-/** How long a node waits for those of its own failure domain to have it as well: bytes between failure domains are paid for. Milliseconds. */
+/** How long a node waits for nodes of its own failure domain to get the version before it fetches from another domain: traffic between failure domains costs money. */
 const ownDomainDelayMs = 300;
 
-/** How long another node may take to hand over its configuration. Milliseconds: over the slowest links of the users, beside their other traffic, the whole may take more than half of the time in which it has to be in force, and to begin anew would take longer. */
+/** Timeout of a fetch. On the slowest links in use, beside other traffic, a whole configuration may take more than half of the time in which it must become active, and to start again would take longer. */
 const fetchTimeoutMs = 2000;
 
-/** How long a node may take before another one is asked as well. Milliseconds: most answers are steps, which take a few. */
+/** How long a fetch may take before a second one from another node starts. Most answers are steps, which take a few milliseconds. */
 const secondFetchAfterMs = 700;
 
-/** Nodes that are asked at once at the most. */
 const maxConcurrentFetches = 2;
 
-/** Claims that are remembered at the most: as many as nodes are held. */
+/** Equal to the maximum number of nodes in the peer table. */
 const maxClaims = 4000;
 
-/** What a node said to have; refuted once the store, asked after that, had nothing newer than what is in force here. */
+/** A version that a node reported; refuted once a read of the store that started later returned nothing newer than the active version. */
 type VersionClaim = {readonly version: number; readonly heardAt: number; isRefuted: boolean};
 
 /** @internal */
 export type NewerConfigFetcher = {
-	/** Takes in what another node says that it has, and fetches it if it is newer. */
+	/** Handles a report of another node, and fetches its configuration if that is newer. */
 	readonly handleReport: (report: PeerReport) => Promise<void>;
-	/** The store has told what is newest, asked at a time in steady milliseconds: what nodes claimed beyond it before does not exist. */
+	/** Records a read of the store that started at a time in steady milliseconds: newer versions that nodes reported before that do not exist. */
 	readonly recordStoreRead: (startedAt: number) => void;
-	/** Whether a newer version is known of than the one in force here. */
+	/** Returns whether this node knows of a newer version than its active one. */
 	readonly isOutdated: () => boolean;
-	/** Milliseconds for which this node has known of a newer version without getting any. */
+	/** Returns for how many milliseconds this node has known of a newer version without getting any newer one. */
 	readonly getStalledMs: (now: number) => number;
 };
 
 /**
- * @param context - The configuration in force and where a newer one goes.
- * @returns What fetches newer ones.
+ * @param context - The active configuration, and the callbacks for a newer one.
+ * @returns The fetcher.
  * @internal
  */
 export function createNewerConfigFetcher(context: NewerConfigContext): NewerConfigFetcher {
 	const {getCurrent, isWatchingStore, isInOwnDomain, fetchConfig, applyText, handleUnusableAnswer, handleNewVersion, handleFetchFailed} = context;
-	/** When each node that is being asked was asked, in steady milliseconds. */
+	/** Start times of the fetches in flight, in steady milliseconds. */
 	const fetchStartTimes = new Map<NodeId, number>();
 	let hasDelayedFetch = false;
-	/** The newest version that was heard of. */
 	let newestKnownVersion = 0;
-	/** Since when this node has stood still at a version although a newer one is there; steady milliseconds, and that version. */
+	/** Since when this node has been at a version although a newer one is known, in steady milliseconds, and that version. */
 	let stalledSince = 0;
 	let stalledVersion = 0;
-	/** Newer versions that nodes said to have, while the version in force here stands. */
+	/** Newer versions that nodes reported while the active version was `claimsBaseVersion`. */
 	const claims = new Map<NodeId, VersionClaim>();
 	let claimsBaseVersion = 0;
-	/** Steps could not be applied: the whole is asked for. */
+	/** Set if steps could not be applied: the next fetch requests the whole configuration. */
 	let needsWholeConfig = false;
 
 	const getVersion = (): number => getCurrent()?.version ?? 0;
@@ -98,7 +96,7 @@
 		return isInOwnDomain(report) ? 0 : ownDomainDelayMs;
 	};
 
-	/** Applies the steps that lead on from what is in force now, which may have changed since they were asked for. */
+	/** Applies the steps that start at the active version, which may have changed since the request. */
 	const applySteps = (report: PeerReport, steps: readonly ConfigStep[]): void => {
 		let current = getCurrent();
 		const applied: ConfigStep[] = [];
@@ -110,7 +108,7 @@
 			const text = applyTextDelta(current.text, step.delta);
 			if (text === undefined) {
 				needsWholeConfig = true;
-				handleUnusableAnswer(report, `the step from version ${step.from} to ${step.to} does not fit what is in force here`);
+				handleUnusableAnswer(report, `the step from version ${step.from} to ${step.to} does not apply to the active configuration`);
 				return;
 			}
 
@@ -151,7 +149,7 @@
 		applyAnswer(report, answer.value);
 	};
 
-	/** One node is asked at a time, and another one when that takes long: it may have fallen silent. */
+	/** Returns whether a fetch from a node may start. Only one fetch runs, and a second one if the first takes long, since its node may have become unreachable. */
 	const mayFetchFrom = (node: NodeId): boolean => {
 		const now = readSteadyMs();
 		return !fetchStartTimes.has(node) && fetchStartTimes.size < maxConcurrentFetches && [...fetchStartTimes.values()].every(startedAt => now - startedAt > secondFetchAfterMs);
@@ -170,7 +168,7 @@
 		}
 	};
 
-	/** In a quick succession of changes a node lacks the next one all the time; what counts is that it gets on. */
+	/** Returns whether this node is outdated and its version has not changed. While changes follow quickly, a node is always outdated; what matters is that it makes progress. */
 	const isStalled = (): boolean => getVersion() < newestKnownVersion && getVersion() === stalledVersion;
 
 	const recordNewerVersion = (version: number): void => {
@@ -182,7 +180,7 @@
 		newestKnownVersion = Math.max(newestKnownVersion, version);
 	};
 
-	/** Claims are kept only as long as the version in force stands: the next one may be what was claimed. */
+	/** Records the version that a node reports. Claims are dropped when the active version changes, since a refuted version may exist by then. */
 	const recordClaim = ({node, version}: PeerReport): VersionClaim => {
 		if (claimsBaseVersion !== getVersion() || claims.size >= maxClaims) {
 			claimsBaseVersion = getVersion();
@@ -227,7 +225,7 @@
 			return;
 		}
 
-		// While one report waits, another that need not wait is not kept back by it.
+		// One delayed fetch is enough. Reports that need no delay are handled above.
 		if (hasDelayedFetch) {
 			return;
 		}
--- a/src/lib/sidecar/settings-change.test.ts
+++ b/src/lib/sidecar/settings-change.test.ts
@@ -13,7 +13,7 @@
 	retries: {ratio: 0.2, slack: 62, windowMs: 10_000},
 };
 
-test('limits, seeds and the time to shut down are taken over; who and where the node is stays until a restart', () => {
+test('retry limits, seeds and the shutdown time apply at run time; the service needs a restart', () => {
 	const changed: SidecarSettings = {
 		...settings, service: 'hall', seeds: [address], shutdownMs: 9000, retries: {...settings.retries, ratio: 0.1},
 	};
--- a/src/lib/sidecar/settings-change.ts
+++ b/src/lib/sidecar/settings-change.ts
@@ -1,15 +1,18 @@
 /**
- * Which settings a node takes over while it runs, and which need a restart.
+ * Decides which changed settings a node applies at run time, and which need a
+ * restart.
  *
  * @module
  */
 import {isDeepStrictEqual} from 'node:util';
 import {type SidecarSettings} from './sidecar-settings.js';
 
-/** Settings that are read each time they are used. */
+/** Settings that apply at run time, since they are read at each use. */
 const reloadableSettings: ReadonlySet<keyof SidecarSettings> = new Set<keyof SidecarSettings>(['seeds', 'retries', 'shutdownMs']);
 
 /**
+ * Applies the changes that need no restart.
+ *
  * @param current - Settings in use.
  * @param changed - Settings as the file has them now.
  * @returns Settings to use from now on.
@@ -23,9 +26,11 @@
 }
 
 /**
+ * Lists the changes that need a restart.
+ *
  * @param current - Settings in use.
  * @param changed - Settings as the file has them now.
- * @returns Names of settings that differ and are not taken over before a restart: who and where this node is.
+ * @returns Names of changed settings that apply only after a restart, such as the identity and the addresses of this node.
  * @internal
  */
 export function listChangesNeedingRestart(current: SidecarSettings, changed: SidecarSettings): readonly string[] {
--- a/src/lib/sidecar/sidecar-settings.test.ts
+++ b/src/lib/sidecar/sidecar-settings.test.ts
@@ -16,26 +16,26 @@
 	shutdown: '6s',
 };
 
-test('settings are read, times as numbers of milliseconds', () => {
+test('settings are parsed, with durations in milliseconds', () => {
 	const settings = parseSidecarSettings(good)._unsafeUnwrap();
 	assert.equal(settings.retries.windowMs, 10_000);
 	assert.equal(settings.shutdownMs, 6000);
 });
 
 const bad: ReadonlyArray<readonly [string, unknown, RegExp]> = [
-	['an address', {...good, listen: {...good.listen, gate: 'gate:2'}}, /listen\.gate: found "gate:2", must be an IP number and a port/],
-	['a missing text', {...good, service: ''}, /service: found "", must be a text/],
-	['a time', {...good, shutdown: 6}, /shutdown: found 6, must be a time/],
-	['a number', {...good, retries: {...good.retries, slack: -1}}, /retries\.slack: found -1, must be a number that is not negative/],
-	['a missing number', {...good, linkMbps: undefined}, /linkMbps: found nothing, must be a number that is not negative/],
-	['a section', {...good, retries: undefined}, /retries: must be a map/],
-	['seeds', {...good, seeds: ['x']}, /seeds: must be a list of IP numbers and ports/],
-	['a seed without a port', {...good, seeds: ['127.0.0.1:0']}, /seeds: must be a list of IP numbers and ports/],
-	['the whole', undefined, /settings: must be a map/],
+	['an address', {...good, listen: {...good.listen, gate: 'gate:2'}}, /listen\.gate: found "gate:2", must be an IP address and a port/],
+	['an empty string', {...good, service: ''}, /service: found "", must be a non-empty string/],
+	['a duration', {...good, shutdown: 6}, /shutdown: found 6, must be a duration/],
+	['a number', {...good, retries: {...good.retries, slack: -1}}, /retries\.slack: found -1, must be a non-negative number/],
+	['a missing number', {...good, linkMbps: undefined}, /linkMbps: found nothing, must be a non-negative number/],
+	['a section', {...good, retries: undefined}, /retries: must be an object/],
+	['seeds', {...good, seeds: ['x']}, /seeds: must be a list of IP addresses with ports/],
+	['a seed without a port', {...good, seeds: ['127.0.0.1:0']}, /seeds: must be a list of IP addresses with ports/],
+	['a file without settings', undefined, /settings: must be an object/],
 ];
 
 for (const [what, settings, message] of bad) {
-	test(`${what} that cannot be used is named, with what was found and what is allowed`, () => {
+	test(`an error about ${what} names the field, its value and the expected form`, () => {
 		assert.match(parseSidecarSettings(settings)._unsafeUnwrapErr(), message);
 	});
 }
--- a/src/lib/sidecar/sidecar-settings.ts
+++ b/src/lib/sidecar/sidecar-settings.ts
@@ -1,6 +1,6 @@
 /**
- * Settings of a sidecar node. Checked by hand: a schema library costs more
- * processor time at the start than the node has.
+ * Settings of a sidecar node. Checked without a schema library, since loading
+ * one takes more processor time than a node has at its start.
  *
  * @module
  */
@@ -18,30 +18,30 @@
 	/** Service of the backend server on this VM. */
 	readonly service: string;
 	readonly listen: {
-		/** For callers on this VM and the backend server. */
+		/** For callers on this VM, among them the backend server. */
 		readonly callers: Address;
 		/** For requests of other nodes. */
 		readonly gate: Address;
 		/** For heartbeats, UDP. */
 		readonly gossip: Address;
 		readonly readiness: Address;
-		/** For what the backend server says of itself. */
+		/** For announcements and leaves of the backend server. */
 		readonly announcements: Address;
 		readonly metrics: Address;
 	};
 	readonly storeAddress: Address;
-	/** Megabits a second of this VM's link: nodes with large ones do more for the others. */
+	/** Bandwidth of this VM's link in megabits per second. Nodes with a fast link do more work for the others. */
 	readonly linkMbps: number;
 	/** Heartbeat addresses of a few other nodes, which may be out of date. */
 	readonly seeds: readonly Address[];
 	readonly retries: {
-		/** Repeats for each request, over all nodes. */
+		/** Retries per request, over all nodes. */
 		readonly ratio: number;
-		/** Repeats beside that in a window, over all nodes. */
+		/** Additional retries per window, over all nodes. */
 		readonly slack: number;
 		readonly windowMs: number;
 	};
-	/** Milliseconds from SIGTERM until the node must be gone. */
+	/** Time from SIGTERM until the process must have exited. */
 	readonly shutdownMs: number;
 };
 
@@ -52,7 +52,7 @@
 function readObject(parent: Json, name: string): Json {
 	const value = parent[name];
 	if (typeof value !== 'object' || value === null || Array.isArray(value)) {
-		throw new SettingError(`${name}: must be a map`);
+		throw new SettingError(`${name}: must be an object`);
 	}
 
 	return value as Json;
@@ -61,7 +61,7 @@
 function readString(parent: Json, name: string, prefix: string): string {
 	const value = parent[name];
 	if (typeof value !== 'string' || value === '') {
-		throw new SettingError(`${prefix}${name}: found ${JSON.stringify(value) ?? 'nothing'}, must be a text`);
+		throw new SettingError(`${prefix}${name}: found ${JSON.stringify(value) ?? 'nothing'}, must be a non-empty string`);
 	}
 
 	return value;
@@ -70,7 +70,7 @@
 function readAddress(parent: Json, name: string, prefix: string): Address {
 	const text = readString(parent, name, prefix);
 	if (!isAddress(text)) {
-		throw new SettingError(`${prefix}${name}: found "${text}", must be an IP number and a port, as in 127.0.0.1:7001`);
+		throw new SettingError(`${prefix}${name}: found "${text}", must be an IP address and a port, as in 127.0.0.1:7001`);
 	}
 
 	return toAddress(text);
@@ -79,7 +79,7 @@
 function readNonNegativeNumber(parent: Json, name: string, prefix: string): number {
 	const value = parent[name];
 	if (typeof value !== 'number' || !Number.isFinite(value) || value < 0) {
-		throw new SettingError(`${prefix}${name}: found ${JSON.stringify(value) ?? 'nothing'}, must be a number that is not negative`);
+		throw new SettingError(`${prefix}${name}: found ${JSON.stringify(value) ?? 'nothing'}, must be a non-negative number`);
 	}
 
 	return value;
@@ -88,7 +88,7 @@
 function readDuration(parent: Json, name: string, prefix: string): number {
 	const milliseconds = parseDuration(parent[name]);
 	if (milliseconds === undefined || milliseconds < 0) {
-		throw new SettingError(`${prefix}${name}: found ${JSON.stringify(parent[name]) ?? 'nothing'}, must be a time, as in "1500ms" or "2.5s"`);
+		throw new SettingError(`${prefix}${name}: found ${JSON.stringify(parent[name]) ?? 'nothing'}, must be a duration, as in "1500ms" or "2.5s"`);
 	}
 
 	return milliseconds;
@@ -96,7 +96,7 @@
 
 function readSeeds(value: unknown): readonly Address[] {
 	if (!Array.isArray(value) || !value.every(seed => typeof seed === 'string' && isReachableAddress(seed))) {
-		throw new SettingError('seeds: must be a list of IP numbers and ports');
+		throw new SettingError('seeds: must be a list of IP addresses with ports');
 	}
 
 	return value.map(seed => toAddress(seed as string));
@@ -132,13 +132,13 @@
 /**
  * Checks settings.
  *
- * @param value - What the file holds.
- * @returns The settings, or the field that cannot be used, what was found there and what is allowed.
+ * @param value - The decoded settings file.
+ * @returns The settings, or an error that names the invalid field, its value and the expected form.
  * @public
  */
 export function parseSidecarSettings(value: unknown): Result<SidecarSettings, string> {
 	if (typeof value !== 'object' || value === null) {
-		return err('settings: must be a map');
+		return err('settings: must be an object');
 	}
 
 	try {
--- a/src/lib/sidecar/sidecar.ts
+++ b/src/lib/sidecar/sidecar.ts
@@ -1,6 +1,6 @@
 /**
- * A sidecar node: everything that runs beside one backend server on a platform
- * whose store holds the configuration, wired together.
+ * Wires the parts of a sidecar node: the process that runs beside one backend
+ * server, on a platform whose store holds the configuration.
  *
  * @module
  */
@@ -45,51 +45,51 @@
 import {runGracefulShutdown} from './graceful-shutdown.js';
 import {createSilenceWatchers} from './silence-watchers.js';
 
-/** What a sidecar node is handed by its surroundings. @public */
+/** What a sidecar node needs from the platform and the process. @public */
 export type SidecarDependencies = {
 	readonly store: MeshStore;
 	/** Key of the configuration in the store. */
 	readonly configKey: string;
 	readonly decodeConfig: (text: string) => Result<RouteConfig, string>;
-	/** Decodes a call of a backend server; `undefined` if there is no such call. */
+	/** Decodes a message of the backend server; yields `undefined` if there is no such method and path. */
 	readonly decodeServerMessage: AnnouncementContext['decode'];
 	readonly headerNames: WireHeaders;
 	readonly log: MeshLog;
 	readonly random: () => number;
-	/** Sets by how much the young generation of this process's heap grows. */
+	/** Sets the growth factor of the young generation of this process's heap. */
 	readonly applyGrowthFactor: (factor: number) => void;
 };
 
 /** @public */
 export type Sidecar = {
 	readonly start: () => Promise<void>;
-	/** Takes over settings that may change while it runs; yields the names of those that need a restart. */
+	/** Applies the settings that may change at run time; returns the names of changed settings that need a restart. */
 	readonly applySettings: (changed: SidecarSettings) => readonly string[];
-	/** Leaves without losing work, within the time that the settings give. */
+	/** Shuts the node down gracefully, within `shutdownMs` of the settings. */
 	readonly drain: () => Promise<void>;
 	readonly dispose: () => Promise<void>;
 };
 
-/** Milliseconds between two heartbeats: short enough that a dark VM is noticed within little more than a second, at some 60 datagrams a second in a mesh of 13. */
+/** Short enough to detect an unreachable VM within little more than a second, at about 60 datagrams a second in a mesh of 13 nodes. */
 const heartbeatPeriodMs = 400;
 
-/** Two heartbeats may be lost before a node counts as silent. */
+/** A node counts as silent after this time without a heartbeat. Two heartbeats in a row may be lost. */
 const silenceMs = 1050;
 
-/** How long a node may take to answer when it is asked for a report. Milliseconds: with the time until it is asked, a dark VM is noticed as soon as one whose heartbeats come every period. */
+/** Timeout of a probe. Including the delay before the first probe, probing detects an unreachable VM with rare heartbeats as soon as `silenceMs` detects one with frequent heartbeats. */
 const probeMs = 650;
 
-/** Nodes that are taken to share the slack of the retry allowance while a node has just started, until it knows of more: the smallest mesh of the users has 13. */
+/** Nodes that a node assumes to share the slack of the retry budget just after its start, unless it knows of more. The smallest mesh in use has 13 nodes. */
 const assumedNodeCount = 12;
 
-/** Connections to a backend server before a configuration says how many it accepts. */
+/** Limit of connections to a backend server for which no configuration sets one. */
 const defaultMaxConnections = 64;
 
 /**
  * Creates a sidecar node.
  *
- * @param initialSettings - Its settings at the start.
- * @param dependencies - The store, the platform's formats, and where events go.
+ * @param initialSettings - The settings at the start of the process.
+ * @param dependencies - The store, the platform's formats and the log.
  * @returns The node, not started yet.
  * @public
  */
@@ -113,9 +113,9 @@
 	const lag = createLoopLag();
 	const turns = createWorkTurns();
 	/**
-	 * Work on a caller's request begins once what arrived with it is heard; that on requests of new connections, a few a turn. A new connection may have waited in
-	 * the listening socket's queue for seconds while turns are short, and its caller have left, as at the last node of a failure domain whose
-	 * others have been killed.
+	 * Waits until the input that arrived together with a request has been read. Only a few requests on new connections start in one turn of the event loop.
+	 * Even while turns are short, a new connection may have waited in the accept queue for seconds and its caller may have left. This happens, for example,
+	 * at the last node of a failure domain whose other nodes were killed.
 	 */
 	const waitForPendingInput = async (isNewConnection: boolean): Promise<void> => {
 		await lag.catchUp(isNewConnection);
@@ -210,7 +210,7 @@
 		},
 	});
 
-	/** Whatever was sent before may hang on a connection that a cut has left half open. */
+	/** Replaces the connections to a node: a network failure may have left them half-open, and requests sent on them would hang. */
 	const renewConnections = (node: NodeId): void => {
 		const peer = link.table.get(node);
 		if (peer !== undefined) {
@@ -233,7 +233,7 @@
 		log.record(level, {kind: 'call-finished', call: call.id, ...omitId(call)});
 	};
 
-	/** A node that has just started knows few of those that share the slack, and what it used of it before it restarted it has forgotten. */
+	/** Returns how many nodes share the slack of the retry budget. Just after its start a node knows few of them and does not know how much slack it used before the restart. */
 	const countRetryBudgetNodes = (): number => Math.max(link.table.size + 1, readSteadyMs() - createdAt < settings.retries.windowMs ? assumedNodeCount : 1);
 
 	const entry = createEntryServer({
@@ -299,7 +299,7 @@
 		},
 	});
 
-	/** What was known of the store may be over: its timers stood still, and watches hang on connections that others have given up. */
+	/** Resyncs with the store after a suspension: timers did not run meanwhile, so leases may have expired, and watches may wait on connections that the store has closed. */
 	const unwatchResume = watchResume(suspendedMs => {
 		log.record('warn', {kind: 'node-suspended', forMs: Math.round(suspendedMs)});
 		sync.resyncWithStore();
@@ -323,7 +323,7 @@
 		}
 	};
 
-	/** A call whose answer has not left yet is in work: to go then would cut it. */
+	/** Counts requests in flight. A request whose response is not fully sent is among them: to exit now would truncate the response. */
 	const countInFlight = (): number => entry.countCalls() + gate.countRequests() + entry.countUnsent() + gateServer.countUnsent();
 
 	return {
@@ -371,7 +371,7 @@
 	};
 }
 
-/** Names this run: some 53 random bits, so that two runs of a node that share a name do not meet in practice. */
+/** Creates an id for this run of the node. It has about 53 random bits, so that two runs of a node practically never get the same id. */
 function createRunId(random: () => number): string {
 	return Math.floor(random() * Number.MAX_SAFE_INTEGER).toString(36);
 }
--- a/src/lib/sidecar/silence-watchers.test.ts
+++ b/src/lib/sidecar/silence-watchers.test.ts
@@ -3,7 +3,7 @@
 import {toNodeId} from '../common/ids.js';
 import {createSilenceWatchers} from './silence-watchers.js';
 
-test('only those who still wait for a silent node are told', () => {
+test('only the remaining watchers of a silent node are notified', () => {
 	const watchers = createSilenceWatchers();
 	const notified: string[] = [];
 	const watch = (name: string, node: string): (() => void) => watchers.watch(toNodeId(node), () => {
@@ -20,7 +20,7 @@
 	assert.deepEqual(notified, ['first', 'first', 'elsewhere']);
 });
 
-test('whoever listens is told when somebody begins to wait while nobody did', () => {
+test('the callback for the first watcher runs whenever a watcher is registered while there are none', () => {
 	const watchers = createSilenceWatchers();
 	let firstWatcherCount = 0;
 	watchers.listenForFirstWatcher(() => {
--- a/src/lib/sidecar/silence-watchers.ts
+++ b/src/lib/sidecar/silence-watchers.ts
@@ -1,5 +1,6 @@
 /**
- * Tells calls that wait for another node when that node falls silent.
+ * Registry of callbacks for calls that wait for another node. They run when that
+ * node becomes silent.
  *
  * @module
  */
@@ -8,26 +9,25 @@
 
 /** @internal */
 export type SilenceWatchers = {
-	/** Calls back each time that the node is found silent, ten times a second; yields a function that takes that back. */
+	/** Registers a callback, which runs at each check that finds the node silent, ten times a second. Returns a function that unregisters it. */
 	readonly watch: (node: NodeId, handleSilence: () => void) => () => void;
-	/** Calls back whenever somebody begins to wait while nobody did. */
+	/** Sets the callback that runs whenever a watcher is registered while there are none. */
 	readonly listenForFirstWatcher: (handleFirstWatcher: () => void) => void;
-	/** Tells those who wait for a node that is silent. */
+	/** Runs the callbacks of the silent nodes. */
 	readonly notify: (isSilent: (node: NodeId) => boolean) => void;
-	/** Nodes that somebody waits for, each with when the one that has waited longest began. Steady milliseconds. */
+	/** Returns the nodes with watchers, each with the time in steady milliseconds since which its oldest watcher waits. */
 	readonly listWatchedNodes: () => ReadonlyArray<readonly [node: NodeId, waitingSince: number]>;
-	/** How many wait. */
 	readonly countWatchers: () => number;
-	/** Forgets nodes that nobody waits for. */
+	/** Removes the entries of nodes without watchers. */
 	readonly removeUnwatchedNodes: () => void;
 };
 
 /**
- * @returns Watchers of no node yet.
+ * @returns An empty registry.
  * @internal
  */
 export function createSilenceWatchers(): SilenceWatchers {
-	/** Since when each waits: the first of a map is the one that has waited longest. */
+	/** Callbacks of each node with the time since which they wait. The first one of a map has waited longest. */
 	const watchersByNode = new Map<NodeId, Map<() => void, number>>();
 	let watcherCount = 0;
 	let handleFirstWatcher = (): void => undefined;
@@ -37,7 +37,7 @@
 		},
 		watch(node, handleSilence) {
 			const watchers = watchersByNode.get(node) ?? new Map<() => void, number>();
-			// A function of its own for each, so that one that watches twice counts twice.
+			// A new function for each registration, so that a callback that is registered twice counts twice.
 			const notifyWatcher = (): void => {
 				handleSilence();
 			};
--- a/src/lib/sidecar/status-servers.ts
+++ b/src/lib/sidecar/status-servers.ts
@@ -1,6 +1,6 @@
 /**
- * What a sidecar node tells those who look after it: whether it is ready, and
- * its metrics.
+ * HTTP servers for the operation of a sidecar node: its readiness and its
+ * metrics.
  *
  * @module
  */
@@ -10,8 +10,8 @@
 import {type Gauge, type MeshMetrics} from './mesh-metrics.js';
 
 /**
- * @param isReady - Whether the node takes new work.
- * @returns A server that answers 200 or 503 to everything, not listening yet.
+ * @param isReady - Returns whether the node accepts new requests.
+ * @returns A server that answers each request with 200 or 503, not listening yet.
  * @internal
  */
 export function createReadinessServer(isReady: () => boolean): Server {
@@ -33,8 +33,8 @@
 
 /**
  * @param metrics - Counters and histograms.
- * @param gauges - What else is told; the process's own memory and processor time are added.
- * @returns A server that answers with all of these as text, not listening yet.
+ * @param gauges - Further values. The memory and processor time of the process are added.
+ * @returns A server that answers each request with all metrics as text, not listening yet.
  * @internal
  */
 export function createMetricsServer(metrics: MeshMetrics, gauges: readonly Gauge[]): Server {
