--- a/src/lib/sidecar/announcement-server.ts
+++ b/src/lib/sidecar/announcement-server.ts
@@ -1,5 +1,6 @@
 /**
- * Takes what the backend server beside this node says of itself.
+ * HTTP server for the announcements and leaves of the backend server beside
+ * this node.
  *
  * @module
  */
@@ -14,21 +15,21 @@
 import {type RefusalCause} from '../timeline/mesh-log.js';
 import {type Refusals} from '../timeline/refusals.js';
 
-/** A call of a backend server. @internal */
-export type ServerCall =
+/** A message of the backend server to its node. @internal */
+export type ServerMessage =
 	| {readonly type: 'announce'; readonly announcement: ServerAnnouncement}
 	| {readonly type: 'leave'; readonly leave: ServerLeave};
 
 /** @internal */
 export type AnnouncementContext = {
-	/** Decodes a call; `undefined` if there is no such call. */
-	readonly decode: (method: string, target: string, body: string) => Result<ServerCall | undefined, AnnouncementRefusal>;
-	/** Takes a call in, or says why it is not. */
-	readonly handleCall: (call: ServerCall) => Result<undefined, AnnouncementRefusal>;
+	/** Decodes a message; yields `undefined` if there is no such method and path. */
+	readonly decode: (method: string, target: string, body: string) => Result<ServerMessage | undefined, AnnouncementRefusal>;
+	/** Applies a message, or returns why it is refused. */
+	readonly handleMessage: (message: ServerMessage) => Result<undefined, AnnouncementRefusal>;
 	readonly refusals: Refusals;
 };
 
-type CallOutcome =
+type MessageOutcome =
 	| {readonly type: 'taken'}
 	| {readonly type: 'no-such-call'}
 	| {readonly type: 'refused'; readonly cause: RefusalCause; readonly reason: string};
@@ -36,33 +37,33 @@
 /** An announcement is a few hundred bytes. */
 const maxBodyBytes = 16_384;
 
-function answer(response: ServerResponse, status: number, body: string): void {
+function sendResponse(response: ServerResponse, status: number, body: string): void {
 	response.writeHead(status, {'content-type': 'application/json', 'content-length': Buffer.byteLength(body)});
 	response.end(body);
 }
 
 /**
- * @param context - How calls are decoded and what is told of them.
+ * @param context - Decodes and applies messages, and records refusals.
  * @returns The server, not listening yet.
  * @internal
  */
 export function createAnnouncementServer(context: AnnouncementContext): Server {
-	const {decode, handleCall, refusals} = context;
+	const {decode, handleMessage, refusals} = context;
 
 	const refuse = (response: ServerResponse, place: string, cause: RefusalCause, reason: string): void => {
 		refusals.note({
 			kind: 'announcement-refused', cause, place, reason,
 		});
-		answer(response, 400, JSON.stringify({error: reason}));
+		sendResponse(response, 400, JSON.stringify({error: reason}));
 	};
 
-	const apply = (request: IncomingMessage, body: string): CallOutcome => {
+	const apply = (request: IncomingMessage, body: string): MessageOutcome => {
 		try {
 			const outcome = decode(request.method ?? 'GET', request.url ?? '/', body)
-				.andThen((call): Result<CallOutcome, AnnouncementRefusal> => call === undefined ? ok({type: 'no-such-call'}) : handleCall(call).map(() => ({type: 'taken'})));
+				.andThen((message): Result<MessageOutcome, AnnouncementRefusal> => message === undefined ? ok({type: 'no-such-call'}) : handleMessage(message).map(() => ({type: 'taken'})));
 			return outcome.match(taken => taken, ({cause, text}) => ({type: 'refused', cause, reason: text}));
 		} catch (error) {
-			// What nobody foresaw in a call must not end the node, and must not be acknowledged.
+			// An unexpected exception must neither terminate the node nor acknowledge the message.
 			return {type: 'refused', cause: 'unreadable', reason: (error as Error).message};
 		}
 	};
@@ -76,16 +77,16 @@
 			return;
 		}
 
-		// It takes effect before it is acknowledged: whoever reads the answer can rely on it.
+		// The message takes effect before the response is sent, so that the backend server can rely on the acknowledgement.
 		const outcome = apply(request, body);
 		switch (outcome.type) {
 			case 'taken': {
-				answer(response, 200, '{}');
+				sendResponse(response, 200, '{}');
 				break;
 			}
 
 			case 'no-such-call': {
-				answer(response, 404, JSON.stringify({error: 'no such call'}));
+				sendResponse(response, 404, JSON.stringify({error: 'no such call'}));
 				break;
 			}
 
--- a/src/lib/sidecar/config-answers.test.ts
+++ b/src/lib/sidecar/config-answer-cache.test.ts
@@ -4,9 +4,9 @@
 import {type RouteConfig} from '../route-config/route-config.js';
 import {createRouteIndex} from '../route-config/route-index.js';
 import {computeTextDelta} from '../route-config/text-delta.js';
-import {createConfigAnswers} from './config-answers.js';
+import {createConfigAnswerCache} from './config-answer-cache.js';
 
-type Holder = Parameters<typeof createConfigAnswers>[0];
+type Holder = Parameters<typeof createConfigAnswerCache>[0];
 
 const config: RouteConfig = {
 	version: 7, routes: [], services: [], unreadHosts: new Set(), warnings: [],
@@ -24,8 +24,8 @@
 	};
 }
 
-test('a node that lacks one step is sent it, any other one the whole', () => {
-	const answerConfig = createConfigAnswers(createHolder(7, '{b}'));
+test('a node that lacks one known step gets that step, any other node gets the whole configuration', () => {
+	const answerConfig = createConfigAnswerCache(createHolder(7, '{b}'));
 	const ask = (version: number) => {
 		const {head, body} = answerConfig(version);
 		return decodeConfigAnswer(head, body)?.type;
@@ -34,17 +34,17 @@
 	assert.deepEqual([6, 0, 3].map(version => ask(version)), ['steps', 'whole', 'whole']);
 });
 
-test('whatever versions are asked with, the whole is made once', () => {
-	const answerConfig = createConfigAnswers(createHolder(7, '{b}'));
+test('the whole configuration is encoded once for all requested versions', () => {
+	const answerConfig = createConfigAnswerCache(createHolder(7, '{b}'));
 	const first = answerConfig(0);
 	for (const version of [1, 2, -5, 1e300, 0.5, Number.MAX_SAFE_INTEGER]) {
 		assert.equal(answerConfig(version), first);
 	}
 });
 
-test('a new version is answered anew', () => {
+test('a new version invalidates the cache', () => {
 	let holder = createHolder(7, '{b}');
-	const answerConfig = createConfigAnswers({
+	const answerConfig = createConfigAnswerCache({
 		get: () => holder.get(), getVersion: () => holder.getVersion(), listSteps: version => holder.listSteps(version),
 	});
 	answerConfig(0);
--- /dev/null
+++ b/src/lib/sidecar/config-answer-cache.ts
@@ -0,0 +1,43 @@
+/**
+ * Caches the encoded answers to requests of other nodes for the configuration.
+ * Many nodes request the same version at once, so each answer is encoded once.
+ *
+ * @module
+ */
+import {encodeConfigAnswer, type EncodedConfigAnswer} from '../forwarding/config-messages.js';
+import {type ConfigHolder} from '../route-config/config-holder.js';
+
+/**
+ * @param holder - Holds the active configuration.
+ * @returns A function that returns the answer for a node that has a given version of the configuration.
+ * @internal
+ */
+export function createConfigAnswerCache(holder: Pick<ConfigHolder, 'get' | 'getVersion' | 'listSteps'>): (version: number) => EncodedConfigAnswer {
+	let cachedVersion = 0;
+	const stepAnswers = new Map<number, EncodedConfigAnswer>();
+	let wholeAnswer: EncodedConfigAnswer | undefined;
+
+	const encodeWholeAnswer = (): EncodedConfigAnswer => {
+		const active = holder.get();
+		return encodeConfigAnswer(active === undefined ? undefined : {type: 'whole', text: active.text});
+	};
+
+	return version => {
+		if (holder.getVersion() !== cachedVersion) {
+			cachedVersion = holder.getVersion();
+			stepAnswers.clear();
+			wholeAnswer = undefined;
+		}
+
+		const steps = holder.listSteps(version);
+		if (steps === undefined) {
+			// All versions without known steps share one answer, so that arbitrary version numbers do not fill the cache.
+			wholeAnswer ??= encodeWholeAnswer();
+			return wholeAnswer;
+		}
+
+		const stepAnswer = stepAnswers.get(version) ?? encodeConfigAnswer({type: 'steps', steps});
+		stepAnswers.set(version, stepAnswer);
+		return stepAnswer;
+	};
+}
--- a/src/lib/sidecar/stop-in-order.test.ts
+++ b/src/lib/sidecar/graceful-shutdown.test.ts
@@ -1,16 +1,16 @@
 import assert from 'node:assert/strict';
 import test, {mock} from 'node:test';
-import {stopInOrder} from './stop-in-order.js';
+import {runGracefulShutdown} from './graceful-shutdown.js';
 
 type Recorded = {
 	readonly events: readonly string[];
-	/** Lets so many milliseconds pass. */
-	readonly pass: (milliseconds: number) => Promise<void>;
+	/** Advances the clock and the timers. */
+	readonly advance: (milliseconds: number) => Promise<void>;
 	readonly isDone: () => boolean;
 };
 
-/** Stops a node that has requests in work until a given time. */
-function startStopping(workEndsAtMs: number, limitMs: number): Recorded {
+/** Shuts down a node that has requests in flight until a given time. */
+function startShutdown(inFlightUntilMs: number, limitMs: number): Recorded {
 	const events: string[] = [];
 	const startedAt = performance.now();
 	let passed = 0;
@@ -20,9 +20,9 @@
 	};
 
 	const run = async (): Promise<void> => {
-		await stopInOrder({
+		await runGracefulShutdown({
 			withdraw: note('withdraw'), closeGate: note('close gate'), closeAfterAnswers: note('close after answers'), stopListening: note('stop listening'),
-			countWork: () => performance.now() - startedAt < workEndsAtMs ? 1 : 0,
+			countInFlight: () => performance.now() - startedAt < inFlightUntilMs ? 1 : 0,
 		}, limitMs);
 		isDone = true;
 	};
@@ -31,11 +31,11 @@
 	return {
 		events,
 		isDone: () => isDone,
-		async pass(milliseconds) {
+		async advance(milliseconds) {
 			for (let step = 0; step < milliseconds; step += 100) {
 				passed += 100;
 				mock.timers.tick(100);
-				// Lets whatever waited for the timer go on.
+				// Lets the code that awaited the timer continue.
 				for (let turn = 0; turn < 10; turn++) {
 					await Promise.resolve();
 				}
@@ -44,39 +44,39 @@
 	};
 }
 
-/** The steady clock, which the runtime's mocked timers do not move. */
+/** Replaces the steady clock, which the mocked timers of Node.js do not advance. */
 function replaceSteadyClock(): void {
 	const startedAt = Date.now();
 	mock.method(performance, 'now', () => Date.now() - startedAt);
 }
 
-test('the gate is open while callers leave, and the node goes when nothing is in work', async context => {
+test('the gate stays open while callers leave, and the shutdown ends when no request is in flight', async context => {
 	mock.timers.enable({apis: ['setTimeout', 'Date']});
 	replaceSteadyClock();
 	context.after(() => {
 		mock.timers.reset();
 		mock.restoreAll();
 	});
-	const stopping = startStopping(3400, 6000);
-	await stopping.pass(1700);
-	assert.deepEqual(stopping.events, ['withdraw 0']);
-	await stopping.pass(1200);
-	assert.deepEqual(stopping.events.map(event => event.replace(/ \d+$/, '')), ['withdraw', 'close gate', 'close after answers', 'stop listening']);
-	assert.equal(stopping.isDone(), false);
-	await stopping.pass(800);
-	assert.equal(stopping.isDone(), true);
+	const shutdown = startShutdown(3400, 6000);
+	await shutdown.advance(1700);
+	assert.deepEqual(shutdown.events, ['withdraw 0']);
+	await shutdown.advance(1200);
+	assert.deepEqual(shutdown.events.map(event => event.replace(/ \d+$/, '')), ['withdraw', 'close gate', 'close after answers', 'stop listening']);
+	assert.equal(shutdown.isDone(), false);
+	await shutdown.advance(800);
+	assert.equal(shutdown.isDone(), true);
 });
 
-test('it goes before the time is over, whatever is in work', async context => {
+test('the shutdown ends before its deadline although requests are in flight', async context => {
 	mock.timers.enable({apis: ['setTimeout', 'Date']});
 	replaceSteadyClock();
 	context.after(() => {
 		mock.timers.reset();
 		mock.restoreAll();
 	});
-	const stopping = startStopping(60_000, 6000);
-	await stopping.pass(4900);
-	assert.equal(stopping.isDone(), false);
-	await stopping.pass(600);
-	assert.equal(stopping.isDone(), true);
+	const shutdown = startShutdown(60_000, 6000);
+	await shutdown.advance(4900);
+	assert.equal(shutdown.isDone(), false);
+	await shutdown.advance(600);
+	assert.equal(shutdown.isDone(), true);
 });
--- /dev/null
+++ b/src/lib/sidecar/graceful-shutdown.ts
@@ -0,0 +1,61 @@
+/**
+ * Shuts a node down in an order that loses no requests.
+ *
+ * @module
+ */
+import {readSteadyMs, waitFor} from '../common/clock.js';
+
+/** The steps of a shutdown. @internal */
+export type ShutdownSteps = {
+	/** Removes the node's entry from the store. */
+	readonly withdraw: () => void;
+	/** Stops accepting requests for the backend server and announces that to the other nodes. */
+	readonly closeGate: () => void;
+	/** Makes each further response close its connection. */
+	readonly closeAfterAnswers: () => void;
+	/** Stops accepting connections and closes idle ones. */
+	readonly stopListening: () => void;
+	/** Returns the number of requests in flight. */
+	readonly countInFlight: () => number;
+};
+
+/** How long the gate still accepts requests. The backend server keeps working, and the node stays until its callers have left anyway. A request accepted last still has the longest timeout of the callers before the node must exit. */
+const gateOpenMs = 1800;
+
+/** Responses close their connections after this time. By then the readiness check has told callers twice that the node is not ready. */
+const closeConnectionsAfterMs = 2300;
+
+/** The node accepts connections until this time, since callers may still connect. */
+const stopListeningAfterMs = 2700;
+
+/** The node stops waiting for requests in flight this long before its deadline. */
+const exitMarginMs = 900;
+
+const inFlightPollMs = 25;
+
+/**
+ * Shuts a node down. Its readiness check must already report that it is not ready.
+ *
+ * @param steps - The steps of the shutdown.
+ * @param limitMs - Time until the process must have exited.
+ * @returns How long the shutdown took, in milliseconds.
+ * @internal
+ */
+export async function runGracefulShutdown(steps: ShutdownSteps, limitMs: number): Promise<number> {
+	const startedAt = readSteadyMs();
+	const waitUntil = async (afterMs: number): Promise<void> => waitFor(Math.max(0, startedAt + afterMs - readSteadyMs()));
+	steps.withdraw();
+	await waitUntil(gateOpenMs);
+	steps.closeGate();
+	await waitUntil(closeConnectionsAfterMs);
+	steps.closeAfterAnswers();
+	await waitUntil(stopListeningAfterMs);
+	steps.stopListening();
+	while (steps.countInFlight() > 0 && readSteadyMs() - startedAt < limitMs - exitMarginMs) {
+		await waitFor(inFlightPollMs);
+	}
+
+	// The last responses are still on their way to the callers.
+	await waitFor(inFlightPollMs * 2);
+	return readSteadyMs() - startedAt;
+}
--- a/src/lib/sidecar/own-server-calls.ts
+++ b/src/lib/sidecar/local-server-messages.ts
@@ -1,5 +1,6 @@
 /**
- * Takes in what the backend server beside this node says of itself, and refuses what others say in its place.
+ * Checks and applies the messages of the backend server beside this node, and
+ * refuses messages of other senders in its name.
  *
  * @module
  */
@@ -12,20 +13,20 @@
 import {type ServerAnnouncement} from '../local-server/local-server.js';
 import {createStartTimeCheck} from '../local-server/start-time-check.js';
 import {type Peer} from '../peers/peer-table.js';
-import {type AnnouncementContext, type ServerCall} from './announcement-server.js';
+import {type AnnouncementContext, type ServerMessage} from './announcement-server.js';
 
 /** @internal */
-export type OwnServerContext = {
-	/** Decodes a call of a backend server; `undefined` if there is no such call. */
+export type LocalServerMessageContext = {
+	/** Decodes a message of the backend server; yields `undefined` if there is no such method and path. */
 	readonly decode: AnnouncementContext['decode'];
-	/** The service that the settings name. */
+	/** The service of this node's settings. */
 	readonly service: string;
 	readonly listPeers: () => Iterable<Peer>;
 	readonly gate: Pick<LocalGate, 'announce' | 'leave'>;
 };
 
 /** @internal */
-export type OwnServerCalls = Pick<AnnouncementContext, 'decode' | 'handleCall'>;
+export type LocalServerMessageHandler = Pick<AnnouncementContext, 'decode' | 'handleMessage'>;
 
 function * listLifetimes(peers: Iterable<Peer>): Generator<ServerLifetime> {
 	for (const {report: {server}} of peers) {
@@ -36,11 +37,11 @@
 }
 
 /**
- * @param context - What calls are checked by, and who is told of them.
- * @returns The calls that speak for the server beside this node.
+ * @param context - The decoder, the data for the checks, and the gate that messages are applied to.
+ * @returns The decoder and the handler of messages.
  * @internal
  */
-export function createOwnServerCalls({decode, service, listPeers, gate}: OwnServerContext): OwnServerCalls {
+export function createLocalServerMessageHandler({decode, service, listPeers, gate}: LocalServerMessageContext): LocalServerMessageHandler {
 	const startCheck = createStartTimeCheck(() => listLifetimes(listPeers()));
 
 	const check = (announcement: ServerAnnouncement): Result<ServerAnnouncement, AnnouncementRefusal> => checkService(announcement, service)
@@ -48,16 +49,16 @@
 
 	return {
 		decode: (method, target, body) => decode(method, target, body)
-			.andThen((call): Result<ServerCall | undefined, AnnouncementRefusal> => call?.type === 'announce' ? check(call.announcement).map(() => call) : ok(call)),
-		handleCall(call) {
-			switch (call.type) {
+			.andThen((message): Result<ServerMessage | undefined, AnnouncementRefusal> => message?.type === 'announce' ? check(message.announcement).map(() => message) : ok(message)),
+		handleMessage(message) {
+			switch (message.type) {
 				case 'announce': {
-					gate.announce(call.announcement);
+					gate.announce(message.announcement);
 					return ok(undefined);
 				}
 
 				case 'leave': {
-					return gate.leave(call.leave);
+					return gate.leave(message.leave);
 				}
 			}
 		},
--- a/src/lib/sidecar/mesh-metrics.ts
+++ b/src/lib/sidecar/mesh-metrics.ts
@@ -1,6 +1,6 @@
 /**
- * Counters and latency histograms of a sidecar node, in the text format of
- * Prometheus.
+ * Counters and latency histograms of a sidecar node, in the Prometheus text
+ * format.
  *
  * @module
  */
@@ -8,7 +8,7 @@
 import {type FinishedCall} from '../forwarding/entry-server.js';
 import {type MeshLog, type RefusalCause, type RefusalKind} from '../timeline/mesh-log.js';
 
-/** A value that is read when metrics are asked for. @internal */
+/** A value that is read when metrics are scraped. @internal */
 export type Gauge = {
 	readonly name: string;
 	readonly help: string;
@@ -18,18 +18,18 @@
 /** @internal */
 export type MeshMetrics = {
 	readonly recordCall: (call: FinishedCall) => void;
-	/** How late a timer fired, in milliseconds: the time for which the one thread was busy or stood still. */
-	readonly recordDelay: (milliseconds: number) => void;
-	/** Counts input that was refused; most of it has no line of its own in the log. */
+	/** Records how late a timer fired: the time for which the event loop was busy or the process was paused. */
+	readonly recordLoopDelay: (milliseconds: number) => void;
+	/** Counts refused input, most of which has no log line of its own. */
 	readonly countRefusal: (kind: RefusalKind, cause: RefusalCause) => void;
-	/** Counts every event of a log that passes through. */
+	/** Returns a log that counts each event and passes it on to a given log. */
 	readonly countEvents: (log: MeshLog) => MeshLog;
 	readonly format: (gauges: readonly Gauge[]) => string;
 };
 
-/** Latencies are kept up to this many milliseconds, at two digits: some ten kilobytes a histogram. */
-const highestMs = 60_000;
-const digits = 2;
+/** Longer latencies are recorded as this one. With two significant digits a histogram takes about ten kilobytes. */
+const maxLatencyMs = 60_000;
+const significantDigits = 2;
 
 const percentiles: readonly number[] = [50, 90, 99, 99.9];
 
@@ -39,10 +39,10 @@
 	readonly totalCount: number;
 };
 
-// The package is CommonJS without named exports: what an import yields depends on who loads it.
-const loadedHistogram = ('default' in Int32Histogram ? Int32Histogram.default : Int32Histogram) as unknown as () => unknown;
+// The package is CommonJS without named exports, so the shape of the import depends on the module loader.
+const histogramConstructor = ('default' in Int32Histogram ? Int32Histogram.default : Int32Histogram) as unknown as () => unknown;
 
-const createHistogram = (): Histogram => Reflect.construct(loadedHistogram, [1, highestMs, digits]) as Histogram;
+const createHistogram = (): Histogram => Reflect.construct(histogramConstructor, [1, maxLatencyMs, significantDigits]) as Histogram;
 
 const formatLabels = (labels: Readonly<Record<string, string | number>>): string =>
 	Object.entries(labels).map(([name, value]) => `${name}="${String(value).replaceAll(/["\\\n]/g, '_')}"`).join(',');
@@ -54,13 +54,13 @@
 	];
 }
 
-/** Counts by labels. Names of labels are joined to their values when metrics are asked for, not at each event, so that a call costs no text. */
+/** A counter with labels. Label names are added when metrics are scraped, so that a call formats no text. */
 type Counter = {
 	readonly add: (...values: ReadonlyArray<string | number>) => void;
 	readonly format: () => readonly string[];
 };
 
-/** Stands between the values of labels; no name holds it. */
+/** Separates label values in a key; it does not occur in any of them. */
 const labelSeparator = '\0';
 
 function createCounter(name: string, ...labels: readonly string[]): Counter {
@@ -72,13 +72,13 @@
 		},
 		format: () => [...counts].map(([key, count]) => {
 			const values = key.split(labelSeparator);
-			return `${name}{${formatLabels(Object.fromEntries(values.map((value, place) => [labels[place]!, value])))}} ${count}`;
+			return `${name}{${formatLabels(Object.fromEntries(values.map((value, index) => [labels[index]!, value])))}} ${count}`;
 		}),
 	};
 }
 
 /**
- * @returns Metrics of a node that has done nothing yet.
+ * @returns Metrics without any recorded calls or events.
  * @internal
  */
 export function createMeshMetrics(): MeshMetrics {
@@ -87,12 +87,12 @@
 	const events = createCounter('stonemoor_events_total', 'kind', 'reason');
 	const refusals = createCounter('stonemoor_refusals_total', 'kind', 'cause');
 	const latencies = new Map<string, Histogram>();
-	const delays = createHistogram();
+	const loopDelays = createHistogram();
 
-	const getLatency = (service: string): Histogram => {
-		const known = latencies.get(service);
-		if (known !== undefined) {
-			return known;
+	const getLatencyHistogram = (service: string): Histogram => {
+		const existing = latencies.get(service);
+		if (existing !== undefined) {
+			return existing;
 		}
 
 		const histogram = createHistogram();
@@ -108,10 +108,10 @@
 				attempts.add(service, outcome);
 			}
 
-			getLatency(service).recordValue(Math.min(highestMs, Math.max(1, call.tookMs)));
+			getLatencyHistogram(service).recordValue(Math.min(maxLatencyMs, Math.max(1, call.tookMs)));
 		},
-		recordDelay(milliseconds) {
-			delays.recordValue(Math.min(highestMs, Math.max(1, Math.round(milliseconds))));
+		recordLoopDelay(milliseconds) {
+			loopDelays.recordValue(Math.min(maxLatencyMs, Math.max(1, Math.round(milliseconds))));
 		},
 		countRefusal(kind, cause) {
 			refusals.add(kind, cause);
@@ -134,7 +134,7 @@
 				...events.format(),
 				...refusals.format(),
 				...[...latencies].flatMap(([service, histogram]) => formatSummary('stonemoor_call_milliseconds', {service}, histogram)),
-				...formatSummary('stonemoor_loop_delay_milliseconds', {}, delays),
+				...formatSummary('stonemoor_loop_delay_milliseconds', {}, loopDelays),
 				...gauges.flatMap(({name, help, read}) => [`# HELP ${name} ${help}`, `# TYPE ${name} gauge`, `${name} ${read()}`]),
 			];
 			return `${lines.join('\n')}\n`;
