--- a/bench/node-cost/simulated-peer.ts
+++ b/bench/node-cost/simulated-peer.ts
@@ -19,7 +19,7 @@
 import {computeRoundDelay} from '../../src/lib/peers/heartbeat-rounds.js';
 import {encodeReport, type PeerReport} from '../../src/lib/peers/peer-report.js';
 import {readNow, readSteadyMs} from '../../src/lib/common/clock.js';
-import {platformHeaders} from '../../platform/wire-headers.js';
+import {platformHeaders} from '../../platform/platform-headers.js';
 
 /** Where a simulated node stands. */
 export type SimulatedPeerOptions = {
--- a/bench/quarantine.ts
+++ b/bench/quarantine.ts
@@ -9,9 +9,9 @@
 import {setTimeout as sleep} from 'node:timers/promises';
 import {randomLcg, randomUniform} from 'd3-random';
 import {median} from 'simple-statistics';
-import {spoilServers} from '../platform/crashing-servers.js';
+import {createCrashingServers} from '../platform/crashing-servers.js';
 import {
-	createTestConfig, startTestMesh, type CallerAnswer, type TestMesh, type TestNode,
+	createTestConfig, startTestMesh, type CallerResponse, type TestMesh, type TestNode,
 } from '../platform/test-mesh.js';
 
 /** @internal */
@@ -76,7 +76,7 @@
 
 const pickNode = ({nodes}: TestMesh, random: () => number): TestNode => nodes[Math.floor(random() * nodes.length)]!;
 
-type Asked = {readonly at: number; readonly answer: CallerAnswer};
+type Asked = {readonly at: number; readonly answer: CallerResponse};
 
 /** Asks at random nodes until a time is over. */
 async function askEvery(mesh: TestMesh, rate: number, endsAt: number, random: () => number, chooseTarget: () => string): Promise<readonly Asked[]> {
@@ -103,7 +103,7 @@
 async function runCulprits(nodes: number, seconds: number, seed: number): Promise<Play> {
 	const plan = pickPlan(seed);
 	const mesh = await startTestMesh(listServices(nodes), createTestConfig(7, routes));
-	const {crashes, stop} = spoilServers(mesh, isFatal, plan.backAfterMs, server => {
+	const {crashes, stop} = createCrashingServers(mesh, isFatal, plan.backAfterMs, server => {
 		server.setWorkMs(plan.workMs);
 		server.plan(...Array.from({length: plannedRuns}, () => plan.random() < plan.failShare ? 'fail' as const : 'answer' as const));
 	});
--- a/bench/server-return.ts
+++ b/bench/server-return.ts
@@ -42,7 +42,7 @@
 		name: 'drain', end: async beside => beside.announce({state: 'draining'}), isMoved: false, clockStepMs: 0,
 	},
 	{
-		name: 'leave', end: async beside => beside.leave(JSON.stringify({born: beside.getBorn()})), isMoved: false, clockStepMs: 0,
+		name: 'leave', end: async beside => beside.leave(JSON.stringify({born: beside.getServerStartedAt()})), isMoved: false, clockStepMs: 0,
 	},
 	{
 		name: 'leave without a start', end: async beside => beside.leave(), isMoved: false, clockStepMs: 0,
@@ -99,7 +99,7 @@
 
 	await kind.end(beside);
 	await sleep(downMs);
-	await beside.restartServer({isMoved: kind.isMoved, clockStepMs: kind.clockStepMs});
+	await beside.restartServer({hasNewAddress: kind.isMoved, clockStepMs: kind.clockStepMs});
 	return measureWait(caller, beside, limitMs);
 }
 
--- a/scripts/faults.ts
+++ b/scripts/faults.ts
@@ -520,7 +520,7 @@
 	{
 		promise: 'sidecar: a heartbeat that names no start names no server',
 		file: 'platform/decode-announcement.js',
-		from: 'readInteger(fields.born, \'born\', startBounds)',
+		from: 'readInteger(fields.born, \'born\', startTimeBounds)',
 		to: 'Number(fields.born)',
 		tests: 'platform',
 	},
@@ -557,14 +557,14 @@
 		file: `${library}/peers/peer-link.js`,
 		from: 'if (report.node === settings.node) {',
 		to: 'if (false) {',
-		tests: 'platform/any-bytes.test.js',
+		tests: 'platform/malformed-input.test.js',
 	},
 	{
 		promise: 'sidecar: bytes: who asks again and again is answered a few times',
 		file: `${library}/peers/peer-link.js`,
 		from: '< minimumProbeIntervalMs) {',
 		to: '< 0) {',
-		tests: 'platform/any-bytes.test.js',
+		tests: 'platform/malformed-input.test.js',
 	},
 	{
 		promise: 'sidecar: bytes: an entry that names no address names nobody to use',
@@ -585,14 +585,14 @@
 		file: `${library}/sync/registration.js`,
 		from: 'found?.value !== gossip',
 		to: 'found === undefined',
-		tests: 'platform/any-bytes.test.js',
+		tests: 'platform/malformed-input.test.js',
 	},
 	{
 		promise: 'sidecar: bytes: an announcement that throws is refused',
 		file: `${library}/sidecar/announcement-server.js`,
 		from: 'return { type: \'refused\', cause: \'unreadable\', reason: error.message };',
 		to: 'throw error;',
-		tests: 'platform/any-bytes.test.js',
+		tests: 'platform/malformed-input.test.js',
 	},
 	{
 		promise: 'sidecar: bytes: a length without a body reaches no backend server',
@@ -697,7 +697,7 @@
 		file: `${library}/forwarding/entry-server.js`,
 		from: 'if (reason === \'timeout\') {',
 		to: 'if (false) {',
-		tests: 'platform/any-bytes.test.js',
+		tests: 'platform/malformed-input.test.js',
 	},
 	{
 		promise: 'sidecar: bytes: an answer that does not end is given up',
@@ -786,9 +786,9 @@
 	{
 		promise: 'eras: answers tell of a return from a copy',
 		file: 'platform/store-client.js',
-		from: 'eras.accept(era, sentAt)',
+		from: 'eraTracker.accept(era, sentAtChange)',
 		to: 'true',
-		tests: 'platform/store-drill.test.js',
+		tests: 'platform/store-restore.test.js',
 	},
 	{
 		promise: 'eras: a late answer of an era that is over does not count',
@@ -914,20 +914,20 @@
 		file: `${library}/forwarding/entry-server.js`,
 		from: 'await context.waitForNewerConfig();',
 		to: '',
-		tests: 'platform/newer-version-known.test.js',
+		tests: 'platform/outdated-config.test.js',
 	},
 	{
 		promise: 'behind: a node that knows that it is behind does not say 404',
 		file: `${library}/forwarding/entry-server.js`,
 		from: 'if (context.isConfigOutdated()) {',
 		to: 'if (false) {',
-		tests: 'platform/newer-version-known.test.js',
+		tests: 'platform/outdated-config.test.js',
 	},
 	{
 		promise: 'behind: a watcher that stands still asks the store',
 		file: `${library}/sidecar/config-sync.js`,
 		from: 'newer.getBehindMs(now) > ownReadAfterMs && now - resyncedAt >= leastAskMs',
 		to: 'false',
-		tests: 'platform/newer-version-known.test.js',
+		tests: 'platform/outdated-config.test.js',
 	},
 ];
--- a/soak/callers.ts
+++ b/soak/callers.ts
@@ -8,7 +8,7 @@
 import {setTimeout as sleep} from 'node:timers/promises';
 import {randomLcg} from 'd3-random';
 import {sendCall} from '../platform/test-mesh.js';
-import {platformHeaders} from '../platform/wire-headers.js';
+import {platformHeaders} from '../platform/platform-headers.js';
 import {type CallRecord} from './record.js';
 import {getPrefix, steadyRoutes, type SoakRoute} from './soak-config.js';
 
@@ -84,7 +84,7 @@
 		const leaveAfterMs = pick(leavesOneIn) === 0 ? 5 + pick(60) : timeLeftMs + afterTimeMs;
 		const sentAt = Date.now();
 		const answer = await sendCall(address, target, {
-			method, id, timeLeftMs, leaveAfterMs, agent, body: isSafe ? undefined : body,
+			method, id, timeLeftMs, disconnectAfterMs: leaveAfterMs, agent, body: isSafe ? undefined : body,
 		});
 		const endedAt = Date.now();
 		const getHeader = (name: string): string | undefined => answer.headers[name] as string | undefined;
--- a/soak/link-proxy.test.ts
+++ b/soak/link-proxy.test.ts
@@ -3,13 +3,13 @@
 import process from 'node:process';
 import {setTimeout as sleep} from 'node:timers/promises';
 import test, {type TestContext} from 'node:test';
-import {sendCall, type CallerAnswer} from '../platform/test-mesh.js';
+import {sendCall, type CallerResponse} from '../platform/test-mesh.js';
 import {startWireServer, type WireServer} from '../stand-ins/wire-server/wire-server.js';
 import {startLinkProxy, type LinkMode, type LinkProxy} from './link-proxy.js';
 
 const address = `127.79.${process.pid % 250}.1:7010`;
 
-type Link = {readonly server: WireServer; readonly proxy: LinkProxy; readonly call: () => Promise<CallerAnswer>};
+type Link = {readonly server: WireServer; readonly proxy: LinkProxy; readonly call: () => Promise<CallerResponse>};
 
 async function startLink(context: TestContext): Promise<Link> {
 	const server = await startWireServer('i-1');
@@ -18,7 +18,7 @@
 		await proxy.close();
 		await server.close();
 	});
-	return {server, proxy, call: async () => sendCall(address, '/logs/1', {leaveAfterMs: 5000})};
+	return {server, proxy, call: async () => sendCall(address, '/logs/1', {disconnectAfterMs: 5000})};
 }
 
 test('a sound link passes everything on; one that resets or turns away reaches nobody', async context => {
--- a/stand-ins/wire-server/server-calls.ts
+++ b/stand-ins/wire-server/server-calls.ts
@@ -24,7 +24,7 @@
 const acknowledgeMs = 1000;
 
 async function tell(announcements: string, call: string, id: string, body: string): Promise<boolean> {
-	const {status} = await sendCall(announcements, `/v1/rpc?call=${call}&of=${id}`, {method: 'POST', body, leaveAfterMs: acknowledgeMs});
+	const {status} = await sendCall(announcements, `/v1/rpc?call=${call}&of=${id}`, {method: 'POST', body, disconnectAfterMs: acknowledgeMs});
 	return status === 200;
 }
 
@@ -57,7 +57,7 @@
 
 /** Asks a node whether it is ready, as the platform does. */
 export async function askReadiness(readiness: string): Promise<boolean> {
-	const {status} = await sendCall(readiness, '/v1/ready', {leaveAfterMs: acknowledgeMs});
+	const {status} = await sendCall(readiness, '/v1/ready', {disconnectAfterMs: acknowledgeMs});
 	return status === 200;
 }
 
