--- a/src/lib/sync/config-follower.ts
+++ b/src/lib/sync/config-follower.ts
@@ -121,7 +121,7 @@
 		const isOlder = decoded.value.version < holder.getVersion();
 		if (isOlder) {
 			log.record('warn', {
-				kind: 'configuration-refused', version: decoded.value.version, from: source, reason: `version ${holder.getVersion()} is in force, and no node goes back`,
+				kind: 'configuration-refused', version: decoded.value.version, from: source, reason: `version ${holder.getVersion()} is in force; older versions are rejected`,
 			});
 			return;
 		}
