--- a/apps/apps.test.ts
+++ b/apps/apps.test.ts
@@ -48,7 +48,7 @@
 }
 
 /** Far longer than a start takes, also beside load. Milliseconds. */
-const longestWaitMs = 30_000;
+const maximumWaitMs = 30_000;
 
 async function isListening(address: string): Promise<boolean> {
 	const {host, port} = parseAddress(toAddress(address));
@@ -90,7 +90,7 @@
 test('a store that does not answer is no reason to exit, and SIGTERM ends the daemon with code 0', async () => {
 	await withFile(createSettingsText(), async file => {
 		const running = startProcess('node', nodeProgram, ['--settings', file]);
-		assert.equal(await waitUntil(async () => isListening(createListenAddresses(ownHost).operators), longestWaitMs), true, running.getOutput());
+		assert.equal(await waitUntil(async () => isListening(createListenAddresses(ownHost).operators), maximumWaitMs), true, running.getOutput());
 		assert.equal(running.child.exitCode, null);
 		assert.match(running.getOutput(), /node-started/);
 		running.child.kill('SIGTERM');
--- a/apps/cli/commands/inspect.ts
+++ b/apps/cli/commands/inspect.ts
@@ -7,14 +7,14 @@
 import {request as sendRequest} from 'undici';
 import {stringify} from 'yaml';
 import {
-	findMissing,
-	type ConfigurationAnswer, type ExplainAnswer, type FleetAnswer, type Item, type NodeStatusAnswer, type ServerAnswer,
+	findConvergenceProblems,
+	type ConfigurationResponse, type ExplainResponse, type FleetResponse, type Item, type NodeStatusResponse, type ServerStatus,
 } from '../../../src/index.js';
 import {CommandError, exitCodes} from '../exit-codes.js';
 import {formatTable} from '../format-table.js';
 import {createOperatorClient, printResult, type CommonOptions} from '../operator-client.js';
 
-function formatDocument({items}: ConfigurationAnswer): string {
+function formatDocument({items}: ConfigurationResponse): string {
 	const listKind = (kind: Item['kind']): readonly unknown[] => items
 		.filter(({item}) => item.kind === kind)
 		.map(({item: {kind: _, ...fields}}) => fields);
@@ -24,11 +24,11 @@
 /** Prints the configuration in force as a document that can be submitted. */
 export async function runGet(options: CommonOptions): Promise<void> {
 	const client = await createOperatorClient(options);
-	const configuration = await client.get<ConfigurationAnswer>('/v1/configuration');
+	const configuration = await client.get<ConfigurationResponse>('/v1/configuration');
 	printResult(options, configuration, () => `# version ${configuration.version}, digest ${configuration.digest}\n${formatDocument(configuration)}`);
 }
 
-function formatFleet(fleet: FleetAnswer, status: NodeStatusAnswer): string {
+function formatFleet(fleet: FleetResponse, status: NodeStatusResponse): string {
 	const rows = fleet.domains.map(({failureDomain, expected, summary}) => [
 		failureDomain,
 		summary === undefined ? `?/${expected}` : `${summary.nodes}/${expected}`,
@@ -36,7 +36,7 @@
 		summary === undefined ? '?' : String(summary.highestVersion),
 	]);
 	const newest = Math.max(status.version, ...fleet.domains.map(({summary}) => summary?.highestVersion ?? 0));
-	const missing = findMissing(fleet, newest);
+	const missing = findConvergenceProblems(fleet, newest);
 	const relay = status.relay === status.node ? 'this node is the relay' : `its relay is ${status.relay}`;
 	return [
 		`node ${status.node} in ${status.failureDomain}: version ${status.version}, ${status.isReady ? 'ready' : 'not ready'}${status.isDraining ? ', draining' : ''}, ${relay}`,
@@ -48,11 +48,11 @@
 /** Shows versions and convergence over the fleet. */
 export async function runStatus(options: CommonOptions): Promise<void> {
 	const client = await createOperatorClient(options);
-	const [status, fleet] = await Promise.all([client.get<NodeStatusAnswer>('/v1/status'), client.get<FleetAnswer>('/v1/fleet')]);
+	const [status, fleet] = await Promise.all([client.get<NodeStatusResponse>('/v1/status'), client.get<FleetResponse>('/v1/fleet')]);
 	printResult(options, {status, fleet}, () => formatFleet(fleet, status));
 }
 
-function describeServer({server, isEjected, nodeStatus}: ServerAnswer): string {
+function describeServer({server, isEjected, nodeStatus}: ServerStatus): string {
 	if (server.isDraining) {
 		return 'draining';
 	}
@@ -67,7 +67,7 @@
 /** Lists the backend servers that announced themselves. */
 export async function runServers(options: CommonOptions): Promise<void> {
 	const client = await createOperatorClient(options);
-	const servers = await client.get<readonly ServerAnswer[]>('/v1/servers');
+	const servers = await client.get<readonly ServerStatus[]>('/v1/servers');
 	printResult(options, servers, () => formatTable(
 		['service', 'server', 'node', 'failure domain', 'slots', 'state'],
 		servers.map(entry => [entry.server.service, entry.server.id, entry.node, entry.failureDomain, String(entry.server.slots), describeServer(entry)]),
@@ -123,7 +123,7 @@
 	const reply = await client.post('/v1/explain', {
 		method: options.method, host: options.host ?? url.host, path: url.pathname, headers,
 	});
-	const answer = reply.body as ExplainAnswer;
+	const answer = reply.body as ExplainResponse;
 	return [
 		`version   ${answer.version}`,
 		`route     ${answer.route}`,
--- a/apps/cli/commands/submit.ts
+++ b/apps/cli/commands/submit.ts
@@ -7,8 +7,8 @@
 import process from 'node:process';
 import {setTimeout as sleep} from 'node:timers/promises';
 import {
-	findMissing, findMissingReferences, formatItemKey, formatProblem,
-	type ConfigurationAnswer, type FleetAnswer, type ItemChange, type SubmissionOutcome,
+	findConvergenceProblems, findMissingReferences, formatItemKey, formatProblem,
+	type ConfigurationResponse, type FleetResponse, type ItemChange, type SubmissionOutcome,
 } from '../../../src/index.js';
 import {findChanges, formatChanges, readDocument} from '../document-changes.js';
 import {CommandError, exitCodes} from '../exit-codes.js';
@@ -26,7 +26,7 @@
 	readonly timeout: number;
 };
 
-const progressMs = 200;
+const convergencePollMs = 200;
 
 export type CheckOptions = Pick<CommonOptions, 'json'> & {
 	readonly file: string;
@@ -54,12 +54,12 @@
 export async function runDiff(options: CommonOptions & {readonly file: string; readonly replace: boolean}): Promise<void> {
 	const items = await readDocument(options.file);
 	const client = await createOperatorClient(options);
-	const configuration = await client.get<ConfigurationAnswer>('/v1/configuration');
+	const configuration = await client.get<ConfigurationResponse>('/v1/configuration');
 	const changes = findChanges(configuration, items, options.replace);
 	printResult(options, changes, () => changes.length === 0 ? `no change to version ${configuration.version}` : formatChanges(configuration, changes));
 }
 
-function findBases(configuration: ConfigurationAnswer, changes: readonly ItemChange[]): Readonly<Record<string, number>> {
+function listBaseRevisions(configuration: ConfigurationResponse, changes: readonly ItemChange[]): Readonly<Record<string, number>> {
 	const revisions = new Map(configuration.items.map(({item, revision}) => [formatItemKey(item), revision]));
 	return Object.fromEntries(changes.map(change => {
 		const key = change.type === 'put' ? formatItemKey(change.item) : change.key;
@@ -100,7 +100,7 @@
 	}
 }
 
-const outcomeCodes: Readonly<Record<SubmissionOutcome['type'], number>> = {
+const outcomeExitCodes: Readonly<Record<SubmissionOutcome['type'], number>> = {
 	accepted: exitCodes.done,
 	unchanged: exitCodes.done,
 	invalid: exitCodes.refused,
@@ -110,12 +110,12 @@
 	unknown: exitCodes.unknown,
 };
 
-async function waitEverywhere(client: OperatorClient, version: number, timeoutMs: number): Promise<void> {
-	const due = Date.now() + timeoutMs;
+async function waitForConvergence(client: OperatorClient, version: number, timeoutMs: number): Promise<void> {
+	const deadline = Date.now() + timeoutMs;
 	let shown = '';
 	while (true) {
-		const fleet = await client.get<FleetAnswer>('/v1/fleet');
-		const missing = findMissing(fleet, version);
+		const fleet = await client.get<FleetResponse>('/v1/fleet');
+		const missing = findConvergenceProblems(fleet, version);
 		if (missing.length === 0) {
 			const nodes = fleet.domains.reduce((total, domain) => total + domain.expected, 0);
 			process.stderr.write(`version ${version} is in force on all ${nodes} nodes\n`);
@@ -128,11 +128,11 @@
 			shown = text;
 		}
 
-		if (Date.now() >= due) {
-			throw new CommandError(`version ${version} is accepted but not yet in force everywhere:\n${text}`, exitCodes.notEverywhere);
+		if (Date.now() >= deadline) {
+			throw new CommandError(`version ${version} is accepted but not yet in force everywhere:\n${text}`, exitCodes.notConverged);
 		}
 
-		await sleep(progressMs);
+		await sleep(convergencePollMs);
 	}
 }
 
@@ -140,7 +140,7 @@
 export async function runSubmit(options: SubmitOptions): Promise<void> {
 	const items = await readDocument(options.file);
 	const client = await createOperatorClient(options);
-	const configuration = await client.get<ConfigurationAnswer>('/v1/configuration');
+	const configuration = await client.get<ConfigurationResponse>('/v1/configuration');
 	if (options.base !== undefined && options.base !== configuration.version) {
 		throw new CommandError(`conflict: the version in force is ${configuration.version}, not ${options.base}; look with "stonemoor diff" and submit again`, exitCodes.refused);
 	}
@@ -155,14 +155,14 @@
 	// An id that is used again has to reach the mesh even when the document has been carried out by now.
 	const sent = changes.length === 0 ? items.map((item): ItemChange => ({type: 'put', item})) : changes;
 	const submission = {
-		id, seenVersion: configuration.version, changes: sent, bases: findBases(configuration, sent),
+		id, seenVersion: configuration.version, changes: sent, bases: listBaseRevisions(configuration, sent),
 	};
 	const reply = await client.post(`/v1/submissions${options.dryRun ? '?dry-run=true' : ''}`, submission);
 	const outcome = reply.body as SubmissionOutcome;
 	printResult(options, {...outcome, submission: id}, () => `${options.dryRun ? 'dry run: ' : ''}${formatOutcome(outcome, id)}`);
-	process.exitCode = outcomeCodes[outcome.type];
+	process.exitCode = outcomeExitCodes[outcome.type];
 	if (options.wait && !options.dryRun && (outcome.type === 'accepted' || outcome.type === 'unchanged')) {
-		await waitEverywhere(client, outcome.version, options.timeout * 1000);
+		await waitForConvergence(client, outcome.version, options.timeout * 1000);
 	}
 }
 
--- a/apps/cli/commands/timeline.ts
+++ b/apps/cli/commands/timeline.ts
@@ -6,7 +6,7 @@
 import process from 'node:process';
 import {setTimeout as sleep} from 'node:timers/promises';
 import {
-	formatEvent, sortEvents, type NodeAnswer, type TimelineEvent,
+	formatEvent, sortEvents, type OperatorEndpoint, type TimelineEvent,
 } from '../../../src/index.js';
 import {createOperatorClient, type CommonOptions} from '../operator-client.js';
 
@@ -17,7 +17,7 @@
 	readonly follow: boolean;
 };
 
-const followMs = 500;
+const followPollMs = 500;
 
 function formatQuery(options: TimelineOptions, after: number): string {
 	const query = new URLSearchParams({after: String(after)});
@@ -30,9 +30,9 @@
 	return query.toString();
 }
 
-type Fetched = {readonly node: string; readonly events: readonly TimelineEvent[] | undefined};
+type NodeEvents = {readonly node: string; readonly events: readonly TimelineEvent[] | undefined};
 
-async function fetchEvents(node: NodeAnswer, query: string): Promise<Fetched> {
+async function fetchEvents(node: OperatorEndpoint, query: string): Promise<NodeEvents> {
 	try {
 		const client = await createOperatorClient({node: node.operatorAddress, settings: undefined});
 		return {node: node.node, events: await client.get<readonly TimelineEvent[]>(`/v1/timeline?${query}`)};
@@ -50,10 +50,10 @@
 /** Merges and prints the time lines of all nodes. */
 export async function runTimeline(options: TimelineOptions): Promise<void> {
 	const client = await createOperatorClient(options);
-	const seen = new Map<string, number>();
+	const lastTimes = new Map<string, number>();
 	do {
-		const nodes = await client.get<readonly NodeAnswer[]>('/v1/nodes');
-		const fetched = await Promise.all(nodes.map(async node => fetchEvents(node, formatQuery(options, seen.get(node.node) ?? 0))));
+		const nodes = await client.get<readonly OperatorEndpoint[]>('/v1/nodes');
+		const fetched = await Promise.all(nodes.map(async node => fetchEvents(node, formatQuery(options, lastTimes.get(node.node) ?? 0))));
 		for (const {node, events} of fetched) {
 			if (events === undefined) {
 				if (!options.follow) {
@@ -63,12 +63,12 @@
 				continue;
 			}
 
-			seen.set(node, Math.max(seen.get(node) ?? 0, ...events.map(event => event.time)));
+			lastTimes.set(node, Math.max(lastTimes.get(node) ?? 0, ...events.map(event => event.time)));
 		}
 
 		printEvents(options, fetched.flatMap(({events}) => events ?? []));
 		if (options.follow) {
-			await sleep(followMs);
+			await sleep(followPollMs);
 		}
 	} while (options.follow);
 }
--- a/apps/cli/document-changes.ts
+++ b/apps/cli/document-changes.ts
@@ -6,7 +6,7 @@
 import {isDeepStrictEqual} from 'node:util';
 import {
 	findItemProblems, formatItemKey, formatProblem, parseConfigurationDocument,
-	type ConfigurationAnswer, type Item, type ItemChange,
+	type ConfigurationResponse, type Item, type ItemChange,
 } from '../../src/index.js';
 import {CommandError, exitCodes} from './exit-codes.js';
 import {readText} from './operator-client.js';
@@ -38,7 +38,7 @@
  * @param replacesAll - Whether items that the document lacks are to be removed.
  * @returns The changes from one to the other.
  */
-export function findChanges(configuration: ConfigurationAnswer, items: readonly Item[], replacesAll: boolean): readonly ItemChange[] {
+export function findChanges(configuration: ConfigurationResponse, items: readonly Item[], replacesAll: boolean): readonly ItemChange[] {
 	const current = new Map(configuration.items.map(({item}) => [formatItemKey(item), item]));
 	const wanted = new Set(items.map(item => formatItemKey(item)));
 	const puts = items
@@ -53,7 +53,7 @@
  * @param changes - Changes to it.
  * @returns One line for each change.
  */
-export function formatChanges(configuration: ConfigurationAnswer, changes: readonly ItemChange[]): string {
+export function formatChanges(configuration: ConfigurationResponse, changes: readonly ItemChange[]): string {
 	const known = new Set(configuration.items.map(({item}) => formatItemKey(item)));
 	return changes.map(change => {
 		if (change.type === 'remove') {
--- a/apps/cli/exit-codes.ts
+++ b/apps/cli/exit-codes.ts
@@ -14,7 +14,7 @@
 	/** It is not known whether the submission took effect: ask with its id. */
 	unknown: 4,
 	/** Accepted, but not in force everywhere in the time given. */
-	notEverywhere: 5,
+	notConverged: 5,
 } as const;
 
 /** An error that ends the command with a message and a code. */
--- a/apps/cli/operator-client.ts
+++ b/apps/cli/operator-client.ts
@@ -16,15 +16,15 @@
 	readonly json: boolean;
 };
 
-export type OperatorReply = {readonly status: number; readonly body: unknown};
+export type OperatorResponse = {readonly status: number; readonly body: unknown};
 
 export type OperatorClient = {
 	readonly address: string;
 	readonly get: <T>(path: string) => Promise<T>;
-	readonly post: (path: string, body: unknown) => Promise<OperatorReply>;
+	readonly post: (path: string, body: unknown) => Promise<OperatorResponse>;
 };
 
-const timeoutMs = 30_000;
+const responseTimeoutMs = 30_000;
 
 async function findAddress({node, settings}: Pick<CommonOptions, 'node' | 'settings'>): Promise<string> {
 	if (node !== undefined) {
@@ -56,11 +56,11 @@
 export async function createOperatorClient(options: Pick<CommonOptions, 'node' | 'settings'>): Promise<OperatorClient> {
 	const address = await findAddress(options);
 
-	const send = async (method: 'GET' | 'POST', path: string, body?: unknown): Promise<OperatorReply> => {
+	const send = async (method: 'GET' | 'POST', path: string, body?: unknown): Promise<OperatorResponse> => {
 		try {
 			const reply = await sendRequest(`http://${address}${path}`, {
 				method,
-				headersTimeout: timeoutMs,
+				headersTimeout: responseTimeoutMs,
 				...body === undefined ? {} : {body: JSON.stringify(body), headers: {'content-type': 'application/json'}},
 			});
 			return {status: reply.statusCode, body: await reply.body.json()};
--- a/apps/cli/read-log-files.ts
+++ b/apps/cli/read-log-files.ts
@@ -8,10 +8,10 @@
 import {CommandError, exitCodes} from './exit-codes.js';
 
 /** Characters of a line that are shown. */
-const shownLength = 60;
+const maximumShownLength = 60;
 
 /** The file that stands for the standard input. */
-const standardInput = 0;
+const standardInputFd = 0;
 
 function readLines(file: string | number): readonly LogLine[] {
 	let text: string;
@@ -24,8 +24,8 @@
 	const texts = text.split('\n').filter(line => line.trim() !== '');
 	const lines = texts.flatMap(line => parseLogLine(line) ?? []);
 	if (lines.length === 0 && texts[0] !== undefined) {
-		const name = file === standardInput ? 'the standard input' : file;
-		const shown = texts[0].slice(0, shownLength);
+		const name = file === standardInputFd ? 'the standard input' : file;
+		const shown = texts[0].slice(0, maximumShownLength);
 		throw new CommandError(`${name}: holds no line of a node's log; the first is "${shown}"; give what nodes write to their standard output`, exitCodes.usage);
 	}
 
@@ -38,5 +38,5 @@
  * @throws CommandError that names a file which cannot be read.
  */
 export function readLogFiles(files: readonly string[]): readonly LogLine[] {
-	return (files.length === 0 ? [standardInput] : files).flatMap(file => readLines(file));
+	return (files.length === 0 ? [standardInputFd] : files).flatMap(file => readLines(file));
 }
--- a/apps/node/main.ts
+++ b/apps/node/main.ts
@@ -15,7 +15,7 @@
 } from '../../src/index.js';
 
 /** Exit codes, as in the operators' guide. */
-const exitCodes = {badSettings: 2, cannotListen: 3, cutCalls: 4} as const;
+const exitCodes = {badSettings: 2, cannotListen: 3, unfinishedCalls: 4} as const;
 
 async function readSettings(file: string): Promise<Settings | undefined> {
 	let text: string;
@@ -35,12 +35,12 @@
 	);
 }
 
-const quietKinds: ReadonlySet<TimelineEvent['kind']> = new Set(['call-finished', 'attempt-failed']);
+const debugKinds: ReadonlySet<TimelineEvent['kind']> = new Set(['call-finished', 'attempt-failed']);
 
 function createEventLogger(logger: bunyan): (event: TimelineEvent) => void {
 	return event => {
 		const {kind, ...details} = event;
-		if (quietKinds.has(kind)) {
+		if (debugKinds.has(kind)) {
 			logger.debug(details, kind);
 		} else {
 			logger.info(details, kind);
@@ -52,7 +52,7 @@
 	const isDone = await node.drain();
 	if (!isDone) {
 		logger.warn('some calls had not ended when the time to drain was over');
-		process.exitCode = exitCodes.cutCalls;
+		process.exitCode = exitCodes.unfinishedCalls;
 	}
 }
 
@@ -61,7 +61,7 @@
 	const handleSignal = async (): Promise<void> => {
 		if (isStopping) {
 			logger.warn('second signal: stopping at once');
-			process.exit(exitCodes.cutCalls);
+			process.exit(exitCodes.unfinishedCalls);
 		}
 
 		isStopping = true;
--- a/apps/sidecar/main.test.ts
+++ b/apps/sidecar/main.test.ts
@@ -9,7 +9,7 @@
 import {waitUntil} from '../../stand-ins/wait-until.js';
 
 /** Far longer than anything takes here, also beside load. Milliseconds. */
-const longestWaitMs = 20_000;
+const maximumWaitMs = 20_000;
 
 type Daemon = {
 	readonly running: RunningProcess;
@@ -42,7 +42,7 @@
 		rmSync(folder, {recursive: true});
 	});
 	const expectLine = async (pattern: RegExp): Promise<void> => {
-		assert.ok(await waitUntil(() => pattern.test(running.getOutput()), longestWaitMs), `no line ${pattern.source} in:\n${running.getOutput()}`);
+		assert.ok(await waitUntil(() => pattern.test(running.getOutput()), maximumWaitMs), `no line ${pattern.source} in:\n${running.getOutput()}`);
 	};
 
 	await expectLine(/node-started/);
--- a/apps/sidecar/main.ts
+++ b/apps/sidecar/main.ts
@@ -9,18 +9,18 @@
 import process from 'node:process';
 import {err, type Result} from 'neverthrow';
 import {createPlatform} from '../../platform/index.js';
-import {applyGrowthFactor} from '../../src/lib/common/young-generation.js';
+import {applyGrowthFactor} from '../../src/lib/common/young-generation-tuner.js';
 import {createSidecar, type Sidecar} from '../../src/lib/sidecar/sidecar.js';
 import {parseSidecarSettings, type SidecarSettings} from '../../src/lib/sidecar/sidecar-settings.js';
 import {createDescriptorSink, createLineLog, type LineLog} from '../../src/lib/timeline/line-log.js';
 
-const exitCodes = {badSettings: 2, cannotListen: 3, fault: 5} as const;
+const exitCodes = {badSettings: 2, cannotListen: 3, uncaughtException: 5} as const;
 
 /** Lines that only people read. */
 const commentLines = /^#.*$/gm;
 
 /** Milliseconds that a fault of the program may take to be written. */
-const lastWordsMs = 200;
+const faultLogTimeoutMs = 200;
 
 function readSettings(file: string): Result<SidecarSettings, string> {
 	let text: string;
@@ -39,15 +39,15 @@
 }
 
 /** Milliseconds between two looks at the settings file, which may change without a signal. */
-const settingsLookMs = 2000;
+const settingsPollMs = 2000;
 
 /** Takes over a changed settings file. A bad one changes nothing and is named. */
 function applySettingsFile(sidecar: Sidecar, log: LineLog, file: string): void {
 	readSettings(file).match(
 		settings => {
-			const fixed = sidecar.applySettings(settings);
+			const restartOnly = sidecar.applySettings(settings);
 			log.record('info', {
-				kind: 'settings-reloaded', outcome: 'in force', ...fixed.length > 0 ? {reason: `in force after a restart only: ${fixed.join(', ')}`} : {},
+				kind: 'settings-reloaded', outcome: 'in force', ...restartOnly.length > 0 ? {reason: `in force after a restart only: ${restartOnly.join(', ')}`} : {},
 			});
 		},
 		problem => {
@@ -56,23 +56,23 @@
 	);
 }
 
-function readChangeTime(file: string): number {
+function readModifiedMs(file: string): number {
 	return statSync(file, {throwIfNoEntry: false})?.mtimeMs ?? 0;
 }
 
 function watchSettings(sidecar: Sidecar, log: LineLog, file: string): void {
-	let changedAt = readChangeTime(file);
-	const applyChange = (): void => {
-		changedAt = readChangeTime(file);
+	let modifiedMs = readModifiedMs(file);
+	const reloadSettings = (): void => {
+		modifiedMs = readModifiedMs(file);
 		applySettingsFile(sidecar, log, file);
 	};
 
-	process.on('SIGHUP', applyChange);
+	process.on('SIGHUP', reloadSettings);
 	const timer = setInterval(() => {
-		if (readChangeTime(file) !== changedAt) {
-			applyChange();
+		if (readModifiedMs(file) !== modifiedMs) {
+			reloadSettings();
 		}
-	}, settingsLookMs);
+	}, settingsPollMs);
 	timer.unref();
 }
 
@@ -110,8 +110,8 @@
 	process.on('uncaughtException', error => {
 		log.record('error', {kind: 'node-failed', reason: error.stack ?? error.message});
 		setTimeout(() => {
-			process.exit(exitCodes.fault);
-		}, lastWordsMs);
+			process.exit(exitCodes.uncaughtException);
+		}, faultLogTimeoutMs);
 	});
 	const platform = createPlatform(settings.value.storeAddress);
 	const sidecar = createSidecar(settings.value, {
--- a/demo/main.ts
+++ b/demo/main.ts
@@ -9,7 +9,7 @@
 import process from 'node:process';
 import {request as sendRequest} from 'undici';
 import {parse, stringify} from 'yaml';
-import {type NodeStatusAnswer} from '../src/index.js';
+import {type NodeStatusResponse} from '../src/index.js';
 import {settle} from '../src/lib/common/settle.js';
 import {type Ledger} from '../stand-ins/backend-server/backend-server.js';
 import {type StoreCalls} from '../stand-ins/store/memory-store.js';
@@ -86,7 +86,7 @@
 }
 
 async function isNodeReady(node: MeshNode): Promise<boolean> {
-	const status = await fetchJson<NodeStatusAnswer>(`http://${node.operators}/v1/status`);
+	const status = await fetchJson<NodeStatusResponse>(`http://${node.operators}/v1/status`);
 	return status.isReady;
 }
 
@@ -277,7 +277,7 @@
 
 	await callers.stop();
 	stopCallers = undefined;
-	const statuses = await Promise.all(live.map(async node => fetchJson<NodeStatusAnswer>(`http://${node.operators}/v1/status`)));
+	const statuses = await Promise.all(live.map(async node => fetchJson<NodeStatusResponse>(`http://${node.operators}/v1/status`)));
 	const seconds = (Date.now() - startedAt) / 1000;
 	const bytes = statuses.reduce((total, status) => total + status.controlBytes.sent + status.controlBytes.received, 0) / statuses.length;
 	printTable({
--- a/scenarios/processes.test.ts
+++ b/scenarios/processes.test.ts
@@ -12,11 +12,11 @@
 	fetchJson, prepareMesh, startNode, startStore, type Mesh, type MeshNode,
 } from '../demo/mesh.js';
 import {startProcess, type RunningProcess} from '../demo/processes.js';
-import {type NodeStatusAnswer, type TimelineEvent} from '../src/index.js';
+import {type NodeStatusResponse, type TimelineEvent} from '../src/index.js';
 import {waitUntil} from '../stand-ins/wait-until.js';
 
-async function fetchStatus(node: MeshNode): Promise<NodeStatusAnswer> {
-	return fetchJson<NodeStatusAnswer>(`http://${node.operators}/v1/status`);
+async function fetchStatus(node: MeshNode): Promise<NodeStatusResponse> {
+	return fetchJson<NodeStatusResponse>(`http://${node.operators}/v1/status`);
 }
 
 async function expectVersion(nodes: readonly MeshNode[], version: number): Promise<void> {
--- a/scenarios/steps/configuration-steps.ts
+++ b/scenarios/steps/configuration-steps.ts
@@ -8,7 +8,7 @@
 import {setTimeout as sleep} from 'node:timers/promises';
 import {request as sendRequest} from 'undici';
 import {
-	parseConfigurationDocument, type ConfigurationAnswer, type ItemChange,
+	parseConfigurationDocument, type ConfigurationResponse, type ItemChange,
 } from '../../src/index.js';
 import {waitFor, type WorldNode} from '../world.js';
 import {defineStep, getLast} from './define-step.js';
@@ -21,9 +21,9 @@
 	};
 }
 
-async function fetchConfiguration(node: WorldNode): Promise<ConfigurationAnswer> {
+async function fetchConfiguration(node: WorldNode): Promise<ConfigurationResponse> {
 	const reply = await sendRequest(`http://${node.settings.listen.operators}/v1/configuration`);
-	return await reply.body.json() as ConfigurationAnswer;
+	return await reply.body.json() as ConfigurationResponse;
 }
 
 async function hasPool(node: WorldNode, name: string): Promise<boolean> {
@@ -130,7 +130,7 @@
 	};
 }
 
-function listDangling({items, version}: ConfigurationAnswer): readonly string[] {
+function listDangling({items, version}: ConfigurationResponse): readonly string[] {
 	const keys = new Set(items.map(({item}) => `${item.kind}/${item.name}`));
 	return items.flatMap(({item}) => item.kind === 'route' && !keys.has(`pool/${item.pool}`) ? [`version ${version}: ${item.name} to ${item.pool}`] : []);
 }
--- a/scripts/faults.ts
+++ b/scripts/faults.ts
@@ -226,8 +226,8 @@
 	{
 		promise: 'sidecar: what a caller asked on a new connection and left is not sent on',
 		file: `${library}/sidecar/sidecar.js`,
-		from: 'lag.catchUp(isNewConnection)',
-		to: 'lag.catchUp()',
+		from: 'lag.waitForPendingInput(isNewConnection)',
+		to: 'lag.waitForPendingInput()',
 		tests: 'platform',
 	},
 	{
@@ -379,15 +379,15 @@
 	},
 	{
 		promise: 'sidecar: callers are connected while the process is busy',
-		file: `${library}/common/work-turns.js`,
-		from: 'if (begun < begunPerTurn && waiting.length === 0) {',
+		file: `${library}/common/request-start-limiter.js`,
+		from: 'if (startedCount < maximumStartsPerIteration && waiting.length === 0) {',
 		to: 'if (true) {',
 		tests: `${library}/common`,
 	},
 	{
 		promise: 'sidecar: lag is seen within a turn of the loop',
 		file: `${library}/common/loop-lag.js`,
-		from: 'estimateUnreadMs() <= laggingMs',
+		from: 'estimateUnreadMs() <= lagThresholdMs',
 		to: 'true',
 		tests: `${library}/common`,
 	},
@@ -646,7 +646,7 @@
 	{
 		promise: 'sidecar: bytes: a time beyond all timers is not over at once',
 		file: `${library}/forwarding/call-scope.js`,
-		from: 'trimTimerMs(deadlineAt - readSteadyMs())',
+		from: 'clampTimerMs(deadlineAt - readSteadyMs())',
 		to: '(deadlineAt - readSteadyMs())',
 		tests: `${library}/forwarding/call-scope.test.js`,
 	},
@@ -673,7 +673,7 @@
 	},
 	{
 		promise: 'sidecar: bytes: refused input is told at a bounded rate',
-		file: `${library}/timeline/refusals.js`,
+		file: `${library}/timeline/refusal-log.js`,
 		from: 'if (since === undefined) {',
 		to: 'if (true) {',
 		tests: `${library}/timeline`,
@@ -814,7 +814,7 @@
 	{
 		promise: 'suspension: a clock that is set counts as nothing',
 		file: `${library}/common/elapsed-clock.js`,
-		from: 'if (uptimeJumpMs < leastJumpMs || Math.abs(uptimeJumpMs - jumpMs) > toleranceMs) {',
+		from: 'if (uptimeJumpMs < minimumJumpMs || Math.abs(uptimeJumpMs - jumpMs) > jumpToleranceMs) {',
 		to: 'if (false) {',
 		tests: `${library}/common/elapsed-clock.test.js`,
 	},
--- a/src/index.ts
+++ b/src/index.ts
@@ -41,8 +41,8 @@
 export {createNode, type Node, type NodeSurroundings} from './lib/node/node.js';
 export {formatStartError, type StartError} from './lib/node/start-error.js';
 export {
-	findMissing,
-	type ConfigurationAnswer, type DomainAnswer, type ExplainAnswer, type FleetAnswer, type NodeAnswer, type NodeStatusAnswer, type ServerAnswer,
+	findConvergenceProblems,
+	type ConfigurationResponse, type DomainStatus, type ExplainResponse, type FleetResponse, type OperatorEndpoint, type NodeStatusResponse, type ServerStatus,
 } from './lib/operators/operator-messages.js';
 export {formatSettingsProblem, parseSettings, type SettingsProblem} from './lib/settings/load-settings.js';
 export {
@@ -54,10 +54,10 @@
 	maximumValueBytes, type Store, type StoredValue, type StoreError, type StoreReadError, type StoreWatch, type StoreWrite,
 } from './lib/store/store.js';
 export {
-	explainCall, parseLogLine, type CallStory, type LogLine,
+	explainCall, parseLogLine, type CallExplanation, type LogLine,
 } from './lib/timeline/explain-call.js';
-export {explainVersion, type VersionAtNode, type VersionStory} from './lib/timeline/explain-version.js';
+export {explainVersion, type VersionAtNode, type VersionExplanation} from './lib/timeline/explain-version.js';
 export {
-	formatEvent, isWanted, sortEvents,
+	formatEvent, matchesFilter, sortEvents,
 	type EventDetail, type EventKind, type TimelineEvent, type TimelineFilter,
 } from './lib/timeline/timeline-event.js';
--- a/src/lib/admission/slot-pool.ts
+++ b/src/lib/admission/slot-pool.ts
@@ -5,7 +5,7 @@
  *
  * @module
  */
-import {trimTimerMs, readSteadyMs} from '../common/clock.js';
+import {clampTimerMs, readSteadyMs} from '../common/clock.js';
 import {
 	admitToQueue, createSlotQueue, estimateWaitMs, finishRequest, removeFromQueue, resizeSlots,
 	type QueuedRequest, type SlotQueue,
@@ -81,7 +81,7 @@
 
 		const timer = setTimeout(() => {
 			finish('late');
-		}, trimTimerMs(queued.waitUntil - readSteadyMs()));
+		}, clampTimerMs(queued.waitUntil - readSteadyMs()));
 		finishById.set(queued.id, finish);
 		stopListening = request.listenForCancel(() => {
 			finish('cancelled');
--- a/src/lib/calls/run-attempts.ts
+++ b/src/lib/calls/run-attempts.ts
@@ -9,7 +9,7 @@
 	type BackendServerId, type CallId, type FailureDomain, type NodeId,
 } from '../common/ids.js';
 import {toLifetimeKey} from '../common/server-lifetime.js';
-import {joinVerdicts, type Verdict} from '../common/verdict.js';
+import {mergeVerdicts, type Verdict} from '../common/verdict.js';
 import {listServers, type Directory, type DirectoryServer} from '../directory/directory.js';
 import {type QuarantineDecision} from '../quarantine/suspect-table.js';
 import {describeRefusal, type Quarantine} from '../quarantine/quarantine.js';
@@ -230,7 +230,7 @@
 
 		context.loads.end(id);
 		last = result;
-		verdict = joinVerdicts(verdict, result.verdict);
+		verdict = mergeVerdicts(verdict, result.verdict);
 		if (isStreamOpen || judgement.type === 'trial' || isSuspected(result) || !mayRetry(context, outgoing, verdict, attempts + 1)) {
 			return {
 				result, verdict, attempts: attempts + 1, server: id,
--- a/src/lib/common/clock.ts
+++ b/src/lib/common/clock.ts
@@ -16,15 +16,15 @@
 }
 
 /** The longest time of a timer, in milliseconds: one that is longer would fire at once. */
-const longestTimerMs = 2_147_483_647;
+const maximumTimerMs = 2_147_483_647;
 
 /**
  * @param milliseconds - How long something may take, which others may have named.
  * @returns The same, as a timer takes it.
  * @internal
  */
-export function trimTimerMs(milliseconds: number): number {
-	return Math.min(longestTimerMs, Math.max(0, milliseconds));
+export function clampTimerMs(milliseconds: number): number {
+	return Math.min(maximumTimerMs, Math.max(0, milliseconds));
 }
 
 /**
@@ -47,7 +47,7 @@
 			resolve();
 		};
 
-		const timer = setTimeout(finish, trimTimerMs(milliseconds));
+		const timer = setTimeout(finish, clampTimerMs(milliseconds));
 		signal?.addEventListener('abort', finish);
 	});
 }
@@ -82,7 +82,7 @@
 	return performance.now();
 }
 
-const elapsed = createElapsedClock({readAwakeMs, readNow, readUptimeMs});
+const elapsedClock = createElapsedClock({readAwakeMs, readNow, readUptimeMs});
 
 /**
  * Reads the clock that does not jump, and that counts the time for which this VM was suspended. Deadlines, ages and rates of a sidecar
@@ -91,7 +91,7 @@
  * @returns Milliseconds since the process started, with fractions.
  * @internal
  */
-export const readSteadyMs = elapsed.read;
+export const readSteadyMs = elapsedClock.read;
 
 /** Calls back when it is noticed that this VM was suspended, with its milliseconds; yields a function that takes that back. @internal */
-export const {watchResume, getSuspendedMs, align: alignClocks} = elapsed;
+export const {watchResume, getSuspendedMs, updateOffsets: updateClockOffsets} = elapsedClock;
--- a/src/lib/common/digest-tree.ts
+++ b/src/lib/common/digest-tree.ts
@@ -157,7 +157,7 @@
 }
 
 /** Characters of a bucket digest that travel: 72 bits tell 256 buckets apart safely. */
-const shortDigestLength = 12;
+const shortDigestCharacterCount = 12;
 
 /**
  * @param tree - The tree to describe.
@@ -165,5 +165,5 @@
  * @internal
  */
 export function listShortBucketDigests<T>(tree: DigestTree<T>): readonly string[] {
-	return tree.buckets.map(bucket => bucket.digest.slice(0, shortDigestLength));
+	return tree.buckets.map(bucket => bucket.digest.slice(0, shortDigestCharacterCount));
 }
--- a/src/lib/common/elapsed-clock.test.ts
+++ b/src/lib/common/elapsed-clock.test.ts
@@ -3,7 +3,7 @@
 import fc from 'fast-check';
 import {createElapsedClock, type ElapsedClock} from './elapsed-clock.js';
 
-type World = {
+type FakeVm = {
 	readonly clock: ElapsedClock;
 	/** Milliseconds of each suspension that was told. */
 	readonly resumes: readonly number[];
@@ -15,7 +15,7 @@
 };
 
 /** Clocks of a VM; its uptime is told in hundredths of a second, or not at all. */
-function createWorld(hasUptime = true): World {
+function createFakeVm(hasUptime = true): FakeVm {
 	let awake = 1000;
 	let boot = 500_000;
 	let now = 1_764_723_600_000;
@@ -43,7 +43,7 @@
 }
 
 test('a suspension counts, and is told once, before the time is handed out', () => {
-	const {clock, resumes, run, suspend} = createWorld();
+	const {clock, resumes, run, suspend} = createFakeVm();
 	assert.equal(clock.read(), 1000);
 	run(300);
 	suspend(2500);
@@ -56,7 +56,7 @@
 
 for (const stepMs of [2000, -2000, 60, -60]) {
 	test(`a time of day that is set by ${stepMs} ms and back counts as nothing`, () => {
-		const {clock, resumes, run, setClock} = createWorld();
+		const {clock, resumes, run, setClock} = createFakeVm();
 		setClock(stepMs);
 		assert.equal(clock.read(), 1000);
 		run(5000);
@@ -67,18 +67,18 @@
 }
 
 test('where the uptime cannot be told, a jump is a set clock', () => {
-	const {clock, resumes, suspend} = createWorld(false);
+	const {clock, resumes, suspend} = createFakeVm(false);
 	suspend(2000);
 	assert.equal(clock.read(), 1000);
 	assert.deepEqual(resumes, []);
 });
 
 test('an uptime that goes at another speed than the steady clock shows no suspension when the time of day is set', () => {
-	const {clock, resumes, run, suspend, setClock} = createWorld();
+	const {clock, resumes, run, suspend, setClock} = createFakeVm();
 	for (let turn = 0; turn < 100; turn++) {
 		run(400);
 		suspend(30);
-		clock.align();
+		clock.updateOffsets();
 	}
 
 	setClock(2000);
@@ -87,7 +87,7 @@
 });
 
 /** Each suspension is told by the time of day, which may have been slewed by a little unnoticed. Milliseconds. */
-const exactToMs = 60;
+const errorPerSuspensionMs = 60;
 
 test('property: elapsed time never goes back, and is the time awake and suspended, whatever else the time of day does', () => {
 	const step = fc.oneof(
@@ -96,7 +96,7 @@
 		fc.record({type: fc.constant('set' as const), ms: fc.integer({min: -5000, max: 5000})}),
 	);
 	fc.assert(fc.property(fc.array(step, {maxLength: 30}), steps => {
-		const {clock, run, suspend, setClock} = createWorld();
+		const {clock, run, suspend, setClock} = createFakeVm();
 		let expected = clock.read();
 		let before = expected;
 		let suspensions = 0;
@@ -111,7 +111,7 @@
 
 			const elapsed = clock.read();
 			assert.ok(elapsed >= before, `${elapsed} after ${before}`);
-			assert.ok(Math.abs(elapsed - expected) <= suspensions * exactToMs, `${elapsed}, not ${expected}`);
+			assert.ok(Math.abs(elapsed - expected) <= suspensions * errorPerSuspensionMs, `${elapsed}, not ${expected}`);
 			before = elapsed;
 		}
 	}));
--- a/src/lib/common/elapsed-clock.ts
+++ b/src/lib/common/elapsed-clock.ts
@@ -28,20 +28,20 @@
 	/** Calls back at each suspension that is noticed, with its milliseconds; yields a function that takes that back. */
 	readonly watchResume: (handleResume: (suspendedMs: number) => void) => () => void;
 	/** Reads the uptime again, so that what differs between the clocks by their drift does not add up. */
-	readonly align: () => void;
+	readonly updateOffsets: () => void;
 };
 
 /** A jump of the time of day that is worth a look. Milliseconds: less makes no difference to any call, and clocks are slewed by less. */
-const leastJumpMs = 50;
+const minimumJumpMs = 50;
 
 /** By how much the jumps of two clocks may differ and still be the same. Milliseconds: a step of the time of day that was too small to be looked at, the hundredths of a second in which the uptime is told, and the time that reading takes on a busy VM. */
-const toleranceMs = leastJumpMs + 20;
+const jumpToleranceMs = minimumJumpMs + 20;
 
-type Marks = {
+type ClockOffsets = {
 	/** Time of day less the steady clock. */
-	readonly nowOffset: number;
+	readonly timeOfDayOffsetMs: number;
 	/** Uptime less the steady clock. */
-	readonly uptimeOffset: number | undefined;
+	readonly uptimeOffsetMs: number | undefined;
 };
 
 /**
@@ -53,19 +53,19 @@
 	const handlers = new Set<(suspendedMs: number) => void>();
 	let suspendedMs = 0;
 
-	const readMarks = (awakeMs: number): Marks => {
+	const readOffsets = (awakeMs: number): ClockOffsets => {
 		const uptimeMs = readUptimeMs();
-		return {nowOffset: readNow() - awakeMs, uptimeOffset: uptimeMs === undefined ? undefined : uptimeMs - awakeMs};
+		return {timeOfDayOffsetMs: readNow() - awakeMs, uptimeOffsetMs: uptimeMs === undefined ? undefined : uptimeMs - awakeMs};
 	};
 
 	let lastAwakeMs = readAwakeMs();
-	let marks = readMarks(lastAwakeMs);
+	let offsets = readOffsets(lastAwakeMs);
 
 	/** Reads the steady clock. One that goes back is another clock, as in tests that pause it: nothing can be told from a jump to it. */
 	const readAwake = (): number => {
 		const awakeMs = readAwakeMs();
 		if (awakeMs < lastAwakeMs) {
-			marks = readMarks(awakeMs);
+			offsets = readOffsets(awakeMs);
 		}
 
 		lastAwakeMs = awakeMs;
@@ -73,12 +73,12 @@
 	};
 
 	/** Looks where a jump of the time of day comes from. */
-	const judgeJump = (awakeMs: number): void => {
-		const before = marks;
-		marks = readMarks(awakeMs);
-		const jumpMs = marks.nowOffset - before.nowOffset;
-		const uptimeJumpMs = (marks.uptimeOffset ?? 0) - (before.uptimeOffset ?? 0);
-		if (uptimeJumpMs < leastJumpMs || Math.abs(uptimeJumpMs - jumpMs) > toleranceMs) {
+	const checkJump = (awakeMs: number): void => {
+		const before = offsets;
+		offsets = readOffsets(awakeMs);
+		const jumpMs = offsets.timeOfDayOffsetMs - before.timeOfDayOffsetMs;
+		const uptimeJumpMs = (offsets.uptimeOffsetMs ?? 0) - (before.uptimeOffsetMs ?? 0);
+		if (uptimeJumpMs < minimumJumpMs || Math.abs(uptimeJumpMs - jumpMs) > jumpToleranceMs) {
 			return;
 		}
 
@@ -91,8 +91,8 @@
 	return {
 		read() {
 			const awakeMs = readAwake();
-			if (Math.abs(readNow() - awakeMs - marks.nowOffset) > leastJumpMs) {
-				judgeJump(awakeMs);
+			if (Math.abs(readNow() - awakeMs - offsets.timeOfDayOffsetMs) > minimumJumpMs) {
+				checkJump(awakeMs);
 			}
 
 			return awakeMs + suspendedMs;
@@ -104,14 +104,14 @@
 				handlers.delete(handleResume);
 			};
 		},
-		align() {
+		updateOffsets() {
 			const awakeMs = readAwake();
-			if (Math.abs(readNow() - awakeMs - marks.nowOffset) > leastJumpMs) {
-				judgeJump(awakeMs);
+			if (Math.abs(readNow() - awakeMs - offsets.timeOfDayOffsetMs) > minimumJumpMs) {
+				checkJump(awakeMs);
 				return;
 			}
 
-			marks = readMarks(awakeMs);
+			offsets = readOffsets(awakeMs);
 		},
 	};
 }
--- a/src/lib/common/field-error.ts
+++ b/src/lib/common/field-error.ts
@@ -5,15 +5,15 @@
  */
 
 /** Characters of a value that an error shows: enough to recognise it. What others write may be as long as a message. */
-const shownLength = 80;
+const maximumShownLength = 80;
 
-function describeFound(found: unknown): string {
+function describeValue(found: unknown): string {
 	if (found === undefined) {
 		return 'nothing';
 	}
 
-	if (typeof found === 'string' && found.length > shownLength) {
-		return `${JSON.stringify(found.slice(0, shownLength))} and ${found.length - shownLength} characters more`;
+	if (typeof found === 'string' && found.length > maximumShownLength) {
+		return `${JSON.stringify(found.slice(0, maximumShownLength))} and ${found.length - maximumShownLength} characters more`;
 	}
 
 	if (typeof found !== 'object' || found === null) {
@@ -27,6 +27,6 @@
 /** A field that cannot be used: where it stands, what was found and what is allowed. @internal */
 export class FieldError extends Error {
 	constructor(place: string, found: unknown, allowed: string) {
-		super(`${place}: found ${describeFound(found)}, must be ${allowed}`);
+		super(`${place}: found ${describeValue(found)}, must be ${allowed}`);
 	}
 }
--- a/src/lib/common/listen-at.ts
+++ b/src/lib/common/listen-at.ts
@@ -8,7 +8,7 @@
 import {type Address} from './ids.js';
 
 /** Connections that may wait to be accepted: a herd that comes back at once must not be told to try again seconds later. */
-const backlog = 4096;
+const maximumBacklog = 4096;
 
 /**
  * @param server - The server.
@@ -20,7 +20,7 @@
 	const {host, port} = parseAddress(address);
 	return new Promise((resolve, reject) => {
 		server.once('error', reject);
-		server.listen({host, port, backlog}, () => {
+		server.listen({host, port, backlog: maximumBacklog}, () => {
 			server.removeListener('error', reject);
 			resolve();
 		});
--- a/src/lib/common/locate-yaml.ts
+++ b/src/lib/common/locate-yaml.ts
@@ -10,13 +10,13 @@
 import {type z} from 'zod';
 
 /** Lines and columns count from 1. @internal */
-export type Place = {readonly line: number; readonly column: number};
+export type SourcePosition = {readonly line: number; readonly column: number};
 
 /** The way to a field, from the top of the document. @internal */
 export type FieldPath = ReadonlyArray<string | number>;
 
 /** Finds the place of a field; a field that is not there has its nearest parent's. @internal */
-export type Locator = (path: FieldPath) => Place;
+export type Locator = (path: FieldPath) => SourcePosition;
 
 /**
  * Makes a function that finds the line and column of a field.
@@ -51,7 +51,7 @@
  * @returns Its place, or `undefined`.
  * @internal
  */
-export function findKeyPlace(document: Document, lines: LineCounter, path: FieldPath, key: string): Place | undefined {
+export function findKeyPosition(document: Document, lines: LineCounter, path: FieldPath, key: string): SourcePosition | undefined {
 	const map = document.getIn(path, true);
 	const pair = isMap(map) ? map.items.find(item => isScalar(item.key) && item.key.value === key) : undefined;
 	const offset = isScalar(pair?.key) ? pair.key.range?.[0] : undefined;
@@ -78,7 +78,7 @@
 	return current;
 }
 
-const shownLength = 100;
+const maximumShownLength = 100;
 
 /**
  * Puts an issue of the schema library in words: what was found and what is allowed.
@@ -89,7 +89,7 @@
  * @internal
  */
 export function describeIssue(issue: z.core.$ZodIssue, found: unknown): string {
-	const shown = found === undefined ? 'nothing' : JSON.stringify(found).slice(0, shownLength);
+	const shown = found === undefined ? 'nothing' : JSON.stringify(found).slice(0, maximumShownLength);
 	switch (issue.code) {
 		case 'unrecognized_keys': {
 			return `unknown key ${issue.keys.map(key => JSON.stringify(key)).join(', ')}; remove it or correct its spelling`;
--- a/src/lib/common/loop-lag.test.ts
+++ b/src/lib/common/loop-lag.test.ts
@@ -6,7 +6,7 @@
 import {Worker} from 'node:worker_threads';
 import {createLoopLag} from './loop-lag.js';
 
-function waitBusily(milliseconds: number): void {
+function blockEventLoop(milliseconds: number): void {
 	const until = performance.now() + milliseconds;
 	while (performance.now() < until) {
 		// The process stands still, and what arrives waits.
@@ -14,7 +14,7 @@
 }
 
 /** Sends a byte and closes, both while the process stands still; yields whether the close was known when the byte was worked on. */
-async function countClosedInTime(catchUp: () => Promise<void>): Promise<boolean> {
+async function isCloseReadFirst(waitForPendingInput: () => Promise<void>): Promise<boolean> {
 	return new Promise(resolve => {
 		const server = createServer((socket: Socket) => {
 			let isClosed = false;
@@ -22,7 +22,7 @@
 				isClosed = true;
 			});
 			socket.once('data', async () => {
-				await catchUp();
+				await waitForPendingInput();
 				resolve(isClosed);
 				socket.destroy();
 				server.close();
@@ -33,7 +33,7 @@
 				caller.end('x');
 				// Not before both are sent.
 				setImmediate(() => {
-					waitBusily(50);
+					blockEventLoop(50);
 				});
 			});
 		});
@@ -42,18 +42,18 @@
 
 test('while the process lags, a close that came with a request is heard before the request is worked on', async () => {
 	const lag = createLoopLag();
-	lag.note(150);
-	assert.equal(await countClosedInTime(lag.catchUp), true);
+	lag.recordTimerDelay(150);
+	assert.equal(await isCloseReadFirst(lag.waitForPendingInput), true);
 });
 
 test('without a lag nothing is waited for', async () => {
 	const lag = createLoopLag();
-	lag.note(50);
+	lag.recordTimerDelay(50);
 	let turns = 0;
 	setImmediate(() => {
 		turns++;
 	});
-	await lag.catchUp();
+	await lag.waitForPendingInput();
 	assert.equal(turns, 0);
 });
 
@@ -71,7 +71,7 @@
 
 test('within one long turn of the loop, closes that came with the requests read last are heard before these are worked on', async () => {
 	const lag = createLoopLag();
-	lag.note(0);
+	lag.recordTimerDelay(0);
 	const callers = 10;
 	const closedInTime = await new Promise<readonly boolean[]>(resolve => {
 		const seen: boolean[] = [];
@@ -82,9 +82,9 @@
 				isClosed = true;
 			});
 			socket.once('data', async () => {
-				await lag.catchUp();
+				await lag.waitForPendingInput();
 				seen.push(isClosed);
-				waitBusily(30);
+				blockEventLoop(30);
 				socket.destroy();
 				if (seen.length === callers) {
 					server.close();
@@ -96,7 +96,7 @@
 			if (connected === callers) {
 				worker.postMessage('send');
 				// All of it arrives while the process stands still.
-				waitBusily(300);
+				blockEventLoop(300);
 			}
 		});
 		let worker: Worker;
--- a/src/lib/common/loop-lag.ts
+++ b/src/lib/common/loop-lag.ts
@@ -11,21 +11,21 @@
 /** @internal */
 export type LoopLag = {
 	/** Notes how late a timer fired. */
-	readonly note: (delayMs: number) => void;
+	readonly recordTimerDelay: (delayMs: number) => void;
 	/** For how long a request that was read just now may have lain unread: since the turn before began, if that has only just ended. Milliseconds. */
 	readonly estimateUnreadMs: () => number;
 	/** Waits until what had arrived with a request has been read as well: while the process lags, or always for what may have waited elsewhere than in it. */
-	readonly catchUp: (mayHaveWaited?: boolean) => Promise<void>;
+	readonly waitForPendingInput: (mayHaveWaited?: boolean) => Promise<void>;
 };
 
 /** A timer that fires this late shows that events wait. Milliseconds: a fifth of the time after which a request that nobody waits for must not be sent on; below it the extra turns cost more than they save. */
-const laggingMs = 100;
+const lagThresholdMs = 100;
 
 /** What had arrived before a suspension is read within this time after it. Milliseconds: a few turns; what arrives in it for the first time counts as that much older. */
-const resumingMs = 20;
+const resumeWindowMs = 20;
 
 /** Two turns follow one another without a rest if less than this lies between them, in milliseconds. */
-const consecutiveMs = 2;
+const maximumIterationGapMs = 2;
 
 /**
  * @returns The lag of a process that has just started: taken as lagging, since its code is still cold.
@@ -33,8 +33,8 @@
  */
 export function createLoopLag(): LoopLag {
 	let isLagging = true;
-	let turn: {readonly startedAt: number; readonly beforeMs: number} | undefined;
-	let lastTurn = {endedAt: 0, tookMs: 0};
+	let iteration: {readonly startedAt: number; readonly previousMs: number} | undefined;
+	let lastIteration = {endedAt: 0, tookMs: 0};
 	/** The last suspension of this VM, and when it was noticed. */
 	let suspension = {noticedAt: Number.NEGATIVE_INFINITY, forMs: 0};
 	watchResume(forMs => {
@@ -42,37 +42,37 @@
 	});
 
 	/** What is read in the first moments after a suspension may have arrived before it. */
-	const getSuspendedMs = (): number => readAwakeMs() - suspension.noticedAt < resumingMs ? suspension.forMs : 0;
+	const getSuspendedMs = (): number => readAwakeMs() - suspension.noticedAt < resumeWindowMs ? suspension.forMs : 0;
 
 	/** Notes that a request was read. A turn of the loop reads everything that has arrived: under a backlog it may take seconds, and no timer fires within. */
-	const noteRead = (now: number): {readonly startedAt: number; readonly beforeMs: number} => {
-		if (turn !== undefined) {
-			return turn;
+	const recordRead = (now: number): {readonly startedAt: number; readonly previousMs: number} => {
+		if (iteration !== undefined) {
+			return iteration;
 		}
 
-		const started = {startedAt: now, beforeMs: getSuspendedMs() + (now - lastTurn.endedAt < consecutiveMs ? lastTurn.tookMs : 0)};
-		turn = started;
+		const nextIteration = {startedAt: now, previousMs: getSuspendedMs() + (now - lastIteration.endedAt < maximumIterationGapMs ? lastIteration.tookMs : 0)};
+		iteration = nextIteration;
 		setImmediate(() => {
 			const endedAt = readSteadyMs();
-			lastTurn = {endedAt, tookMs: endedAt - started.startedAt};
-			turn = undefined;
+			lastIteration = {endedAt, tookMs: endedAt - nextIteration.startedAt};
+			iteration = undefined;
 		});
-		return started;
+		return nextIteration;
 	};
 
 	const estimateUnreadMs = (): number => {
 		const now = readSteadyMs();
-		const {startedAt, beforeMs} = noteRead(now);
-		return now - startedAt + beforeMs;
+		const {startedAt, previousMs} = recordRead(now);
+		return now - startedAt + previousMs;
 	};
 
 	return {
 		estimateUnreadMs,
-		note(delayMs) {
-			isLagging = delayMs > laggingMs;
+		recordTimerDelay(delayMs) {
+			isLagging = delayMs > lagThresholdMs;
 		},
-		async catchUp(mayHaveWaited = false) {
-			if (estimateUnreadMs() <= laggingMs && !isLagging && !mayHaveWaited) {
+		async waitForPendingInput(mayHaveWaited = false) {
+			if (estimateUnreadMs() <= lagThresholdMs && !isLagging && !mayHaveWaited) {
 				return;
 			}
 
--- a/src/lib/common/read-input.test.ts
+++ b/src/lib/common/read-input.test.ts
@@ -2,7 +2,7 @@
 import test from 'node:test';
 import {FieldError} from './field-error.js';
 import {
-	readAddress, readAmount, readCount, readFlag, readList, readName, readText,
+	readAddress, readAmount, readCount, readFlag, readList, readName, readString,
 } from './read-input.js';
 
 const notAddresses: readonly unknown[] = [
@@ -11,7 +11,7 @@
 
 const cases: ReadonlyArray<readonly [string, (value: unknown) => unknown, readonly unknown[], readonly unknown[]]> = [
 	['a list', value => readList(value, 'x'), [[], [1]], [undefined, null, {}, 'a']],
-	['a text', value => readText(value, 'x'), ['', 'a'], [undefined, null, 1, []]],
+	['a text', value => readString(value, 'x'), ['', 'a'], [undefined, null, 1, []]],
 	['a name', value => readName(value, 'x'), ['a', '__proto__'], ['', 'a'.repeat(257), 1, null]],
 	['a count', value => readCount(value, 'x'), [0, 7, Number.MAX_SAFE_INTEGER], [-1, 0.5, 1e300, 2 ** 53, '1', null, Number.NaN]],
 	['an amount', value => readAmount(value, 'x', 100), [0, 0.5, 100], [-1, 101, 1e300, Number.NaN, '1', null, undefined]],
--- a/src/lib/common/read-input.ts
+++ b/src/lib/common/read-input.ts
@@ -10,7 +10,7 @@
 import {toAddress, type Address} from './ids.js';
 
 /** Characters of a name or an id: several times the longest that platforms give. */
-const maxNameLength = 256;
+const maximumNameLength = 256;
 
 /**
  * @param value - Any JSON.
@@ -34,7 +34,7 @@
  * @throws FieldError when it is none.
  * @internal
  */
-export function readText(value: unknown, place: string): string {
+export function readString(value: unknown, place: string): string {
 	if (typeof value !== 'string') {
 		throw new FieldError(place, value, 'a text');
 	}
@@ -50,8 +50,8 @@
  * @internal
  */
 export function readName(value: unknown, place: string): string {
-	if (typeof value !== 'string' || value === '' || value.length > maxNameLength) {
-		throw new FieldError(place, value, `a text of 1 to ${maxNameLength} characters`);
+	if (typeof value !== 'string' || value === '' || value.length > maximumNameLength) {
+		throw new FieldError(place, value, `a text of 1 to ${maximumNameLength} characters`);
 	}
 
 	return value;
@@ -75,14 +75,14 @@
 /**
  * @param value - Any JSON.
  * @param place - Where it stands, for the error.
- * @param most - The most that is allowed.
+ * @param maximum - The most that is allowed.
  * @returns The amount, which may be a fraction.
  * @throws FieldError when it is no number, is negative or is more.
  * @internal
  */
-export function readAmount(value: unknown, place: string, most: number): number {
-	if (typeof value !== 'number' || !(value >= 0 && value <= most)) {
-		throw new FieldError(place, value, `a number from 0 to ${most}`);
+export function readAmount(value: unknown, place: string, maximum: number): number {
+	if (typeof value !== 'number' || !(value >= 0 && value <= maximum)) {
+		throw new FieldError(place, value, `a number from 0 to ${maximum}`);
 	}
 
 	return value;
--- a/src/lib/common/work-turns.test.ts
+++ b/src/lib/common/request-start-limiter.test.ts
@@ -4,13 +4,13 @@
 } from 'node:net';
 import test from 'node:test';
 import {setImmediate as waitForImmediate} from 'node:timers/promises';
-import {createWorkTurns} from './work-turns.js';
+import {createRequestStartLimiter} from './request-start-limiter.js';
 
 test('the first of a turn begin at once, the others in turns of their own, in order', async () => {
-	const turns = createWorkTurns();
+	const turns = createRequestStartLimiter();
 	const begun: number[] = [];
 	const all = Array.from({length: 10}, async (_, index) => {
-		await turns.begin();
+		await turns.waitForStart();
 		begun.push(index);
 	});
 	await Promise.resolve();
@@ -24,10 +24,10 @@
 });
 
 test('what comes while others wait does not overtake them', async () => {
-	const turns = createWorkTurns();
+	const turns = createRequestStartLimiter();
 	const begun: string[] = [];
 	const start = async (name: string): Promise<void> => {
-		await turns.begin();
+		await turns.waitForStart();
 		begun.push(name);
 	};
 
@@ -108,7 +108,7 @@
 
 test('a busy process takes several times as many new connections as with long turns', async context => {
 	const before = await countConnections(async () => undefined);
-	const {begin} = createWorkTurns();
+	const {waitForStart: begin} = createRequestStartLimiter();
 	const after = await countConnections(begin);
 	context.diagnostic(`${before} connections in ${workMs} ms of work, ${after} with short turns`);
 	assert.ok(after > Math.max(1, before) * 2, `${before} and ${after}`);
--- a/src/lib/common/work-turns.ts
+++ b/src/lib/common/request-start-limiter.ts
@@ -11,45 +11,45 @@
  */
 
 /** @internal */
-export type WorkTurns = {
+export type RequestStartLimiter = {
 	/** Waits until the work on a request may begin; at once unless this turn has begun enough. */
-	readonly begin: () => Promise<void>;
+	readonly waitForStart: () => Promise<void>;
 };
 
 /** Requests of new connections whose work begins in one turn. Those of connections that are there already are not held up, so that reads stay in time under overload. Each takes about a millisecond of a small VM's core, so that a turn stays at a few. */
-const begunPerTurn = 4;
+const maximumStartsPerIteration = 4;
 
 /**
  * @returns Turns in which nothing has begun.
  * @internal
  */
-export function createWorkTurns(): WorkTurns {
+export function createRequestStartLimiter(): RequestStartLimiter {
 	const waiting: Array<() => void> = [];
-	let begun = 0;
+	let startedCount = 0;
 	let isCounting = false;
 
-	const endTurn = (): void => {
-		const next = waiting.splice(0, begunPerTurn);
-		begun = next.length;
-		isCounting = begun > 0;
+	const endIteration = (): void => {
+		const starting = waiting.splice(0, maximumStartsPerIteration);
+		startedCount = starting.length;
+		isCounting = startedCount > 0;
 		if (isCounting) {
-			setImmediate(endTurn);
+			setImmediate(endIteration);
 		}
 
-		for (const start of next) {
+		for (const start of starting) {
 			start();
 		}
 	};
 
 	return {
-		async begin() {
+		async waitForStart() {
 			if (!isCounting) {
 				isCounting = true;
-				setImmediate(endTurn);
+				setImmediate(endIteration);
 			}
 
-			if (begun < begunPerTurn && waiting.length === 0) {
-				begun++;
+			if (startedCount < maximumStartsPerIteration && waiting.length === 0) {
+				startedCount++;
 				return;
 			}
 
--- a/src/lib/common/verdict.ts
+++ b/src/lib/common/verdict.ts
@@ -33,7 +33,7 @@
  * @returns What holds for both together.
  * @internal
  */
-export function joinVerdicts(first: Verdict, second: Verdict): Verdict {
+export function mergeVerdicts(first: Verdict, second: Verdict): Verdict {
 	if (first === 'ran' || second === 'ran') {
 		return 'ran';
 	}
--- a/src/lib/common/young-generation.ts
+++ b/src/lib/common/young-generation-tuner.ts
@@ -8,9 +8,9 @@
 import {setFlagsFromString} from 'node:v8';
 
 /** @internal */
-export type YoungGeneration = {
+export type YoungGenerationTuner = {
 	/** Called every now and then with the requests since the last time. */
-	readonly note: (requests: number, elapsedMs: number) => void;
+	readonly recordLoad: (requests: number, elapsedMs: number) => void;
 };
 
 /** From this many requests a second on the young generation may grow. Measured: at 13 a second a small one costs no processor time, at 45 it costs 4 in 100 (MEASUREMENTS). */
@@ -29,11 +29,11 @@
  * @returns What decides; the young generation does not grow yet.
  * @internal
  */
-export function createYoungGeneration(setFactor: (factor: number) => void): YoungGeneration {
+export function createYoungGenerationTuner(setFactor: (factor: number) => void): YoungGenerationTuner {
 	let factor: number = growthFactors.small;
 	setFactor(factor);
 	return {
-		note(requests, elapsedMs) {
+		recordLoad(requests, elapsedMs) {
 			const isBusy = requests * 1000 > busyRequestsPerSecond * elapsedMs;
 			const next = isBusy ? growthFactors.growing : growthFactors.small;
 			if (next !== factor) {
--- a/src/lib/forwarding/call-progress.ts
+++ b/src/lib/forwarding/call-progress.ts
@@ -5,9 +5,9 @@
  */
 import {readSteadyMs} from '../common/clock.js';
 import {type LifetimeKey} from '../common/server-lifetime.js';
-import {joinVerdicts, type Verdict} from '../common/verdict.js';
+import {mergeVerdicts, type Verdict} from '../common/verdict.js';
 import {type AttemptHistory} from '../decisions/plan-attempt.js';
-import {type AttemptNote} from '../timeline/mesh-log.js';
+import {type AttemptRecord} from '../timeline/mesh-log.js';
 import {createNotRun, type ForwardFailure, type ForwardResult} from './forward-result.js';
 import {type CallOutcome} from './outgoing-call.js';
 import {type Attempt} from './running-attempts.js';
@@ -22,7 +22,7 @@
 	readonly getFallback: () => ForwardResult;
 	readonly recordStart: (attempt: Attempt) => void;
 	/** Records how an attempt ended and returns its summary for the log. */
-	readonly recordEnd: (attempt: Attempt, result: ForwardResult) => AttemptNote;
+	readonly recordEnd: (attempt: Attempt, result: ForwardResult) => AttemptRecord;
 	/** Records why no further attempt is started. */
 	readonly recordRefusal: (failure: ForwardFailure) => void;
 	/** Ends the call with the answer of one attempt; the superseded attempts were cancelled because of it. */
@@ -46,7 +46,7 @@
 const isLessInformative = (failure: ForwardResult, fallback: ForwardResult): boolean =>
 	failure.type === 'failed' && fallback.type === 'answered';
 
-function describeAttempt({target, startedAt}: Attempt, verdict: Verdict, outcome: string): AttemptNote {
+function describeAttempt({target, startedAt}: Attempt, verdict: Verdict, outcome: string): AttemptRecord {
 	return {
 		server: target.id, node: target.node, verdict, outcome, tookMs: Math.round(readSteadyMs() - startedAt), infoAgeMs: Math.round(startedAt - target.view.reportedAt),
 	};
@@ -63,7 +63,7 @@
 	const tried = new Set<LifetimeKey>();
 	const full = new Set<LifetimeKey>();
 	/** In the order in which the attempts started. */
-	const attemptNotes = new Map<Attempt, AttemptNote>();
+	const attemptNotes = new Map<Attempt, AttemptRecord>();
 	let verdict: Verdict = 'not-run';
 	let arrivals = 0;
 	let refusals = 0;
@@ -72,7 +72,7 @@
 	let fallback: ForwardResult = createNotRun('no-server', `no backend server of ${service} is known that could take the request`);
 
 	const mergeResult = (result: ForwardResult): void => {
-		verdict = joinVerdicts(verdict, getVerdict(result));
+		verdict = mergeVerdicts(verdict, getVerdict(result));
 		if (result.type === 'failed' && result.retryAfterMs > 0) {
 			retryAfterMs = retryAfterMs === 0 ? result.retryAfterMs : Math.min(retryAfterMs, result.retryAfterMs);
 		}
--- a/src/lib/forwarding/call-scope.ts
+++ b/src/lib/forwarding/call-scope.ts
@@ -5,7 +5,7 @@
  *
  * @module
  */
-import {readSteadyMs, trimTimerMs, watchResume} from '../common/clock.js';
+import {readSteadyMs, clampTimerMs, watchResume} from '../common/clock.js';
 
 /** A scope ends this long after the deadline that the backend server is given, because an answer sent right at that deadline is still on its way. @internal */
 export const deadlineGraceMs = 15;
@@ -79,7 +79,7 @@
 	const {removeHandlers, ...state} = createScopeState(deadlineAt, stopTimer);
 	const startTimer = (): NodeJS.Timeout => setTimeout(() => {
 		state.end('timeout');
-	}, trimTimerMs(deadlineAt - readSteadyMs()));
+	}, clampTimerMs(deadlineAt - readSteadyMs()));
 
 	let timer = startTimer();
 	// Timers do not advance while this VM is suspended. After a resume the timer is set anew; a scope whose deadline has passed ends right after all resume handlers have run.
--- a/src/lib/forwarding/config-messages.ts
+++ b/src/lib/forwarding/config-messages.ts
@@ -5,7 +5,7 @@
  * @module
  */
 import {Buffer} from 'node:buffer';
-import {getZlib} from '../common/late-modules.js';
+import {getZlib} from '../common/lazy-modules.js';
 import {parseConfigSteps, type ConfigStep} from '../route-config/config-history.js';
 
 /** The configuration that a node gets from another node. @internal */
--- a/src/lib/forwarding/entry-server.ts
+++ b/src/lib/forwarding/entry-server.ts
@@ -19,7 +19,7 @@
 import {computeRetryAfterMs} from '../decisions/retry-after.js';
 import {normalizeHost, findRoute} from '../route-config/route-index.js';
 import {type WeightedRoundRobin} from '../route-config/weighted-round-robin.js';
-import {type AttemptNote, type MeshLog} from '../timeline/mesh-log.js';
+import {type AttemptRecord, type MeshLog} from '../timeline/mesh-log.js';
 import {type CallerRetryDetector} from '../decisions/caller-retry-detector.js';
 import {createLazyFingerprint} from '../quarantine/lazy-fingerprint.js';
 import {createByteBudget} from './byte-budget.js';
@@ -46,7 +46,7 @@
 	readonly reason: string;
 	readonly tookMs: number;
 	readonly leftMs: number;
-	readonly attempts: readonly AttemptNote[];
+	readonly attempts: readonly AttemptRecord[];
 };
 
 /** @internal */
--- a/src/lib/forwarding/full-link.test.ts
+++ b/src/lib/forwarding/full-link.test.ts
@@ -12,7 +12,7 @@
 import {toAddress, toBackendServerId, type Address} from '../common/ids.js';
 import {createLoopLag} from '../common/loop-lag.js';
 import {silentLog} from '../timeline/mesh-log.js';
-import {silentRefusals} from '../timeline/refusals.js';
+import {silentRefusalLog} from '../timeline/refusal-log.js';
 import {createCallScope} from './call-scope.js';
 import {encodeConfigAnswer} from './config-messages.js';
 import {createNotRun} from './forward-result.js';
@@ -96,9 +96,9 @@
 	const gate = createGateServer({
 		gate: localGate as LocalGate,
 		getConfig: () => encodeConfigAnswer({type: 'whole', text: 'nine'}),
-		catchUp: createLoopLag().catchUp,
+		catchUp: createLoopLag().waitForPendingInput,
 		log: silentLog,
-		refusals: silentRefusals,
+		refusals: silentRefusalLog,
 		link: createLinkWriter(1000),
 	});
 	context.after(gate.dispose);
--- a/src/lib/forwarding/gate-server.test.ts
+++ b/src/lib/forwarding/gate-server.test.ts
@@ -41,7 +41,7 @@
 			// The event loop does not lag in this test.
 		},
 		refusals: {
-			note({cause}) {
+			record({cause}) {
 				refused.push(cause);
 			},
 			dispose: () => undefined,
--- a/src/lib/forwarding/gate-server.ts
+++ b/src/lib/forwarding/gate-server.ts
@@ -9,7 +9,7 @@
 import {type LoopLag} from '../common/loop-lag.js';
 import {FieldError} from '../common/field-error.js';
 import {type MeshLog, type RefusalCause} from '../timeline/mesh-log.js';
-import {type Refusals} from '../timeline/refusals.js';
+import {type RefusalLog} from '../timeline/refusal-log.js';
 import {createCallScope, type CallScope} from './call-scope.js';
 import {countUnsent} from './connection-scopes.js';
 import {
@@ -27,9 +27,9 @@
 	/** Returns the response to a node that has the given version of the configuration. */
 	readonly getConfig: (version: number) => EncodedConfigAnswer;
 	/** Waits until pending input has been handled if the event loop of this process lags. */
-	readonly catchUp: LoopLag['catchUp'];
+	readonly catchUp: LoopLag['waitForPendingInput'];
 	readonly log: MeshLog;
-	readonly refusals: Refusals;
+	readonly refusals: RefusalLog;
 	/** Writes frames at the rate of this VM's link. */
 	readonly link: LinkWriter;
 };
@@ -202,7 +202,7 @@
 	};
 
 	const refuse = (connection: Connection, cause: RefusalCause, reason: string): void => {
-		refusals.note({
+		refusals.record({
 			kind: 'peer-refused', cause, place: connection.peerAddress, reason,
 		});
 		connection.socket.destroy();
--- a/src/lib/forwarding/leaving-gate.test.ts
+++ b/src/lib/forwarding/leaving-gate.test.ts
@@ -37,7 +37,7 @@
 		getConfig: () => encodeConfigAnswer(undefined),
 		catchUp: waitForNothing,
 		log: silentLog,
-		refusals: {note: (refusal: unknown) => refused.push(refusal), dispose: () => undefined},
+		refusals: {record: (refusal: unknown) => refused.push(refusal), dispose: () => undefined},
 		link: createLinkWriter(1000),
 	});
 	await new Promise<void>(resolve => {
--- a/src/lib/forwarding/outgoing-call.ts
+++ b/src/lib/forwarding/outgoing-call.ts
@@ -13,7 +13,7 @@
 import {type LazyFingerprint} from '../quarantine/lazy-fingerprint.js';
 import {type LoadView} from '../decisions/load-view.js';
 import {type MeshRetryBudget} from '../decisions/mesh-retry-budget.js';
-import {type AttemptNote, type MeshLog} from '../timeline/mesh-log.js';
+import {type AttemptRecord, type MeshLog} from '../timeline/mesh-log.js';
 import {type CallScope} from './call-scope.js';
 import {type ForwardResult} from './forward-result.js';
 import {type GateClient} from './gate-client.js';
@@ -44,7 +44,7 @@
 	readonly result: ForwardResult;
 	/** The verdict over all attempts. */
 	readonly verdict: Verdict;
-	readonly attempts: readonly AttemptNote[];
+	readonly attempts: readonly AttemptRecord[];
 };
 
 /** @internal */
--- a/src/lib/forwarding/peer-messages.ts
+++ b/src/lib/forwarding/peer-messages.ts
@@ -6,7 +6,7 @@
 import {toBackendServerId, type BackendServerId} from '../common/ids.js';
 import {FieldError} from '../common/field-error.js';
 import {
-	readAmount, readFlag, readList, readName, readText,
+	readAmount, readFlag, readList, readName, readString,
 } from '../common/read-input.js';
 import {parseVerdict, type Verdict} from '../common/verdict.js';
 import {
@@ -84,13 +84,13 @@
 export function decodePeerRequest(head: unknown): PeerRequest {
 	const [id, server, method, target, headers, hasBody, callerService, rank, leftMs, mayWaitMs, answerMayWaitMs] = readList(head, 'request');
 	const request: PeerRequest = {
-		id: readText(id, 'request.id'),
-		server: toBackendServerId(readText(server, 'request.server')),
+		id: readString(id, 'request.id'),
+		server: toBackendServerId(readString(server, 'request.server')),
 		method: readName(method, 'request.method'),
-		target: readText(target, 'request.target'),
+		target: readString(target, 'request.target'),
 		headers: readHeaders(headers, 'request.headers'),
 		hasBody: readFlag(hasBody, 'request.hasBody'),
-		callerService: readText(callerService, 'request.callerService'),
+		callerService: readString(callerService, 'request.callerService'),
 		rank: readAmount(rank, 'request.rank', maxTimeMs),
 		leftMs: readAmount(leftMs, 'request.leftMs', maxTimeMs),
 		mayWaitMs: readAmount(mayWaitMs, 'request.mayWaitMs', maxTimeMs),
--- a/src/lib/node/node.ts
+++ b/src/lib/node/node.ts
@@ -35,7 +35,7 @@
 import {joinMesh, seekSeeds} from '../membership/joiner.js';
 import {createMemberList} from '../membership/member-list.js';
 import {createOperatorApi} from '../operators/operator-api.js';
-import {type NodeStatusAnswer} from '../operators/operator-messages.js';
+import {type NodeStatusResponse} from '../operators/operator-messages.js';
 import {createServerLoads} from '../routing/server-load.js';
 import {type Settings} from '../settings/settings.js';
 import {createBudgetedStore} from '../store/budgeted-store.js';
@@ -68,7 +68,7 @@
 	readonly drain: () => Promise<boolean>;
 	/** Stops at once. */
 	readonly dispose: () => Promise<void>;
-	readonly getStatus: () => NodeStatusAnswer;
+	readonly getStatus: () => NodeStatusResponse;
 };
 
 /** Milliseconds between two looks at whether this node has to watch the store. */
@@ -200,7 +200,7 @@
 		return outcomes;
 	});
 
-	const getStatus = (): NodeStatusAnswer => {
+	const getStatus = (): NodeStatusResponse => {
 		const current = configuration.getConfiguration();
 		const place = distributor.getPlace();
 		const memory = process.memoryUsage();
--- a/src/lib/operators/operator-api.ts
+++ b/src/lib/operators/operator-api.ts
@@ -26,8 +26,8 @@
 import {type Timeline} from '../timeline/timeline.js';
 import {type TimelineFilter} from '../timeline/timeline-event.js';
 import {
-	type ConfigurationAnswer, type DomainAnswer, type ExplainAnswer, type FleetAnswer,
-	type NodeAnswer, type NodeStatusAnswer, type ServerAnswer,
+	type ConfigurationResponse, type DomainStatus, type ExplainResponse, type FleetResponse,
+	type OperatorEndpoint, type NodeStatusResponse, type ServerStatus,
 } from './operator-messages.js';
 
 /** @internal */
@@ -36,7 +36,7 @@
 	readonly getConfiguration: () => Configuration;
 	readonly getSnapshot: () => RoutingSnapshot | undefined;
 	readonly getDirectory: () => Directory;
-	readonly getStatus: () => NodeStatusAnswer;
+	readonly getStatus: () => NodeStatusResponse;
 	readonly getFleet: () => Promise<readonly Summary[]>;
 	readonly submit: (submission: Submission) => Promise<SubmissionOutcome>;
 	/** Yields the version that carried a submission out, 0 for none, or why that cannot be told. */
@@ -67,7 +67,7 @@
 	return error.issues.map(issue => `${issue.path.join('.')}: ${issue.message}`);
 }
 
-function tryOut(configuration: Configuration, submission: Submission): SubmissionOutcome {
+function evaluateDryRun(configuration: Configuration, submission: Submission): SubmissionOutcome {
 	const problems = findItemProblems(submission.changes);
 	if (problems.length > 0) {
 		return {type: 'invalid', problems};
@@ -77,7 +77,7 @@
 	return evaluation.type === 'settled' ? evaluation.outcome : {type: 'accepted', version: configuration.version + 1, isRepeated: false};
 }
 
-function listDomainAnswers(directory: Directory, summaries: readonly Summary[]): readonly DomainAnswer[] {
+function listDomains(directory: Directory, summaries: readonly Summary[]): readonly DomainStatus[] {
 	const expected = new Map<string, number>();
 	for (const record of listRecords(directory).filter(candidate => isUsable(candidate))) {
 		expected.set(record.failureDomain, (expected.get(record.failureDomain) ?? 0) + 1);
@@ -90,10 +90,10 @@
 		}));
 }
 
-function explain(context: OperatorContext, snapshot: RoutingSnapshot, request: RequestAttributes): ExplainAnswer {
+function explain(context: OperatorContext, snapshot: RoutingSnapshot, request: RequestAttributes): ExplainResponse {
 	const {version} = snapshot.configuration;
 	return planCall(snapshot, request).match(
-		({route, pool, decision}): ExplainAnswer => {
+		({route, pool, decision}): ExplainResponse => {
 			const servers = listServers(context.getDirectory(), pool.service);
 			const chosen = chooseServer({
 				servers, pool, domain: context.domain, tried: new Set(), mayReuse: false, getLoad: context.loads.get, now: readNow(), random: context.random,
@@ -108,76 +108,76 @@
 				servers: servers.map(({server}) => server.id),
 			};
 		},
-		({route, detail}): ExplainAnswer => ({
+		({route, detail}): ExplainResponse => ({
 			version, route, pool: '', policy: '', decision: undefined, problem: detail, servers: [],
 		}),
 	);
 }
 
 function addReadRoutes(app: Hono, context: OperatorContext): void {
-	app.get('/v1/configuration', answer => {
+	app.get('/v1/configuration', exchange => {
 		const {version, digest, ...rest} = context.getConfiguration();
-		return answer.json({version, digest, items: listItems({version, digest, ...rest})} satisfies ConfigurationAnswer);
+		return exchange.json({version, digest, items: listItems({version, digest, ...rest})} satisfies ConfigurationResponse);
 	});
 
-	app.get('/v1/status', answer => answer.json(context.getStatus()));
+	app.get('/v1/status', exchange => exchange.json(context.getStatus()));
 
-	app.get('/v1/fleet', async answer => {
+	app.get('/v1/fleet', async exchange => {
 		const summaries = await context.getFleet();
-		return answer.json({domains: listDomainAnswers(context.getDirectory(), summaries)} satisfies FleetAnswer);
+		return exchange.json({domains: listDomains(context.getDirectory(), summaries)} satisfies FleetResponse);
 	});
 
-	app.get('/v1/nodes', answer => answer.json(listRecords(context.getDirectory()).map((record): NodeAnswer => ({
+	app.get('/v1/nodes', exchange => exchange.json(listRecords(context.getDirectory()).map((record): OperatorEndpoint => ({
 		node: record.id, failureDomain: record.failureDomain, status: record.status, operatorAddress: record.operatorAddress,
 	}))));
 
-	app.get('/v1/servers', answer => {
+	app.get('/v1/servers', exchange => {
 		const servers = [...context.getDirectory().services.keys()].toSorted().flatMap(service => listServers(context.getDirectory(), service));
-		return answer.json(servers.map(({server, node}): ServerAnswer => ({
+		return exchange.json(servers.map(({server, node}): ServerStatus => ({
 			server, node: node.id, failureDomain: node.failureDomain, nodeStatus: node.status, isEjected: context.loads.get(server.id).ejectedUntil > readNow(),
 		})));
 	});
 
-	app.get('/v1/timeline', answer => {
-		const {node, call, version, after} = answer.req.query();
+	app.get('/v1/timeline', exchange => {
+		const {node, call, version, after} = exchange.req.query();
 		const filter: TimelineFilter = {
 			...node === undefined ? {} : {node},
 			...call === undefined ? {} : {call},
 			...version === undefined ? {} : {version: Number(version)},
 		};
-		return answer.json(context.timeline.list(filter, Number(after ?? 0)));
+		return exchange.json(context.timeline.list(filter, Number(after ?? 0)));
 	});
 
-	app.get('/metrics', answer => answer.text(context.metrics.format()));
+	app.get('/metrics', exchange => exchange.text(context.metrics.format()));
 }
 
 function addSubmissionRoutes(app: Hono, context: OperatorContext): void {
-	app.post('/v1/submissions', async answer => {
-		const body: unknown = await settle(answer.req.json());
+	app.post('/v1/submissions', async exchange => {
+		const body: unknown = await settle(exchange.req.json());
 		const parsed = submissionSchema.safeParse(body);
 		if (!parsed.success) {
-			return answer.json({type: 'invalid', problems: describeIssues(parsed.error).map(message => ({item: '', field: '', message}))} satisfies SubmissionOutcome, 422);
+			return exchange.json({type: 'invalid', problems: describeIssues(parsed.error).map(message => ({item: '', field: '', message}))} satisfies SubmissionOutcome, 422);
 		}
 
-		const isDryRun = answer.req.query('dry-run') === 'true';
-		const outcome = isDryRun ? tryOut(context.getConfiguration(), parsed.data) : await context.submit(parsed.data);
+		const isDryRun = exchange.req.query('dry-run') === 'true';
+		const outcome = isDryRun ? evaluateDryRun(context.getConfiguration(), parsed.data) : await context.submit(parsed.data);
 		if (outcome.type === 'unavailable') {
-			answer.header('retry-after', String(Math.ceil(outcome.retryAfterMs / 1000)));
+			exchange.header('retry-after', String(Math.ceil(outcome.retryAfterMs / 1000)));
 		}
 
-		return answer.json(outcome, outcomeStatus[outcome.type]);
+		return exchange.json(outcome, outcomeStatus[outcome.type]);
 	});
 
-	app.get('/v1/submissions/:id', async answer => {
-		const found = await context.findSubmission(toSubmissionId(answer.req.param('id')));
+	app.get('/v1/submissions/:id', async exchange => {
+		const found = await context.findSubmission(toSubmissionId(exchange.req.param('id')));
 		return typeof found === 'string'
-			? answer.json({type: 'unavailable', reason: found}, 503)
-			: answer.json({type: found === 0 ? 'not-found' : 'accepted', version: found});
+			? exchange.json({type: 'unavailable', reason: found}, 503)
+			: exchange.json({type: found === 0 ? 'not-found' : 'accepted', version: found});
 	});
 
-	app.post('/v1/republish', async answer => {
+	app.post('/v1/republish', async exchange => {
 		const problem = await context.republish();
-		return problem === '' ? answer.json({type: 'republished', version: context.getConfiguration().version}) : answer.json({type: 'refused', reason: problem}, 409);
+		return problem === '' ? exchange.json({type: 'republished', version: context.getConfiguration().version}) : exchange.json({type: 'refused', reason: problem}, 409);
 	});
 }
 
@@ -193,36 +193,36 @@
 	addReadRoutes(app, context);
 	addSubmissionRoutes(app, context);
 
-	app.post('/v1/drain', async answer => {
-		const body = z.strictObject({server: z.string().optional()}).safeParse(await settle(answer.req.json()) ?? {});
+	app.post('/v1/drain', async exchange => {
+		const body = z.strictObject({server: z.string().optional()}).safeParse(await settle(exchange.req.json()) ?? {});
 		if (!body.success) {
-			return answer.json({reason: 'bad-request', problems: describeIssues(body.error)}, 400);
+			return exchange.json({reason: 'bad-request', problems: describeIssues(body.error)}, 400);
 		}
 
 		if (body.data.server === undefined) {
 			context.localServers.drainAll();
-			return answer.json({draining: context.localServers.list().map(({server}) => server.id)});
+			return exchange.json({draining: context.localServers.list().map(({server}) => server.id)});
 		}
 
 		const id = toBackendServerId(body.data.server);
 		return context.localServers.drain(id)
-			? answer.json({draining: [id]})
-			: answer.json({reason: 'unknown-server', problems: [`${id} is not beside this node; "stonemoor servers" shows beside which node it is`]}, 404);
+			? exchange.json({draining: [id]})
+			: exchange.json({reason: 'unknown-server', problems: [`${id} is not beside this node; "stonemoor servers" shows beside which node it is`]}, 404);
 	});
 
-	app.post('/v1/explain', async answer => {
-		const parsed = explainSchema.safeParse(await settle(answer.req.json()));
+	app.post('/v1/explain', async exchange => {
+		const parsed = explainSchema.safeParse(await settle(exchange.req.json()));
 		const snapshot = context.getSnapshot();
 		if (!parsed.success) {
-			return answer.json({reason: 'bad-request', problems: describeIssues(parsed.error)}, 400);
+			return exchange.json({reason: 'bad-request', problems: describeIssues(parsed.error)}, 400);
 		}
 
 		if (snapshot === undefined) {
-			return answer.json({reason: 'not-ready', problems: ['this node has no configuration that it may serve yet']}, 503);
+			return exchange.json({reason: 'not-ready', problems: ['this node has no configuration that it may serve yet']}, 503);
 		}
 
 		const {headers, ...rest} = parsed.data;
-		return answer.json(explain(context, snapshot, {...rest, headers: new Map(Object.entries(headers))}));
+		return exchange.json(explain(context, snapshot, {...rest, headers: new Map(Object.entries(headers))}));
 	});
 
 	return app;
--- a/src/lib/operators/operator-messages.ts
+++ b/src/lib/operators/operator-messages.ts
@@ -12,14 +12,14 @@
 import {type StoreCounts} from '../store/budgeted-store.js';
 
 /** The configuration in force on one node. @public */
-export type ConfigurationAnswer = {
+export type ConfigurationResponse = {
 	readonly version: number;
 	readonly digest: string;
 	readonly items: readonly ConfiguredItem[];
 };
 
 /** One node's own state. @public */
-export type NodeStatusAnswer = {
+export type NodeStatusResponse = {
 	readonly node: string;
 	readonly failureDomain: string;
 	readonly version: number;
@@ -42,12 +42,12 @@
 };
 
 /** What is in force in every failure domain. @public */
-export type FleetAnswer = {
-	readonly domains: readonly DomainAnswer[];
+export type FleetResponse = {
+	readonly domains: readonly DomainStatus[];
 };
 
 /** @public */
-export type DomainAnswer = {
+export type DomainStatus = {
 	readonly failureDomain: string;
 	/** Nodes that the directory holds for usable. */
 	readonly expected: number;
@@ -56,7 +56,7 @@
 };
 
 /** @public */
-export type ServerAnswer = {
+export type ServerStatus = {
 	readonly server: BackendServer;
 	readonly node: string;
 	readonly failureDomain: string;
@@ -65,7 +65,7 @@
 };
 
 /** What would become of a request, and why. @public */
-export type ExplainAnswer = {
+export type ExplainResponse = {
 	readonly version: number;
 	readonly route: string;
 	readonly pool: string;
@@ -76,10 +76,10 @@
 };
 
 /** @public */
-export type CheckAnswer = {readonly problems: readonly Problem[]};
+export type CheckResponse = {readonly problems: readonly Problem[]};
 
 /** Where to find a node's operators' port. @public */
-export type NodeAnswer = {
+export type OperatorEndpoint = {
 	readonly node: string;
 	readonly failureDomain: string;
 	readonly status: NodeStatus;
@@ -94,7 +94,7 @@
  * @returns Why not, domain by domain; empty when it is.
  * @public
  */
-export function findMissing(fleet: FleetAnswer, version: number): readonly string[] {
+export function findConvergenceProblems(fleet: FleetResponse, version: number): readonly string[] {
 	return fleet.domains.flatMap(({failureDomain, expected, summary}) => {
 		if (summary === undefined) {
 			return [`${failureDomain}: its relay has not reported lately`];
@@ -108,9 +108,9 @@
 			return [];
 		}
 
-		const named = summary.laggards
+		const laggards = summary.laggards
 			.filter(laggard => laggard.version < version)
-			.map(({node, version: has, reason}) => `${node} has ${has}${reason === '' ? '' : ` (${reason})`}`);
-		return [`${failureDomain}: ${named.join(', ')}`];
+			.map(({node, version: nodeVersion, reason}) => `${node} has ${nodeVersion}${reason === '' ? '' : ` (${reason})`}`);
+		return [`${failureDomain}: ${laggards.join(', ')}`];
 	});
 }
--- a/src/lib/peers/peer-link.test.ts
+++ b/src/lib/peers/peer-link.test.ts
@@ -8,7 +8,7 @@
 	toAddress, toFailureDomain, toNodeId, type NodeId,
 } from '../common/ids.js';
 import {silentLog} from '../timeline/mesh-log.js';
-import {silentRefusals} from '../timeline/refusals.js';
+import {silentRefusalLog} from '../timeline/refusal-log.js';
 import {createPeerLink, type PeerLink} from './peer-link.js';
 import {type PeerLimits} from './peer-table.js';
 import {encodeReport, type ServerState} from './peer-report.js';
@@ -41,7 +41,7 @@
 		}),
 		isFollowing: () => false,
 		log: silentLog,
-		refusals: silentRefusals,
+		refusals: silentRefusalLog,
 		random: Math.random,
 		handleReport,
 		handleRound: () => undefined,
--- a/src/lib/peers/peer-link.ts
+++ b/src/lib/peers/peer-link.ts
@@ -10,7 +10,7 @@
 import {type Address, type FailureDomain, type NodeId} from '../common/ids.js';
 import {createTokenBucket, takeToken} from '../common/token-bucket.js';
 import {type MeshLog} from '../timeline/mesh-log.js';
-import {type Refusal, type Refusals} from '../timeline/refusals.js';
+import {type Refusal, type RefusalLog} from '../timeline/refusal-log.js';
 import {computePeriods, planHeartbeats, type HeartbeatPlan} from './heartbeat-plan.js';
 import {computeRoundDelay} from './heartbeat-rounds.js';
 import {chooseAnnouncementTargets} from './announcement-targets.js';
@@ -37,7 +37,7 @@
 	/** Whether other nodes rely on this node to watch the store. */
 	readonly isFollowing: () => boolean;
 	readonly log: MeshLog;
-	readonly refusals: Refusals;
+	readonly refusals: RefusalLog;
 	readonly random: () => number;
 	/** Called with each report that is not refused, also if it changed nothing. */
 	readonly handleReport: (report: PeerReport, news: PeerChange) => void;
@@ -260,7 +260,7 @@
 	};
 
 	const refuse = ({address, port}: RemoteInfo, problem: HeartbeatProblem): void => {
-		refusals.note({kind: 'heartbeat-refused', place: `${address}:${port}`, ...problem});
+		refusals.record({kind: 'heartbeat-refused', place: `${address}:${port}`, ...problem});
 	};
 
 	/** Returns why a decoded report is refused, or `undefined` if it is accepted. */
--- a/src/lib/route-config/text-delta.ts
+++ b/src/lib/route-config/text-delta.ts
@@ -5,7 +5,7 @@
  *
  * @module
  */
-import {getCrypto} from '../common/late-modules.js';
+import {getCrypto} from '../common/lazy-modules.js';
 
 /** Copies a range of parts of the old text, given by the index of the first and their number, or inserts a new text. */
 type DeltaOperation = readonly [first: number, count: number] | string;
--- a/src/lib/settings/load-settings.ts
+++ b/src/lib/settings/load-settings.ts
@@ -6,7 +6,7 @@
 import {err, ok, type Result} from 'neverthrow';
 import {LineCounter, parseDocument} from 'yaml';
 import {
-	createLocator, describeIssue, getField, findKeyPlace, type FieldPath,
+	createLocator, describeIssue, getField, findKeyPosition, type FieldPath,
 } from '../common/locate-yaml.js';
 import {settingsSchema, type Settings} from './settings.js';
 
@@ -58,7 +58,7 @@
 		const path = issue.path as FieldPath;
 		const [unknownKey] = issue.code === 'unrecognized_keys' ? issue.keys : [];
 		// An unknown key is shown where it stands, not where its parent begins.
-		const place = unknownKey === undefined ? undefined : findKeyPlace(document, lines, path, unknownKey);
+		const place = unknownKey === undefined ? undefined : findKeyPosition(document, lines, path, unknownKey);
 		const field = [...path, ...unknownKey === undefined ? [] : [unknownKey]].join('.');
 		return {field, message: describeIssue(issue, getField(value, path)), ...place ?? locate(path)};
 	}));
--- a/src/lib/sidecar/announcement-server.ts
+++ b/src/lib/sidecar/announcement-server.ts
@@ -12,7 +12,7 @@
 import {type AnnouncementRefusal} from '../local-server/announcement-refusal.js';
 import {type ServerAnnouncement, type ServerLeave} from '../local-server/local-server.js';
 import {type RefusalCause} from '../timeline/mesh-log.js';
-import {type Refusals} from '../timeline/refusals.js';
+import {type RefusalLog} from '../timeline/refusal-log.js';
 
 /** A call of a backend server. @internal */
 export type ServerCall =
@@ -25,7 +25,7 @@
 	readonly decode: (method: string, target: string, body: string) => Result<ServerCall | undefined, AnnouncementRefusal>;
 	/** Takes a call in, or says why it is not. */
 	readonly handleCall: (call: ServerCall) => Result<undefined, AnnouncementRefusal>;
-	readonly refusals: Refusals;
+	readonly refusals: RefusalLog;
 };
 
 type CallOutcome =
@@ -50,7 +50,7 @@
 	const {decode, handleCall, refusals} = context;
 
 	const refuse = (response: ServerResponse, place: string, cause: RefusalCause, reason: string): void => {
-		refusals.note({
+		refusals.record({
 			kind: 'announcement-refused', cause, place, reason,
 		});
 		answer(response, 400, JSON.stringify({error: reason}));
--- a/src/lib/sidecar/config-sync.test.ts
+++ b/src/lib/sidecar/config-sync.test.ts
@@ -7,7 +7,7 @@
 import {createSampleReport} from '../peers/sample-report.js';
 import {type MeshStore} from '../store/mesh-store.js';
 import {silentLog} from '../timeline/mesh-log.js';
-import {silentRefusals} from '../timeline/refusals.js';
+import {silentRefusalLog} from '../timeline/refusal-log.js';
 import {createConfigSync, type ConfigSync} from './config-sync.js';
 
 /** A node alone with a store in era 1 that holds no configuration and whose watches hang. */
@@ -42,7 +42,7 @@
 		peerLimits: {
 			silenceMs: 1000, probeMs: 500, forgetMs: 60_000, avoidMs: 250, getPeriodMs: () => 400,
 		},
-		isNear: () => true, fetchConfig: async () => err({type: 'nothing', reason: 'none'}), log: silentLog, refusals: silentRefusals, random: () => 0,
+		isNear: () => true, fetchConfig: async () => err({type: 'nothing', reason: 'none'}), log: silentLog, refusals: silentRefusalLog, random: () => 0,
 		suspects: {listQuarantined: () => [], handleRecords: () => undefined}, handleAdopted: () => undefined,
 	});
 	context.after(sync.dispose);
--- a/src/lib/sidecar/config-sync.ts
+++ b/src/lib/sidecar/config-sync.ts
@@ -25,7 +25,7 @@
 	createSuspectEntries, suspectPrefix, type SuspectEntries, type SuspectEntriesContext,
 } from '../sync/suspect-entries.js';
 import {type MeshLog} from '../timeline/mesh-log.js';
-import {type Refusals} from '../timeline/refusals.js';
+import {type RefusalLog} from '../timeline/refusal-log.js';
 import {createConfigAnswers} from './config-answers.js';
 import {createNewerConfigFetcher} from './newer-config.js';
 
@@ -46,7 +46,7 @@
 	readonly isNear: (report: PeerReport) => boolean;
 	readonly fetchConfig: GateClient['fetchConfig'];
 	readonly log: MeshLog;
-	readonly refusals: Refusals;
+	readonly refusals: RefusalLog;
 	readonly random: () => number;
 	/** What keeps and finds quarantined requests in the store. */
 	readonly suspects: Pick<SuspectEntriesContext, 'listQuarantined' | 'handleRecords'>;
--- a/src/lib/sidecar/housekeeping.ts
+++ b/src/lib/sidecar/housekeeping.ts
@@ -6,7 +6,7 @@
  */
 import {readSteadyMs} from '../common/clock.js';
 import {toLifetimeKey} from '../common/server-lifetime.js';
-import {createYoungGeneration} from '../common/young-generation.js';
+import {createYoungGenerationTuner} from '../common/young-generation-tuner.js';
 import {type LoadView} from '../decisions/load-view.js';
 import {type PeerLink} from '../peers/peer-link.js';
 import {type SilenceWatchers} from './silence-watchers.js';
@@ -41,7 +41,7 @@
  * @internal
  */
 export function createHousekeeping({listPeers, loads, silence, applyGrowthFactor}: HousekeepingContext): Housekeeping {
-	const young = createYoungGeneration(applyGrowthFactor);
+	const young = createYoungGenerationTuner(applyGrowthFactor);
 	let finishedCalls = 0;
 	let loadCheckedAt = readSteadyMs();
 	let forgetTimer: NodeJS.Timeout | undefined;
@@ -63,7 +63,7 @@
 				return;
 			}
 
-			young.note(finishedCalls, now - loadCheckedAt);
+			young.recordLoad(finishedCalls, now - loadCheckedAt);
 			finishedCalls = 0;
 			loadCheckedAt = now;
 		},
--- a/src/lib/sidecar/sidecar.ts
+++ b/src/lib/sidecar/sidecar.ts
@@ -5,12 +5,12 @@
  * @module
  */
 import {type Result} from 'neverthrow';
-import {alignClocks, readSteadyMs, watchResume} from '../common/clock.js';
+import {updateClockOffsets, readSteadyMs, watchResume} from '../common/clock.js';
 import {type NodeId} from '../common/ids.js';
 import {toLifetimeKey} from '../common/server-lifetime.js';
 import {listenAt} from '../common/listen-at.js';
 import {createLoopLag} from '../common/loop-lag.js';
-import {createWorkTurns} from '../common/work-turns.js';
+import {createRequestStartLimiter} from '../common/request-start-limiter.js';
 import {type CallHeaderNames} from '../forwarding/call-headers.js';
 import {createEntryServer, type FinishedCall} from '../forwarding/entry-server.js';
 import {createGateClient} from '../forwarding/gate-client.js';
@@ -31,7 +31,7 @@
 import {type Candidate} from '../decisions/rank-servers.js';
 import {type MeshStore} from '../store/mesh-store.js';
 import {type MeshLog} from '../timeline/mesh-log.js';
-import {createRefusals} from '../timeline/refusals.js';
+import {createRefusalLog} from '../timeline/refusal-log.js';
 import {createAnnouncementServer, type AnnouncementContext} from './announcement-server.js';
 import {createConfigSync} from './config-sync.js';
 import {createHousekeeping} from './housekeeping.js';
@@ -98,7 +98,7 @@
 	let settings = firstSettings;
 	const metrics = createMeshMetrics();
 	const log = metrics.countEvents(surroundings.log);
-	const refusals = createRefusals(log, metrics.countRefusal);
+	const refusals = createRefusalLog(log, metrics.countRefusal);
 	const {node: self, failureDomain: domain} = settings;
 	const run = createRunName(random);
 	const createdAt = readSteadyMs();
@@ -111,16 +111,16 @@
 	const awaitedRoutes = createNestedCallDetector();
 	const loads = createLoadView();
 	const lag = createLoopLag();
-	const turns = createWorkTurns();
+	const turns = createRequestStartLimiter();
 	/**
 	 * Work on a caller's request begins once what arrived with it is heard; that on requests of new connections, a few a turn. A new connection may have waited in
 	 * the listening socket's queue for seconds while turns are short, and its caller have left, as at the last node of a failure domain whose
 	 * others have been killed.
 	 */
 	const waitForWork = async (isNewConnection: boolean): Promise<void> => {
-		await lag.catchUp(isNewConnection);
+		await lag.waitForPendingInput(isNewConnection);
 		if (isNewConnection) {
-			await turns.begin();
+			await turns.waitForStart();
 		}
 	};
 
@@ -192,7 +192,7 @@
 		settings: {
 			...peerLimits, node: self, listen: settings.listen.gossip, domain, periodMs: heartbeatMs,
 		}, describeSelf, isFollowing: () => sync.describeDuties().isFollowing, log, refusals, random, handleReport, handleRound(lateMs) {
-			alignClocks();
+			updateClockOffsets();
 			watch.handleRound(lateMs);
 			housekeeping.handleRound();
 		},
@@ -266,7 +266,7 @@
 		waitForPendingInput: waitForWork,
 		estimateUnreadMs: lag.estimateUnreadMs,
 	});
-	const waitForLag = async (): Promise<void> => lag.catchUp();
+	const waitForLag = async (): Promise<void> => lag.waitForPendingInput();
 	const gateServer = createGateServer({
 		gate, getConfig: sync.answerConfig, catchUp: waitForLag, log, refusals, link: linkWriter,
 	});
@@ -294,7 +294,7 @@
 
 	const watch = createPeerWatch({
 		link, limits: peerLimits, silence, gateClient, log, handleDelay(delayMs) {
-			lag.note(delayMs);
+			lag.recordTimerDelay(delayMs);
 			metrics.recordDelay(delayMs);
 		},
 	});
--- a/src/lib/sync/crash-entries.test.ts
+++ b/src/lib/sync/crash-entries.test.ts
@@ -7,7 +7,7 @@
 import {computeCrashKey, type SuspectRecord} from '../quarantine/suspect-record.js';
 import {type StoreItem} from '../store/mesh-store.js';
 import {silentLog} from '../timeline/mesh-log.js';
-import {type Refusal} from '../timeline/refusals.js';
+import {type Refusal} from '../timeline/refusal-log.js';
 import {crashPrefix, createCrashEntries, type CrashEntries} from './crash-entries.js';
 
 const getFingerprint = (target: string) => computeFingerprint({
@@ -51,7 +51,7 @@
 		},
 		log: silentLog,
 		refusals: {
-			note(refusal) {
+			record(refusal) {
 				refused.push(refusal);
 			},
 			dispose: () => undefined,
--- a/src/lib/sync/crash-entries.ts
+++ b/src/lib/sync/crash-entries.ts
@@ -15,14 +15,14 @@
 import {FieldError} from '../common/field-error.js';
 import {type MeshStore, type StoreItem} from '../store/mesh-store.js';
 import {type MeshLog} from '../timeline/mesh-log.js';
-import {type Refusals} from '../timeline/refusals.js';
+import {type RefusalLog} from '../timeline/refusal-log.js';
 import {putLeased} from './put-leased.js';
 
 /** @internal */
 export type CrashEntriesContext = {
 	readonly store: Pick<MeshStore, 'putItem' | 'grantLease' | 'listItems'>;
 	readonly log: MeshLog;
-	readonly refusals: Refusals;
+	readonly refusals: RefusalLog;
 	/** Called with the records from the store, if there are any. */
 	readonly handleRecords: (records: readonly SuspectRecord[]) => void;
 };
@@ -64,7 +64,7 @@
 
 			return toSuspectRecords(decodeCrashReport(crash, value, 'value'));
 		} catch (error) {
-			refusals.note({
+			refusals.record({
 				kind: 'entry-refused', cause: 'unreadable', place: key, reason: `${(error as Error).message}; remove the entry`,
 			});
 			return [];
--- a/src/lib/sync/node-entry-tracker.test.ts
+++ b/src/lib/sync/node-entry-tracker.test.ts
@@ -3,7 +3,7 @@
 import fc from 'fast-check';
 import {type Address} from '../common/ids.js';
 import {type StoreItem} from '../store/mesh-store.js';
-import {type Refusal} from '../timeline/refusals.js';
+import {type Refusal} from '../timeline/refusal-log.js';
 import {createNodeEntryTracker, type NodeEntryTracker} from './node-entry-tracker.js';
 
 function createTracker(known: ReadonlySet<string> = new Set()): NodeEntryTracker & {readonly refused: Refusal[]} {
@@ -11,7 +11,7 @@
 	const tracker = createNodeEntryTracker({
 		isKnown: (address: Address) => known.has(address),
 		refusals: {
-			note(refusal) {
+			record(refusal) {
 				refused.push(refusal);
 			},
 			dispose: () => undefined,
--- a/src/lib/sync/node-entry-tracker.ts
+++ b/src/lib/sync/node-entry-tracker.ts
@@ -11,13 +11,13 @@
 import {toAddress, type Address} from '../common/ids.js';
 import {type StoreItem} from '../store/mesh-store.js';
 import {type StoreEra} from '../store/store-position.js';
-import {type Refusals} from '../timeline/refusals.js';
+import {type RefusalLog} from '../timeline/refusal-log.js';
 
 /** @internal */
 export type NodeEntryTrackerContext = {
 	/** Returns whether a known node receives heartbeats at an address. */
 	readonly isKnown: (address: Address) => boolean;
-	readonly refusals: Refusals;
+	readonly refusals: RefusalLog;
 };
 
 /** @internal */
@@ -65,7 +65,7 @@
 	const reportUnusable = (entry: Entry, {key, value}: StoreItem, cause: 'unreadable' | 'no-answer', allowed: string): void => {
 		if (!entry.isReported) {
 			entry.isReported = true;
-			refusals.note({
+			refusals.record({
 				kind: 'entry-refused', cause, place: key, reason: new FieldError('value', value, allowed).message,
 			});
 		}
--- a/src/lib/sync/registration.test.ts
+++ b/src/lib/sync/registration.test.ts
@@ -4,7 +4,7 @@
 import {toAddress, toNodeId} from '../common/ids.js';
 import {type MeshStore} from '../store/mesh-store.js';
 import {silentLog} from '../timeline/mesh-log.js';
-import {silentRefusals} from '../timeline/refusals.js';
+import {silentRefusalLog} from '../timeline/refusal-log.js';
 import {createRegistration} from './registration.js';
 import {createStoreHealth} from './store-health.js';
 
@@ -65,7 +65,7 @@
 	};
 	const registration = createRegistration({
 		store: store as unknown as MeshStore, health: createStoreHealth(silentLog, () => undefined), self: toNodeId('n1'), gossip: toAddress('10.0.0.1:1'), log: silentLog,
-		random: () => 0.5, isFollowing: () => isFollowing, countPeers: () => peers, countSilent: () => silent, isKnown: () => false, refusals: silentRefusals,
+		random: () => 0.5, isFollowing: () => isFollowing, countPeers: () => peers, countSilent: () => silent, isKnown: () => false, refusals: silentRefusalLog,
 		handleAddresses: () => undefined, handleOtherItems: () => undefined,
 	});
 	context.after(registration.dispose);
--- a/src/lib/sync/registration.ts
+++ b/src/lib/sync/registration.ts
@@ -10,7 +10,7 @@
 import {type MeshStore, type StoreItem, type StoreItems} from '../store/mesh-store.js';
 import {hasReached, type StoreLease, type StorePosition} from '../store/store-position.js';
 import {type MeshLog} from '../timeline/mesh-log.js';
-import {type Refusals} from '../timeline/refusals.js';
+import {type RefusalLog} from '../timeline/refusal-log.js';
 import {createNodeEntryTracker} from './node-entry-tracker.js';
 import {type StoreHealth} from './store-health.js';
 
@@ -30,7 +30,7 @@
 	readonly countSilent: () => number;
 	/** Returns whether a known node receives heartbeats at an address. */
 	readonly isKnown: (address: Address) => boolean;
-	readonly refusals: Refusals;
+	readonly refusals: RefusalLog;
 	/** Called after each list with the addresses of other nodes to contact. */
 	readonly handleAddresses: (addresses: readonly Address[]) => void;
 	/** Called after each list with the entries of the mesh other than those of nodes. */
--- a/src/lib/sync/suspect-entries.test.ts
+++ b/src/lib/sync/suspect-entries.test.ts
@@ -6,7 +6,7 @@
 import {toBackendServerId} from '../common/ids.js';
 import {type StoreItem} from '../store/mesh-store.js';
 import {silentLog} from '../timeline/mesh-log.js';
-import {type Refusal} from '../timeline/refusals.js';
+import {type Refusal} from '../timeline/refusal-log.js';
 import {createSuspectEntries, suspectPrefix, type SuspectEntries} from './suspect-entries.js';
 
 const record: SuspectRecord = {
@@ -50,7 +50,7 @@
 		},
 		log: silentLog,
 		refusals: {
-			note(refusal) {
+			record(refusal) {
 				refused.push(refusal);
 			},
 			dispose: () => undefined,
--- a/src/lib/sync/suspect-entries.ts
+++ b/src/lib/sync/suspect-entries.ts
@@ -10,14 +10,14 @@
 import {decodeSuspect, encodeSuspect, type SuspectRecord} from '../quarantine/suspect-record.js';
 import {type MeshStore, type StoreItem} from '../store/mesh-store.js';
 import {type MeshLog} from '../timeline/mesh-log.js';
-import {type Refusals} from '../timeline/refusals.js';
+import {type RefusalLog} from '../timeline/refusal-log.js';
 import {putLeased} from './put-leased.js';
 
 /** @internal */
 export type SuspectEntriesContext = {
 	readonly store: Pick<MeshStore, 'putItem' | 'grantLease'>;
 	readonly log: MeshLog;
-	readonly refusals: Refusals;
+	readonly refusals: RefusalLog;
 	readonly random: () => number;
 	/** Returns the number of other nodes that are known. */
 	readonly countPeers: () => number;
@@ -64,7 +64,7 @@
 		try {
 			return decodeSuspect(JSON.parse(value), 'value');
 		} catch (error) {
-			refusals.note({
+			refusals.record({
 				kind: 'entry-refused', cause: 'unreadable', place: key, reason: `${(error as Error).message}; remove the entry`,
 			});
 			return undefined;
--- a/src/lib/timeline/explain-call.test.ts
+++ b/src/lib/timeline/explain-call.test.ts
@@ -1,15 +1,15 @@
 import assert from 'node:assert/strict';
 import test from 'node:test';
 import {explainCall, parseLogLine, type LogLine} from './explain-call.js';
-import {type AttemptNote, type MeshEvent} from './mesh-log.js';
+import {type AttemptRecord, type MeshEvent} from './mesh-log.js';
 
 const createLine = (node: string, second: number, event: MeshEvent): LogLine => ({...event, node, time: new Date(Date.UTC(2026, 0, 1, 0, 0, second)).toISOString()});
 
-const createAttempt = (outcome: string, changes: Partial<AttemptNote> = {}): AttemptNote => ({
+const createAttempt = (outcome: string, changes: Partial<AttemptRecord> = {}): AttemptRecord => ({
 	server: 'i-1', node: 'n2', verdict: 'not-run', outcome, tookMs: 7, infoAgeMs: 120, ...changes,
 });
 
-function createEnd(reason: string, status: number, attempts: readonly AttemptNote[]): MeshEvent {
+function createEnd(reason: string, status: number, attempts: readonly AttemptRecord[]): MeshEvent {
 	return {
 		kind: 'call-finished', call: 'c1', route: 'logs', version: 9, status, verdict: status === 503 ? 'not-run' : 'may-have-run', reason, tookMs: 30, leftMs: 900, attempts,
 	};
--- a/src/lib/timeline/explain-call.ts
+++ b/src/lib/timeline/explain-call.ts
@@ -4,7 +4,7 @@
  *
  * @module
  */
-import {type AttemptNote, type MeshEvent} from './mesh-log.js';
+import {type AttemptRecord, type MeshEvent} from './mesh-log.js';
 
 /** One line of a log. @public */
 export type LogLine = MeshEvent & {
@@ -14,7 +14,7 @@
 };
 
 /** What became of a request. @public */
-export type CallStory = {
+export type CallExplanation = {
 	/** One sentence an event, in order. */
 	readonly steps: readonly string[];
 	/** Why it ended as it did, in one sentence. */
@@ -43,7 +43,7 @@
 	}
 }
 
-function describeAttempt({server, node, outcome, verdict, tookMs, infoAgeMs}: AttemptNote): string {
+function describeAttempt({server, node, outcome, verdict, tookMs, infoAgeMs}: AttemptRecord): string {
 	const age = infoAgeMs === undefined ? '' : `, chosen by what was heard ${infoAgeMs} ms before`;
 	return `${server} beside ${node}: ${outcome} after ${tookMs} ms (${verdict}${age})`;
 }
@@ -79,7 +79,7 @@
 }
 
 /** What reasons mean, for people who do not know the code. */
-const causes: Readonly<Record<string, string>> = {
+const causeTexts: Readonly<Record<string, string>> = {
 	full: 'no backend server of the service had a slot in time: the service was overloaded, or many of its servers were away',
 	draining: 'the backend servers that were asked were leaving',
 	gone: 'the backend server had started again or been replaced, and this node had not heard of it yet',
@@ -97,7 +97,7 @@
 };
 
 /** Events that explain what happened to a server or a node around that time. */
-function isAbout(line: LogLine, names: ReadonlySet<string>): boolean {
+function isRelated(line: LogLine, names: ReadonlySet<string>): boolean {
 	switch (line.kind) {
 		case 'peer-lost':
 		case 'peer-avoided': {
@@ -129,7 +129,7 @@
 }
 
 /** Events this long before a request's end may explain it. Milliseconds. */
-const surroundingMs = 5000;
+const relatedEventsWindowMs = 5000;
 
 function findCause(lines: readonly LogLine[]): string {
 	const end = lines.findLast(line => line.kind === 'call-finished' || line.kind === 'request-refused' || line.kind === 'caller-left');
@@ -142,7 +142,7 @@
 	}
 
 	if (end.kind === 'caller-left') {
-		return causes.cancelled!;
+		return causeTexts.cancelled!;
 	}
 
 	const reason = end.reason.split(':')[0] ?? '';
@@ -150,7 +150,7 @@
 		return end.status >= 500 ? 'the backend server itself failed it' : 'it was answered';
 	}
 
-	return causes[reason] ?? reason;
+	return causeTexts[reason] ?? reason;
 }
 
 /**
@@ -161,7 +161,7 @@
  * @returns The story, or `undefined` if no line speaks of it.
  * @public
  */
-export function explainCall(lines: readonly LogLine[], call: string): CallStory | undefined {
+export function explainCall(lines: readonly LogLine[], call: string): CallExplanation | undefined {
 	const own = lines.filter(line => 'call' in line && line.call === call).toSorted((left, right) => left.time < right.time ? -1 : 1);
 	const last = own.at(-1);
 	if (last === undefined) {
@@ -171,7 +171,7 @@
 	const attempts = own.flatMap(line => line.kind === 'call-finished' ? line.attempts : (line.kind === 'attempt-failed' ? [line.attempt] : []));
 	const names = new Set([...attempts.flatMap(({server, node}) => [server, node]), ...own.map(({node}) => node)]);
 	const endedAt = Date.parse(last.time);
-	const around = lines.filter(line => isAbout(line, names) && Math.abs(endedAt - Date.parse(line.time)) <= surroundingMs);
+	const around = lines.filter(line => isRelated(line, names) && Math.abs(endedAt - Date.parse(line.time)) <= relatedEventsWindowMs);
 	const steps = [...own, ...around].toSorted((left, right) => left.time < right.time ? -1 : 1).map(line => {
 		const text = describeLine(line) ?? `meanwhile ${line.node}: ${line.kind} ${JSON.stringify({
 			...line, time: undefined, node: undefined, kind: undefined, level: undefined,
--- a/src/lib/timeline/line-log.test.ts
+++ b/src/lib/timeline/line-log.test.ts
@@ -15,7 +15,7 @@
 			write(line) {
 				lines.push(JSON.parse(line) as Line);
 			},
-			countHeldBytes: () => held,
+			countBufferedBytes: () => held,
 			flush: async () => undefined,
 		},
 	};
--- a/src/lib/timeline/line-log.ts
+++ b/src/lib/timeline/line-log.ts
@@ -26,33 +26,33 @@
 	/** Takes a line without waiting. */
 	readonly write: (line: string) => void;
 	/** Bytes taken that nobody has read yet. */
-	readonly countHeldBytes: () => number;
+	readonly countBufferedBytes: () => number;
 	readonly flush: () => Promise<void>;
 };
 
 /** Lines held at the most while nobody reads them, in bytes. */
-const maxHeldBytes = 262_144;
+const maximumBufferedBytes = 262_144;
 
 /** Above this share of what may be held, only lines from `warn` on are kept. */
-const failuresOnlyShare = 0.5;
+const warningsOnlyShare = 0.5;
 
 /** Lines of one kind and level below `warn` in a second: a line costs some 20 microseconds, so this is a thousandth of a core. */
-const linesPerSecond = 25;
+const maximumLinesPerSecond = 25;
 
 /** The same for lines that tell how a failed request ended: without its own line a failure cannot be explained. A node that refuses more than this in a second says so by the count of the rest. */
-const failedCallsPerSecond = 200;
+const maximumFinalLinesPerSecond = 200;
 
 /** Kinds that end the story of one request. */
-const endKinds: ReadonlySet<MeshEvent['kind']> = new Set<MeshEvent['kind']>(['call-finished', 'request-refused', 'caller-left']);
+const finalKinds: ReadonlySet<MeshEvent['kind']> = new Set<MeshEvent['kind']>(['call-finished', 'request-refused', 'caller-left']);
 
 /** Lines are gathered for this long before they are written. Milliseconds. */
-const flushMs = 200;
+const flushDelayMs = 200;
 
 /**
  * Opens a pipe a second time so that a write to it never blocks: a write that
  * blocks in a thread of the pool keeps the process from exiting.
  */
-function openWithoutBlocking(fd: number): number {
+function openNonBlocking(fd: number): number {
 	try {
 		return openSync(`/proc/self/fd/${fd}`, constants.O_WRONLY | constants.O_NONBLOCK | constants.O_APPEND);
 	} catch {
@@ -71,14 +71,14 @@
  */
 export function createDescriptorSink(fd: number): LineSink {
 	const boom = new sonicBoom.SonicBoom({
-		fd: openWithoutBlocking(fd), sync: false, minLength: 4096, maxLength: maxHeldBytes,
+		fd: openNonBlocking(fd), sync: false, minLength: 4096, maxLength: maximumBufferedBytes,
 	});
-	let held = 0;
+	let bufferedBytes = 0;
 	boom.on('write', (bytes: number) => {
-		held = Math.max(0, held - bytes);
+		bufferedBytes = Math.max(0, bufferedBytes - bytes);
 	});
 	boom.on('drop', (line: string) => {
-		held = Math.max(0, held - line.length);
+		bufferedBytes = Math.max(0, bufferedBytes - line.length);
 	});
 	boom.on('error', () => {
 		// There is nowhere left to say so: the log itself has failed, and the node goes on.
@@ -88,25 +88,25 @@
 		timer ??= setTimeout(() => {
 			timer = undefined;
 			boom.flush();
-			if (held > 0) {
+			if (bufferedBytes > 0) {
 				// Nobody reads: what is held is tried again.
 				flushSoon();
 			}
-		}, flushMs).unref();
+		}, flushDelayMs).unref();
 	};
 
 	return {
 		write(line) {
-			held += line.length;
+			bufferedBytes += line.length;
 			boom.write(line);
 			flushSoon();
 		},
-		countHeldBytes: () => held,
+		countBufferedBytes: () => bufferedBytes,
 		async flush() {
 			clearTimeout(timer);
 			return new Promise(resolve => {
 				// Whoever has stopped reading does not keep the process.
-				setTimeout(resolve, lastFlushMs);
+				setTimeout(resolve, lastFlushTimeoutMs);
 				boom.flush(() => {
 					resolve();
 				});
@@ -116,15 +116,15 @@
 }
 
 /** How long the last lines may take. Milliseconds. */
-const lastFlushMs = 200;
+const lastFlushTimeoutMs = 200;
 
-type Bound = {
+type CountWindow = {
 	readonly startedAt: number;
 	readonly written: Map<string, number>;
-	readonly left: Map<string, number>;
+	readonly dropped: Map<string, number>;
 };
 
-const createBound = (startedAt: number): Bound => ({startedAt, written: new Map(), left: new Map()});
+const createCountWindow = (startedAt: number): CountWindow => ({startedAt, written: new Map(), dropped: new Map()});
 
 function add(counts: Map<string, number>, kind: string): number {
 	const count = (counts.get(kind) ?? 0) + 1;
@@ -142,8 +142,8 @@
  * @internal
  */
 export function createLineLog(node: string, level: LogLevel, sink: LineSink): LineLog {
-	const least = levelNumbers[level];
-	let bound = createBound(readSteadyMs());
+	const minimumLevel = levelNumbers[level];
+	let countWindow = createCountWindow(readSteadyMs());
 
 	const write = (number: number, event: MeshEvent): void => {
 		sink.write(`${JSON.stringify({
@@ -151,39 +151,39 @@
 		})}\n`);
 	};
 
-	const tellLeftOut = ({left}: Bound): void => {
+	const writeDropped = ({dropped: left}: CountWindow): void => {
 		for (const [kind, count] of left) {
 			write(levelNumbers.warn, {kind: 'lines-dropped', of: kind, count});
 		}
 	};
 
-	const isBounded = (number: number, {kind}: MeshEvent): boolean => {
+	const isWithinLimits = (number: number, {kind}: MeshEvent): boolean => {
 		const now = readSteadyMs();
-		if (now - bound.startedAt >= 1000) {
-			const last = bound;
-			bound = createBound(now);
-			tellLeftOut(last);
+		if (now - countWindow.startedAt >= 1000) {
+			const last = countWindow;
+			countWindow = createCountWindow(now);
+			writeDropped(last);
 		}
 
 		const isFailure = number >= levelNumbers.warn;
-		const room = isFailure ? maxHeldBytes : maxHeldBytes * failuresOnlyShare;
-		if (sink.countHeldBytes() <= room && (isFailure || add(bound.written, kind) <= (endKinds.has(kind) ? failedCallsPerSecond : linesPerSecond))) {
+		const limitBytes = isFailure ? maximumBufferedBytes : maximumBufferedBytes * warningsOnlyShare;
+		if (sink.countBufferedBytes() <= limitBytes && (isFailure || add(countWindow.written, kind) <= (finalKinds.has(kind) ? maximumFinalLinesPerSecond : maximumLinesPerSecond))) {
 			return true;
 		}
 
-		add(bound.left, kind);
+		add(countWindow.dropped, kind);
 		return false;
 	};
 
 	return {
 		record(eventLevel, event) {
 			const number = levelNumbers[eventLevel];
-			if (number >= least && isBounded(number, event)) {
+			if (number >= minimumLevel && isWithinLimits(number, event)) {
 				write(number, event);
 			}
 		},
 		async flush() {
-			tellLeftOut(bound);
+			writeDropped(countWindow);
 			return sink.flush();
 		},
 	};
--- a/src/lib/timeline/mesh-log.ts
+++ b/src/lib/timeline/mesh-log.ts
@@ -10,7 +10,7 @@
 export type LogLevel = 'debug' | 'info' | 'warn' | 'error';
 
 /** How one attempt of a request ended, as the log tells it. @internal */
-export type AttemptNote = {
+export type AttemptRecord = {
 	readonly server: string;
 	readonly node: string;
 	readonly verdict: Verdict;
@@ -95,8 +95,8 @@
 	| {readonly kind: 'quarantine-not-stored'; readonly fingerprint: string; readonly reason: string}
 	| {readonly kind: 'connections-renewed'; readonly server: string; readonly reason: string}
 	| {readonly kind: RefusalKind; readonly cause: RefusalCause; readonly place: string; readonly reason: string; readonly count: number}
-	| {readonly kind: 'attempt-failed'; readonly call: string; readonly route: string; readonly attempt: AttemptNote; readonly next: string}
-	| {readonly kind: 'call-finished'; readonly call: string; readonly route: string; readonly version: number; readonly status: number; readonly verdict: Verdict; readonly reason: string; readonly tookMs: number; readonly leftMs: number; readonly attempts: readonly AttemptNote[]}
+	| {readonly kind: 'attempt-failed'; readonly call: string; readonly route: string; readonly attempt: AttemptRecord; readonly next: string}
+	| {readonly kind: 'call-finished'; readonly call: string; readonly route: string; readonly version: number; readonly status: number; readonly verdict: Verdict; readonly reason: string; readonly tookMs: number; readonly leftMs: number; readonly attempts: readonly AttemptRecord[]}
 	| {readonly kind: 'gate-refused'; readonly call: string; readonly server: string; readonly reason: string; readonly rank: number; readonly running: number; readonly waiting: number; readonly serviceMs: number; readonly mayWaitMs: number}
 	/** The caller left before the work on its request began; it was sent to no server. */
 	| {readonly kind: 'caller-left'; readonly call: string; readonly route: string; readonly waitedMs: number}
--- a/src/lib/timeline/refusals.test.ts
+++ b/src/lib/timeline/refusal-log.test.ts
@@ -1,7 +1,7 @@
 import assert from 'node:assert/strict';
 import test, {type TestContext} from 'node:test';
 import {type MeshEvent} from './mesh-log.js';
-import {createRefusals, type Refusal} from './refusals.js';
+import {createRefusalLog, type Refusal} from './refusal-log.js';
 
 const heartbeat: Refusal = {
 	kind: 'heartbeat-refused', cause: 'unreadable', place: '10.0.0.9:1', reason: 'report: found nothing, must be a list',
@@ -12,7 +12,7 @@
 	context.mock.timers.enable({apis: ['setTimeout']});
 	const events: MeshEvent[] = [];
 	const counted: string[] = [];
-	const refusals = createRefusals({
+	const refusals = createRefusalLog({
 		record(_level, event) {
 			events.push(event);
 		},
@@ -28,30 +28,30 @@
 test('the first is told at once, the others once a second with how many there were', context => {
 	const {refusals, counted, takeLines, tick} = startFixture(context);
 	for (let sent = 0; sent < 1000; sent++) {
-		refusals.note(heartbeat);
+		refusals.record(heartbeat);
 	}
 
 	assert.deepEqual(takeLines(), ['heartbeat-refused unreadable 1']);
 	tick(1000);
 	assert.deepEqual(takeLines(), ['heartbeat-refused unreadable 999']);
-	refusals.note(heartbeat);
+	refusals.record(heartbeat);
 	tick(999);
 	assert.deepEqual(takeLines(), []);
 	tick(1);
 	assert.deepEqual(takeLines(), ['heartbeat-refused unreadable 1']);
 	tick(10_000);
 	assert.deepEqual(takeLines(), []);
-	refusals.note(heartbeat);
+	refusals.record(heartbeat);
 	assert.deepEqual(takeLines(), ['heartbeat-refused unreadable 1']);
 	assert.equal(counted.length, 1002);
 });
 
 test('kinds and causes do not hide one another, and what was not told yet is told at the end', context => {
 	const {refusals, counted, takeLines} = startFixture(context);
-	refusals.note(heartbeat);
-	refusals.note({...heartbeat, cause: 'flood'});
-	refusals.note({...heartbeat, kind: 'peer-refused'});
-	refusals.note(heartbeat);
+	refusals.record(heartbeat);
+	refusals.record({...heartbeat, cause: 'flood'});
+	refusals.record({...heartbeat, kind: 'peer-refused'});
+	refusals.record(heartbeat);
 	assert.deepEqual(takeLines(), ['heartbeat-refused unreadable 1', 'heartbeat-refused flood 1', 'peer-refused unreadable 1']);
 	refusals.dispose();
 	assert.deepEqual(takeLines(), ['heartbeat-refused unreadable 1']);
@@ -60,6 +60,6 @@
 
 test('a line stays short, however long what was refused is', context => {
 	const {refusals, events} = startFixture(context);
-	refusals.note({...heartbeat, place: 'x'.repeat(60_000)});
+	refusals.record({...heartbeat, place: 'x'.repeat(60_000)});
 	assert.ok(JSON.stringify(events[0]).length < 600);
 });
--- a/src/lib/timeline/refusals.ts
+++ b/src/lib/timeline/refusal-log.ts
@@ -19,20 +19,20 @@
 };
 
 /** @internal */
-export type Refusals = {
-	readonly note: (refusal: Refusal) => void;
+export type RefusalLog = {
+	readonly record: (refusal: Refusal) => void;
 	/** Says what was counted and not told yet. */
 	readonly dispose: () => void;
 };
 
 /** Milliseconds between two lines of one kind and cause: enough lines to see who sends what, at a few hundred bytes a second. */
-const lineMs = 1000;
+const lineIntervalMs = 1000;
 
 /** Characters of a place that a line shows: paths may be as long as a head. */
-const shownLength = 200;
+const maximumPlaceLength = 200;
 
 /** What was refused since the last line of its kind and cause. */
-type Untold = {count: number; last: Refusal; readonly timer: NodeJS.Timeout};
+type PendingRefusals = {count: number; last: Refusal; readonly timer: NodeJS.Timeout};
 
 /**
  * @param log - Where lines go.
@@ -40,40 +40,40 @@
  * @returns Refusals, none yet.
  * @internal
  */
-export function createRefusals(log: MeshLog, count: (kind: RefusalKind, cause: RefusalCause) => void): Refusals {
-	const untold = new Map<string, Untold>();
+export function createRefusalLog(log: MeshLog, count: (kind: RefusalKind, cause: RefusalCause) => void): RefusalLog {
+	const pending = new Map<string, PendingRefusals>();
 
 	const write = ({kind, cause, place, reason}: Refusal, times: number): void => {
 		log.record('warn', {
-			kind, cause, place: place.slice(0, shownLength), reason, count: times,
+			kind, cause, place: place.slice(0, maximumPlaceLength), reason, count: times,
 		});
 	};
 
-	const startSecond = (key: string, last: Refusal): void => {
+	const startInterval = (key: string, last: Refusal): void => {
 		const timer = setTimeout(() => {
-			endSecond(key);
-		}, lineMs);
+			endInterval(key);
+		}, lineIntervalMs);
 		timer.unref();
-		untold.set(key, {count: 0, last, timer});
+		pending.set(key, {count: 0, last, timer});
 	};
 
-	const endSecond = (key: string): void => {
-		const since = untold.get(key);
-		untold.delete(key);
+	const endInterval = (key: string): void => {
+		const since = pending.get(key);
+		pending.delete(key);
 		if (since !== undefined && since.count > 0) {
 			write(since.last, since.count);
-			startSecond(key, since.last);
+			startInterval(key, since.last);
 		}
 	};
 
 	return {
-		note(refusal) {
+		record(refusal) {
 			count(refusal.kind, refusal.cause);
 			const key = `${refusal.kind} ${refusal.cause}`;
-			const since = untold.get(key);
+			const since = pending.get(key);
 			if (since === undefined) {
 				write(refusal, 1);
-				startSecond(key, refusal);
+				startInterval(key, refusal);
 				return;
 			}
 
@@ -81,17 +81,17 @@
 			since.last = refusal;
 		},
 		dispose() {
-			for (const {count: times, last, timer} of untold.values()) {
+			for (const {count: times, last, timer} of pending.values()) {
 				clearTimeout(timer);
 				if (times > 0) {
 					write(last, times);
 				}
 			}
 
-			untold.clear();
+			pending.clear();
 		},
 	};
 }
 
 /** Refusals that nobody hears of, for parts that run without. @internal */
-export const silentRefusals: Refusals = {note: () => undefined, dispose: () => undefined};
+export const silentRefusalLog: RefusalLog = {record: () => undefined, dispose: () => undefined};
--- a/src/lib/timeline/timeline-event.ts
+++ b/src/lib/timeline/timeline-event.ts
@@ -69,7 +69,7 @@
  * @returns Whether the event is wanted.
  * @public
  */
-export function isWanted(event: TimelineEvent, filter: TimelineFilter): boolean {
+export function matchesFilter(event: TimelineEvent, filter: TimelineFilter): boolean {
 	const isNode = filter.node === undefined || event.node === filter.node;
 	const isCall = filter.call === undefined || ('call' in event && event.call === filter.call);
 	const isVersion = filter.version === undefined || ('version' in event && event.version === filter.version);
--- a/src/lib/timeline/timeline.ts
+++ b/src/lib/timeline/timeline.ts
@@ -7,7 +7,7 @@
 import {type NodeId} from '../common/ids.js';
 import {type LamportClock} from './lamport-clock.js';
 import {
-	isWanted, type EventDetail, type TimelineEvent, type TimelineFilter,
+	matchesFilter, type EventDetail, type TimelineEvent, type TimelineFilter,
 } from './timeline-event.js';
 
 /** @public */
@@ -18,16 +18,16 @@
 };
 
 /** Events kept of each sort; calls have a store of their own so that they do not push out what the mesh did. */
-const keptEvents = 2048;
+const ringBufferSize = 2048;
 
 const callKinds: ReadonlySet<EventDetail['kind']> = new Set(['attempt-failed', 'call-finished']);
 
-type Ring = {
+type RingBuffer = {
 	readonly push: (event: TimelineEvent) => void;
 	readonly list: () => readonly TimelineEvent[];
 };
 
-function createRing(size: number): Ring {
+function createRingBuffer(size: number): RingBuffer {
 	const slots: TimelineEvent[] = [];
 	let next = 0;
 	return {
@@ -49,8 +49,8 @@
  * @internal
  */
 export function createTimeline(node: NodeId, clock: LamportClock, handleEvent?: (event: TimelineEvent) => void): Timeline {
-	const meshEvents = createRing(keptEvents);
-	const callEvents = createRing(keptEvents);
+	const meshEvents = createRingBuffer(ringBufferSize);
+	const callEvents = createRingBuffer(ringBufferSize);
 	return {
 		record(detail) {
 			const event: TimelineEvent = {
@@ -60,7 +60,7 @@
 			handleEvent?.(event);
 		},
 		list: (filter = {}, after = 0) => [...meshEvents.list(), ...callEvents.list()]
-			.filter(event => event.time > after && isWanted(event, filter))
+			.filter(event => event.time > after && matchesFilter(event, filter))
 			.toSorted((left, right) => left.time - right.time),
 	};
 }
