--- a/apps/apps.test.ts
+++ b/apps/apps.test.ts
@@ -1,6 +1,6 @@
 /**
- * The daemon and the command line as processes: what they say when something is
- * wrong, and with which code they end.
+ * Runs the daemon and the command line as processes, and checks their error
+ * messages and exit codes.
  *
  * @module
  */
@@ -39,7 +39,7 @@
 const nodeProgram = 'apps/node/main.js';
 const cliProgram = 'apps/cli/main.js';
 
-/** A loopback IP number of this file's own: a port that was free a moment ago may be taken by any connection of other tests meanwhile, and the daemon then ends with code 3. */
+/** A loopback address that only this file uses. On a shared address, a connection of another test may take a port that was just free, and the daemon ends with code 3. */
 const ownHost = `127.81.${process.pid % 250}.1`;
 
 function createSettingsText(changes: Readonly<Record<string, string>> = {}): string {
@@ -47,7 +47,7 @@
 	return `node: n1\nfailureDomain: a\nlisten:\n${listen}\nstore: {address: "127.0.0.1:9"}\n`;
 }
 
-/** Far longer than a start takes, also beside load. Milliseconds. */
+/** Much longer than a start takes, also under load. */
 const maximumWaitMs = 30_000;
 
 async function isListening(address: string): Promise<boolean> {
@@ -64,7 +64,7 @@
 	});
 }
 
-test('the daemon names every mistake in its settings and ends with code 2', async () => {
+test('the daemon reports all errors in its settings and exits with code 2', async () => {
 	await withFile('node: n1\nfailureDomain: a\nlissten: {}\n', async file => {
 		const {code, output} = await runProgram(nodeProgram, '--settings', file);
 		assert.equal(code, 2);
@@ -74,20 +74,20 @@
 	assert.equal((await runProgram(nodeProgram, '--settings', '/nowhere.yaml')).code, 2);
 });
 
-test('a port that is taken is told in one line, with code 3', async () => {
-	const taken = createServer();
+test('a port in use is reported in one line, with exit code 3', async () => {
+	const blockingServer = createServer();
 	await new Promise<void>(resolve => {
-		taken.listen(0, '127.0.0.1', resolve);
+		blockingServer.listen(0, '127.0.0.1', resolve);
 	});
-	await withFile(createSettingsText({announcements: `127.0.0.1:${(taken.address() as AddressInfo).port}`}), async file => {
+	await withFile(createSettingsText({announcements: `127.0.0.1:${(blockingServer.address() as AddressInfo).port}`}), async file => {
 		const {code, output} = await runProgram(nodeProgram, '--settings', file);
 		assert.equal(code, 3);
 		assert.match(output, /listen\.announcements: cannot listen on 127\.0\.0\.1:\d+: another process uses it; stop that process or choose another port/);
 	});
-	taken.close();
+	blockingServer.close();
 });
 
-test('a store that does not answer is no reason to exit, and SIGTERM ends the daemon with code 0', async () => {
+test('the daemon keeps running if the store does not answer, and exits with code 0 on SIGTERM', async () => {
 	await withFile(createSettingsText(), async file => {
 		const running = startProcess('node', nodeProgram, ['--settings', file]);
 		assert.equal(await waitUntil(async () => isListening(createListenAddresses(ownHost).operators), maximumWaitMs), true, running.getOutput());
@@ -98,7 +98,7 @@
 	});
 });
 
-test('the command line checks documents offline, and ends with documented codes', async () => {
+test('the command line checks documents offline, and exits with the documented codes', async () => {
 	await withFile('pools:\n  - {name: a, service: s}\n', async file => {
 		assert.deepEqual(await runProgram(cliProgram, 'check', file, '--json'), {code: 0, output: '{"items":1,"warnings":0}\n'});
 		const unreachable = await runProgram(cliProgram, 'submit', file, '--node', '127.0.0.1:9');
--- a/apps/cli/commands/explain-version.ts
+++ b/apps/cli/commands/explain-version.ts
@@ -1,5 +1,5 @@
 /**
- * `explain-version`: how a version came into force on each node, from collected logs.
+ * `explain-version`: explains from collected logs when each node applied a version.
  *
  * @module
  */
@@ -15,18 +15,18 @@
 	readonly json: boolean;
 };
 
-/** Prints when each node had a version in force, and what the slow ones waited for. */
+/** Prints when each node applied a version, and what the slow ones waited for. */
 export function runExplainVersion({version, files, json}: ExplainVersionOptions): void {
-	const story = explainVersion(readLogFiles(files), version);
-	if (story === undefined) {
-		throw new CommandError(`no line says that version ${version} was in force anywhere; give the logs of all nodes`, exitCodes.refused);
+	const explanation = explainVersion(readLogFiles(files), version);
+	if (explanation === undefined) {
+		throw new CommandError(`no log line shows that a node applied version ${version}; pass the logs of all nodes`, exitCodes.refused);
 	}
 
 	if (json) {
-		process.stdout.write(`${JSON.stringify(story)}\n`);
+		process.stdout.write(`${JSON.stringify(explanation)}\n`);
 		return;
 	}
 
-	const rows = story.nodes.map(({node, lateMs, cause}) => [node, lateMs === undefined ? 'never' : `${lateMs} ms`, cause]);
-	process.stdout.write(`Version ${version} was first in force at ${story.firstAt}\n${formatTable(['node', 'after', 'because'], rows)}\n`);
+	const rows = explanation.nodes.map(({node, lateMs, cause}) => [node, lateMs === undefined ? 'never' : `${lateMs} ms`, cause]);
+	process.stdout.write(`Version ${version} was first applied at ${explanation.firstAt}\n${formatTable(['node', 'delay', 'cause'], rows)}\n`);
 }
--- a/apps/cli/commands/explain.ts
+++ b/apps/cli/commands/explain.ts
@@ -1,5 +1,5 @@
 /**
- * `explain`: the story of one request, from collected logs.
+ * `explain`: explains the result of one request from collected logs.
  *
  * @module
  */
@@ -14,12 +14,12 @@
 	readonly json: boolean;
 };
 
-/** Prints what became of a request. */
+/** Prints the steps of a request and the cause of its result. */
 export function runExplain(options: ExplainOptions): void {
-	const story = explainCall(readLogFiles(options.files), options.id);
-	if (story === undefined) {
-		throw new CommandError(`no line speaks of ${options.id}; give the logs of all nodes, or of the caller's at least`, exitCodes.refused);
+	const explanation = explainCall(readLogFiles(options.files), options.id);
+	if (explanation === undefined) {
+		throw new CommandError(`no log line contains the request id ${options.id}; pass the logs of all nodes, or at least of the caller's node`, exitCodes.refused);
 	}
 
-	process.stdout.write(options.json ? `${JSON.stringify(story)}\n` : `${story.steps.join('\n')}\nCause: ${story.cause}\n`);
+	process.stdout.write(options.json ? `${JSON.stringify(explanation)}\n` : `${explanation.steps.join('\n')}\nCause: ${explanation.cause}\n`);
 }
--- a/apps/cli/commands/inspect.ts
+++ b/apps/cli/commands/inspect.ts
@@ -1,5 +1,5 @@
 /**
- * `get`, `status`, `servers`, `drain`, `republish` and `call`: looking at a running mesh.
+ * `get`, `status`, `servers`, `drain`, `republish` and `call`: commands for a running mesh.
  *
  * @module
  */
@@ -21,7 +21,7 @@
 	return stringify({routes: listKind('route'), pools: listKind('pool'), policies: listKind('policy')}).trimEnd();
 }
 
-/** Prints the configuration in force as a document that can be submitted. */
+/** Prints the active configuration as a document that can be submitted. */
 export async function runGet(options: CommonOptions): Promise<void> {
 	const client = await createOperatorClient(options);
 	const configuration = await client.get<ConfigurationResponse>('/v1/configuration');
@@ -41,11 +41,11 @@
 	return [
 		`node ${status.node} in ${status.failureDomain}: version ${status.version}, ${status.isReady ? 'ready' : 'not ready'}${status.isDraining ? ', draining' : ''}, ${relay}`,
 		formatTable(['failure domain', 'nodes', 'lowest', 'highest'], rows),
-		missing.length === 0 ? `version ${newest} is in force everywhere` : `version ${newest} is not in force everywhere:\n  ${missing.join('\n  ')}`,
+		missing.length === 0 ? `version ${newest} is active on all nodes` : `version ${newest} is not active on all nodes:\n  ${missing.join('\n  ')}`,
 	].join('\n');
 }
 
-/** Shows versions and convergence over the fleet. */
+/** Prints the active versions in the fleet, and the failure domains in which the newest version is not active on all nodes. */
 export async function runStatus(options: CommonOptions): Promise<void> {
 	const client = await createOperatorClient(options);
 	const [status, fleet] = await Promise.all([client.get<NodeStatusResponse>('/v1/status'), client.get<FleetResponse>('/v1/fleet')]);
@@ -64,7 +64,7 @@
 	return nodeStatus === 'alive' ? 'in use' : `node ${nodeStatus}`;
 }
 
-/** Lists the backend servers that announced themselves. */
+/** Prints the announced backend servers. */
 export async function runServers(options: CommonOptions): Promise<void> {
 	const client = await createOperatorClient(options);
 	const servers = await client.get<readonly ServerStatus[]>('/v1/servers');
@@ -80,19 +80,19 @@
 	const reply = await client.post('/v1/drain', options.server === undefined ? {} : {server: options.server});
 	const body = reply.body as {readonly draining?: readonly string[]; readonly problems?: readonly string[]};
 	if (reply.status !== 200) {
-		throw new CommandError((body.problems ?? ['the node refused']).join('\n'), exitCodes.refused);
+		throw new CommandError((body.problems ?? ['the node refused to drain']).join('\n'), exitCodes.refused);
 	}
 
 	printResult(options, body, () => `draining: ${(body.draining ?? []).join(', ')}`);
 }
 
-/** Writes the fleet's configuration back to a store that came back older. */
+/** Writes the fleet's configuration to a store that was restored from an older backup. */
 export async function runRepublish(options: CommonOptions): Promise<void> {
 	const client = await createOperatorClient(options);
 	const reply = await client.post('/v1/republish', {});
 	const body = reply.body as {readonly version?: number; readonly reason?: string};
 	if (reply.status !== 200) {
-		throw new CommandError(body.reason ?? 'the node refused', exitCodes.refused);
+		throw new CommandError(body.reason ?? 'the node refused to republish', exitCodes.refused);
 	}
 
 	printResult(options, body, () => `the store holds version ${body.version ?? 0} again`);
@@ -123,19 +123,19 @@
 	const reply = await client.post('/v1/explain', {
 		method: options.method, host: options.host ?? url.host, path: url.pathname, headers,
 	});
-	const answer = reply.body as ExplainResponse;
+	const explanation = reply.body as ExplainResponse;
 	return [
-		`version   ${answer.version}`,
-		`route     ${answer.route}`,
-		`pool      ${answer.pool}`,
-		`policy    ${answer.policy}`,
-		`decision  ${JSON.stringify(answer.decision)}`,
-		`servers   ${answer.servers.join(', ')}`,
-		...answer.problem === '' ? [] : [`problem   ${answer.problem}`],
+		`version   ${explanation.version}`,
+		`route     ${explanation.route}`,
+		`pool      ${explanation.pool}`,
+		`policy    ${explanation.policy}`,
+		`decision  ${JSON.stringify(explanation.decision)}`,
+		`servers   ${explanation.servers.join(', ')}`,
+		...explanation.problem === '' ? [] : [`problem   ${explanation.problem}`],
 	].join('\n');
 }
 
-/** Sends one request to a node's callers' port and shows the verdict. */
+/** Sends one request to a node's callers' port and prints the verdict. */
 export async function runCall(options: CallOptions): Promise<void> {
 	const headers = parseHeaders(options.header);
 	if (options.explain) {
--- a/apps/cli/commands/submit.ts
+++ b/apps/cli/commands/submit.ts
@@ -1,5 +1,5 @@
 /**
- * `check`, `diff` and `submit`: from a document to a configuration in force.
+ * `check`, `diff`, `submit` and `submission`: validate and submit configuration documents.
  *
  * @module
  */
@@ -30,11 +30,11 @@
 
 export type CheckOptions = Pick<CommonOptions, 'json'> & {
 	readonly file: string;
-	/** The file holds everything that its routes refer to. */
+	/** Whether references to items outside of the file are errors. */
 	readonly whole: boolean;
 };
 
-/** Checks a document without a node. */
+/** Validates a document offline. */
 export async function runCheck(options: CheckOptions): Promise<void> {
 	const {file} = options;
 	const items = await readDocument(file);
@@ -50,7 +50,7 @@
 	printResult(options, {items: items.length, warnings: missing.length}, () => `${file}: ${items.length} items, ${missing.length === 0 ? 'no problems' : `${missing.length} warnings`}`);
 }
 
-/** Shows what a document would change. */
+/** Prints the changes that a document would make. */
 export async function runDiff(options: CommonOptions & {readonly file: string; readonly replace: boolean}): Promise<void> {
 	const items = await readDocument(options.file);
 	const client = await createOperatorClient(options);
@@ -70,11 +70,11 @@
 function formatOutcome(outcome: SubmissionOutcome, id: string): string {
 	switch (outcome.type) {
 		case 'accepted': {
-			return `accepted as version ${outcome.version}${outcome.isRepeated ? ' (it was accepted before)' : ''}, submission ${id}`;
+			return `accepted as version ${outcome.version}${outcome.isRepeated ? ' (by an earlier submission of this id)' : ''}, submission ${id}`;
 		}
 
 		case 'unchanged': {
-			return `nothing to change: version ${outcome.version} has it all`;
+			return `no changes: version ${outcome.version} already contains all items`;
 		}
 
 		case 'invalid': {
@@ -82,20 +82,20 @@
 		}
 
 		case 'conflict': {
-			const lines = outcome.items.map(({key, base, current}) => `  ${key}: you saw revision ${base}, it now has ${current}`);
-			return `conflict, nothing was changed; look at the changes with "stonemoor diff" and submit again:\n${lines.join('\n')}`;
+			const lines = outcome.items.map(({key, base, current}) => `  ${key}: based on revision ${base}, the current revision is ${current}`);
+			return `conflict, nothing was changed; check the changes with "stonemoor diff" and submit again:\n${lines.join('\n')}`;
 		}
 
 		case 'expired': {
-			return `refused: the submission began before version ${outcome.oldestVersion}, too long ago to tell whether it was carried out; look with "stonemoor diff", then submit with a new id`;
+			return `refused: the submission is based on a version before ${outcome.oldestVersion}, too old to tell whether it was applied; check with "stonemoor diff", then submit with a new id`;
 		}
 
 		case 'unavailable': {
-			return `not accepted, nothing was changed: ${outcome.reason}; come back in ${Math.ceil(outcome.retryAfterMs / 1000)} s`;
+			return `not accepted, nothing was changed: ${outcome.reason}; retry in ${Math.ceil(outcome.retryAfterMs / 1000)} s`;
 		}
 
 		case 'unknown': {
-			return `unknown: the write may have taken effect; submit again with --id ${id}, which is safe, or ask with "stonemoor submission ${id}"`;
+			return `unknown: the write may have taken effect; submit again with --id ${id}, which is idempotent, or check with "stonemoor submission ${id}"`;
 		}
 	}
 }
@@ -118,7 +118,7 @@
 		const missing = findConvergenceProblems(fleet, version);
 		if (missing.length === 0) {
 			const nodes = fleet.domains.reduce((total, domain) => total + domain.expected, 0);
-			process.stderr.write(`version ${version} is in force on all ${nodes} nodes\n`);
+			process.stderr.write(`version ${version} is active on all ${nodes} nodes\n`);
 			return;
 		}
 
@@ -129,7 +129,7 @@
 		}
 
 		if (Date.now() >= deadline) {
-			throw new CommandError(`version ${version} is accepted but not yet in force everywhere:\n${text}`, exitCodes.notConverged);
+			throw new CommandError(`timeout: version ${version} was accepted but is not active on all nodes yet:\n${text}`, exitCodes.notConverged);
 		}
 
 		await sleep(convergencePollMs);
@@ -142,17 +142,17 @@
 	const client = await createOperatorClient(options);
 	const configuration = await client.get<ConfigurationResponse>('/v1/configuration');
 	if (options.base !== undefined && options.base !== configuration.version) {
-		throw new CommandError(`conflict: the version in force is ${configuration.version}, not ${options.base}; look with "stonemoor diff" and submit again`, exitCodes.refused);
+		throw new CommandError(`conflict: the active version is ${configuration.version}, not ${options.base}; check with "stonemoor diff" and submit again`, exitCodes.refused);
 	}
 
 	const changes = findChanges(configuration, items, options.replace);
 	const id = options.id ?? randomUUID();
 	if (changes.length === 0 && options.id === undefined) {
-		printResult(options, {type: 'unchanged', version: configuration.version}, () => `nothing to change: version ${configuration.version} has it all`);
+		printResult(options, {type: 'unchanged', version: configuration.version}, () => `no changes: version ${configuration.version} already contains all items`);
 		return;
 	}
 
-	// An id that is used again has to reach the mesh even when the document has been carried out by now.
+	// A submission with a repeated id must be sent to the mesh even if the document is already applied.
 	const sent = changes.length === 0 ? items.map((item): ItemChange => ({type: 'put', item})) : changes;
 	const submission = {
 		id, seenVersion: configuration.version, changes: sent, bases: listBaseRevisions(configuration, sent),
@@ -166,12 +166,12 @@
 	}
 }
 
-/** Asks what became of a submission. */
+/** Prints whether a submission was accepted. */
 export async function runSubmission(options: CommonOptions & {readonly id: string}): Promise<void> {
 	const client = await createOperatorClient(options);
 	const found = await client.get<{type: string; version: number}>(`/v1/submissions/${encodeURIComponent(options.id)}`);
 	printResult(options, found, () => found.type === 'accepted'
 		? `submission ${options.id} was accepted as version ${found.version}`
-		: `submission ${options.id} has not been carried out; submitting it again with the same id is safe`);
+		: `submission ${options.id} has not been applied; submitting it again with the same id is idempotent`);
 	process.exitCode = found.type === 'accepted' ? exitCodes.done : exitCodes.refused;
 }
--- a/apps/cli/commands/timeline.ts
+++ b/apps/cli/commands/timeline.ts
@@ -1,5 +1,5 @@
 /**
- * `timeline`: the events of all nodes in one order.
+ * `timeline`: prints the events of all nodes in causal order.
  *
  * @module
  */
@@ -47,7 +47,7 @@
 	}
 }
 
-/** Merges and prints the time lines of all nodes. */
+/** Fetches, merges and prints the timelines of all nodes. */
 export async function runTimeline(options: TimelineOptions): Promise<void> {
 	const client = await createOperatorClient(options);
 	const lastTimes = new Map<string, number>();
--- a/apps/cli/document-changes.ts
+++ b/apps/cli/document-changes.ts
@@ -1,5 +1,5 @@
 /**
- * Finds what a document would change in the configuration in force.
+ * Compares a configuration document with the active configuration.
  *
  * @module
  */
@@ -12,10 +12,10 @@
 import {readText} from './operator-client.js';
 
 /**
- * Reads and checks a document.
+ * Reads and validates a document.
  *
- * @param file - Its path.
- * @returns Its items; every problem found ends the command.
+ * @param file - The path of the document.
+ * @returns Its items. If it has problems, the command ends with a message that lists all of them.
  */
 export async function readDocument(file: string): Promise<readonly Item[]> {
 	const items = parseConfigurationDocument(await readText(file)).match(
@@ -33,10 +33,12 @@
 }
 
 /**
- * @param configuration - What is in force.
- * @param items - What a document holds.
- * @param replacesAll - Whether items that the document lacks are to be removed.
- * @returns The changes from one to the other.
+ * Finds the changes that a document makes.
+ *
+ * @param configuration - The active configuration.
+ * @param items - The items of the document.
+ * @param replacesAll - Whether to remove the items that the document does not contain.
+ * @returns The changes from the active configuration to the document.
  */
 export function findChanges(configuration: ConfigurationResponse, items: readonly Item[], replacesAll: boolean): readonly ItemChange[] {
 	const current = new Map(configuration.items.map(({item}) => [formatItemKey(item), item]));
@@ -49,9 +51,11 @@
 }
 
 /**
- * @param configuration - What is in force.
- * @param changes - Changes to it.
- * @returns One line for each change.
+ * Formats changes for display.
+ *
+ * @param configuration - The active configuration.
+ * @param changes - The changes to it.
+ * @returns One line for each change: `+` for a new item, `~` for a changed one, `-` for a removed one.
  */
 export function formatChanges(configuration: ConfigurationResponse, changes: readonly ItemChange[]): string {
 	const known = new Set(configuration.items.map(({item}) => formatItemKey(item)));
--- a/apps/cli/exit-codes.ts
+++ b/apps/cli/exit-codes.ts
@@ -1,23 +1,23 @@
 /**
- * Exit codes of the command line, as the operators' guide lists them.
+ * Exit codes of the command line, as documented in the operators' guide.
  *
  * @module
  */
 export const exitCodes = {
 	done: 0,
-	/** The input is wrong, or the mesh refused it; nothing was changed. */
+	/** The input is invalid, or the mesh refused it; nothing was changed. */
 	refused: 1,
-	/** The command line itself is wrong. */
+	/** The arguments of the command are invalid. */
 	usage: 2,
-	/** No node, or the platform's store behind it, answers; nothing was changed. */
+	/** The node or the platform's store did not answer; nothing was changed. */
 	unavailable: 3,
-	/** It is not known whether the submission took effect: ask with its id. */
+	/** It is unknown whether the submission took effect: query its id. */
 	unknown: 4,
-	/** Accepted, but not in force everywhere in the time given. */
+	/** The submission was accepted, but was not active on all nodes within the timeout. */
 	notConverged: 5,
 } as const;
 
-/** An error that ends the command with a message and a code. */
+/** An error that ends the command with a message and an exit code. */
 export class CommandError extends Error {
 	override readonly name = 'CommandError';
 
--- a/apps/cli/main.ts
+++ b/apps/cli/main.ts
@@ -20,50 +20,50 @@
 
 const addFile = <T>(builder: Argv<T>): Argv<T & {file: string}> => builder.positional('file', {type: 'string', demandOption: true, describe: 'configuration document (YAML)'});
 
-const addReplace = <T>(builder: Argv<T>): Argv<T & {replace: boolean}> => builder.option('replace', {type: 'boolean', default: false, describe: 'remove the items that the document lacks'});
+const addReplace = <T>(builder: Argv<T>): Argv<T & {replace: boolean}> => builder.option('replace', {type: 'boolean', default: false, describe: 'remove the items that the document does not contain'});
 
 const parser = yargs(hideBin(process.argv))
 	.scriptName('stonemoor')
 	.usage('$0 COMMAND [--node IP:PORT | --settings FILE] [--json]')
-	.option('node', {type: 'string', describe: 'operators\' port of any node'})
-	.option('settings', {type: 'string', describe: 'settings file of a node, to find its operators\' port'})
+	.option('node', {type: 'string', describe: 'address of the operators\' port of any node'})
+	.option('settings', {type: 'string', describe: 'settings file of a node, to read the address of its operators\' port'})
 	.option('json', {type: 'boolean', default: false, describe: 'print JSON'})
-	.command('check <file>', 'check a configuration document, without a node', builder => addFile(builder)
-		.option('whole', {type: 'boolean', default: false, describe: 'the file holds all that its routes refer to: what is missing is an error'}), async options => runCheck(options))
+	.command('check <file>', 'validate a configuration document offline', builder => addFile(builder)
+		.option('whole', {type: 'boolean', default: false, describe: 'treat references to items outside of the file as errors'}), async options => runCheck(options))
 	.command('diff <file>', 'show what a document would change', builder => addReplace(addFile(builder)), async options => runDiff(options))
 	.command('submit <file>', 'submit a document', builder => addReplace(addFile(builder))
-		.option('id', {type: 'string', describe: 'submission id; the same id again is the same submission'})
-		.option('base', {type: 'number', describe: 'version that must still be in force'})
+		.option('id', {type: 'string', describe: 'submission id; submitting the same id again is idempotent'})
+		.option('base', {type: 'number', describe: 'version that must be the active one'})
 		.option('dry-run', {type: 'boolean', default: false, describe: 'validate only'})
-		.option('wait', {type: 'boolean', default: false, describe: 'wait until it is in force everywhere'})
-		.option('timeout', {type: 'number', default: 30, describe: 'seconds to wait at the most'}), async options => runSubmit(options))
-	.command('submission <id>', 'ask what became of a submission', builder => builder.positional('id', {type: 'string', demandOption: true}), async options => runSubmission(options))
-	.command('get', 'print the configuration in force', builder => builder, async options => runGet(options))
-	.command('status', 'versions and convergence over the fleet', builder => builder, async options => runStatus(options))
+		.option('wait', {type: 'boolean', default: false, describe: 'wait until the version is active on all nodes'})
+		.option('timeout', {type: 'number', default: 30, describe: 'timeout of --wait in seconds'}), async options => runSubmit(options))
+	.command('submission <id>', 'show the result of a submission', builder => builder.positional('id', {type: 'string', demandOption: true}), async options => runSubmission(options))
+	.command('get', 'print the active configuration', builder => builder, async options => runGet(options))
+	.command('status', 'show the active versions in the fleet', builder => builder, async options => runStatus(options))
 	.command('servers', 'list the backend servers', builder => builder, async options => runServers(options))
-	.command('drain', 'drain the backend servers beside the node', builder => builder.option('server', {type: 'string', describe: 'only this one'}), async options => runDrain(options))
-	.command('republish', 'write the fleet\'s configuration back to a store that came back older', builder => builder, async options => runRepublish(options))
-	.command('timeline', 'events of all nodes in one order', builder => builder
+	.command('drain', 'drain the backend servers beside the node', builder => builder.option('server', {type: 'string', describe: 'drain only this server'}), async options => runDrain(options))
+	.command('republish', 'write the fleet\'s configuration to a store restored from an older backup', builder => builder, async options => runRepublish(options))
+	.command('timeline', 'print the events of all nodes in causal order', builder => builder
 		.option('only-node', {type: 'string', describe: 'events of this node only'})
 		.option('call', {type: 'string', describe: 'events of this call only'})
 		.option('version', {type: 'number', describe: 'events of this configuration version only'})
-		.option('follow', {type: 'boolean', default: false, describe: 'go on printing'}), async options => runTimeline(options))
+		.option('follow', {type: 'boolean', default: false, describe: 'keep printing new events'}), async options => runTimeline(options))
 	.command('call <url>', 'send one request and show its verdict', builder => builder
-		.positional('url', {type: 'string', demandOption: true, describe: 'a node\'s callers\' port and a path'})
+		.positional('url', {type: 'string', demandOption: true, describe: 'address of a node\'s callers\' port, and a path'})
 		.option('method', {type: 'string', default: 'GET'})
-		.option('host', {type: 'string', describe: 'host to ask for'})
+		.option('host', {type: 'string', describe: 'value of the Host header'})
 		.option('header', {
 			type: 'string', array: true, default: [] as string[], describe: '"name: value"',
 		})
 		.option('explain', {type: 'boolean', default: false, describe: 'show the route and the decision first (needs --node or --settings)'}), async options => runCall(options))
-	.command('explain <id> [files..]', 'tell what became of a request, from the logs of sidecar nodes (files, or the standard input)', builder => builder
+	.command('explain <id> [files..]', 'explain the result of a request from the logs of sidecar nodes (files, or the standard input)', builder => builder
 		.positional('id', {type: 'string', demandOption: true, describe: 'id of the request'})
 		.positional('files', {
 			type: 'string', array: true, default: [] as string[], describe: 'logs of any number of nodes',
 		}), options => {
 		runExplain(options);
 	})
-	.command('explain-version <number> [files..]', 'tell when each node had a version in force and what the slow ones waited for, from the logs of sidecar nodes', builder => builder
+	.command('explain-version <number> [files..]', 'explain when each node applied a version and what the slow ones waited for, from the logs of sidecar nodes', builder => builder
 		.positional('number', {type: 'number', demandOption: true, describe: 'the version'})
 		.positional('files', {
 			type: 'string', array: true, default: [] as string[], describe: 'logs of all nodes',
@@ -71,8 +71,8 @@
 		runExplainVersion({...options, version: options.number});
 	})
 	.version(false)
-	.completion('completion', 'print a script for shell completion')
-	.demandCommand(1, 'a command is needed')
+	.completion('completion', 'print a shell completion script')
+	.demandCommand(1, 'no command given')
 	.strict()
 	.help()
 	.fail((message, error) => {
--- a/apps/cli/operator-client.ts
+++ b/apps/cli/operator-client.ts
@@ -1,5 +1,5 @@
 /**
- * Talks to the operators' port of a node.
+ * HTTP client for the operators' port of a node.
  *
  * @module
  */
@@ -9,7 +9,7 @@
 import {parseSettings, formatSettingsProblem} from '../../src/index.js';
 import {CommandError, exitCodes} from './exit-codes.js';
 
-/** Options that every command takes. */
+/** Options of all commands. */
 export type CommonOptions = {
 	readonly node: string | undefined;
 	readonly settings: string | undefined;
@@ -32,7 +32,7 @@
 	}
 
 	if (settings === undefined) {
-		throw new CommandError('no node is named: give --node IP:PORT (its operators\' port) or --settings FILE', exitCodes.usage);
+		throw new CommandError('no node given: use --node IP:PORT (its operators\' port) or --settings FILE', exitCodes.usage);
 	}
 
 	return parseSettings(await readText(settings)).match(
@@ -43,7 +43,7 @@
 	);
 }
 
-/** Reads a file, or says why it cannot be read. */
+/** Reads a file. Throws a CommandError with the reason if it cannot be read. */
 export async function readText(file: string): Promise<string> {
 	try {
 		return await readFile(file, 'utf8');
@@ -52,7 +52,7 @@
 	}
 }
 
-/** Creates the client of the node that the options name. */
+/** Creates a client for the node given by the options. */
 export async function createOperatorClient(options: Pick<CommonOptions, 'node' | 'settings'>): Promise<OperatorClient> {
 	const address = await findAddress(options);
 
@@ -84,7 +84,7 @@
 	};
 }
 
-/** Prints a value: as one line of JSON, or by the given formatter. */
+/** Prints a value as one line of JSON, or with the given formatter. */
 export function printResult<T>(options: Pick<CommonOptions, 'json'>, value: T, format: (value: T) => string): void {
 	process.stdout.write(`${options.json ? JSON.stringify(value) : format(value)}\n`);
 }
--- a/apps/cli/read-log-files.ts
+++ b/apps/cli/read-log-files.ts
@@ -1,5 +1,5 @@
 /**
- * Reads collected logs of sidecar nodes.
+ * Reads the log files of sidecar nodes.
  *
  * @module
  */
@@ -7,10 +7,10 @@
 import {parseLogLine, type LogLine} from '../../src/index.js';
 import {CommandError, exitCodes} from './exit-codes.js';
 
-/** Characters of a line that are shown. */
+/** Characters of a line that an error shows. */
 const maximumShownLength = 60;
 
-/** The file that stands for the standard input. */
+/** The file descriptor of the standard input. */
 const standardInputFd = 0;
 
 function readLines(file: string | number): readonly LogLine[] {
@@ -26,16 +26,18 @@
 	if (lines.length === 0 && texts[0] !== undefined) {
 		const name = file === standardInputFd ? 'the standard input' : file;
 		const shown = texts[0].slice(0, maximumShownLength);
-		throw new CommandError(`${name}: holds no line of a node's log; the first is "${shown}"; give what nodes write to their standard output`, exitCodes.usage);
+		throw new CommandError(`${name}: contains no log line of a node; the first line is "${shown}"; expected the standard output of nodes`, exitCodes.usage);
 	}
 
 	return lines;
 }
 
 /**
- * @param files - Paths; none for the standard input.
- * @returns Their lines.
- * @throws CommandError that names a file which cannot be read.
+ * Reads the log lines of files.
+ *
+ * @param files - The paths; the standard input is read if there are none.
+ * @returns The log lines of all files.
+ * @throws CommandError if a file cannot be read, or contains text but no log line.
  */
 export function readLogFiles(files: readonly string[]): readonly LogLine[] {
 	return (files.length === 0 ? [standardInputFd] : files).flatMap(file => readLines(file));
--- a/apps/node/main.ts
+++ b/apps/node/main.ts
@@ -1,6 +1,6 @@
 #!/usr/bin/env node
 /**
- * The daemon: reads its settings, wires the library and handles signals.
+ * The daemon: reads its settings, creates and starts a node, and handles signals.
  *
  * @module
  */
@@ -14,7 +14,7 @@
 	type Node, type Settings, type TimelineEvent,
 } from '../../src/index.js';
 
-/** Exit codes, as in the operators' guide. */
+/** Exit codes, as documented in the operators' guide. */
 const exitCodes = {badSettings: 2, cannotListen: 3, unfinishedCalls: 4} as const;
 
 async function readSettings(file: string): Promise<Settings | undefined> {
@@ -22,7 +22,7 @@
 	try {
 		text = await readFile(file, 'utf8');
 	} catch (error) {
-		process.stderr.write(`${file}: cannot be read: ${(error as Error).message}\n`);
+		process.stderr.write(`${file}: cannot read the settings file: ${(error as Error).message}\n`);
 		return undefined;
 	}
 
@@ -51,7 +51,7 @@
 async function stopNode(node: Node, logger: bunyan): Promise<void> {
 	const isDone = await node.drain();
 	if (!isDone) {
-		logger.warn('some calls had not ended when the time to drain was over');
+		logger.warn('drain timeout: some calls were still in flight');
 		process.exitCode = exitCodes.unfinishedCalls;
 	}
 }
@@ -60,7 +60,7 @@
 	let isStopping = false;
 	const handleSignal = async (): Promise<void> => {
 		if (isStopping) {
-			logger.warn('second signal: stopping at once');
+			logger.warn('received a second signal: exiting without waiting for calls in flight');
 			process.exit(exitCodes.unfinishedCalls);
 		}
 
@@ -76,7 +76,7 @@
 async function run(): Promise<void> {
 	const {settings: file} = await yargs(hideBin(process.argv))
 		.scriptName('stonemoor-node')
-		.usage('$0 --settings FILE\n\nRuns the node that stands beside a backend server.')
+		.usage('$0 --settings FILE\n\nRuns the node beside a backend server.')
 		.option('settings', {type: 'string', demandOption: true, describe: 'settings file (YAML)'})
 		.strict()
 		.parseAsync();
@@ -89,7 +89,7 @@
 	const logger = bunyan.createLogger({name: 'stonemoor-node', node: settings.node, level: settings.logLevel});
 	const store = createHttpStore(settings.store);
 	const node = createNode(settings, {store, random: Math.random, handleEvent: createEventLogger(logger)});
-	// Before anything listens: whoever finds the node's ports open may send it a signal.
+	// Install the handlers before the node listens: once its ports are open, a signal may arrive.
 	handleSignals(node, logger, async () => store.dispose());
 	const started = await node.start();
 	if (started.isErr()) {
--- a/apps/sidecar/main.test.ts
+++ b/apps/sidecar/main.test.ts
@@ -8,17 +8,17 @@
 import {createListenAddresses} from '../../stand-ins/loopback-addresses.js';
 import {waitUntil} from '../../stand-ins/wait-until.js';
 
-/** Far longer than anything takes here, also beside load. Milliseconds. */
+/** Much longer than any step of the test takes, also under load. */
 const maximumWaitMs = 20_000;
 
 type Daemon = {
 	readonly running: RunningProcess;
 	readonly writeSettings: (changes: Readonly<Record<string, unknown>>) => void;
-	/** Waits for a line that says this. */
+	/** Waits for a log line that matches the pattern. */
 	readonly expectLine: (pattern: RegExp) => Promise<void>;
 };
 
-/** Starts the daemon with a store that is away. */
+/** Starts the daemon with a store that cannot be reached. */
 async function startDaemon(context: TestContext): Promise<Daemon> {
 	const folder = mkdtempSync(path.join(tmpdir(), 'stonemoor-'));
 	const file = path.join(folder, 'settings.yaml');
@@ -32,7 +32,7 @@
 		retries: {ratio: 0.2, slack: 62, window: '10s'},
 	};
 	const writeSettings = (changes: Readonly<Record<string, unknown>>): void => {
-		writeFileSync(file, `# made by a test\n${JSON.stringify({...settings, ...changes})}`);
+		writeFileSync(file, `# written by a test\n${JSON.stringify({...settings, ...changes})}`);
 	};
 
 	writeSettings({});
@@ -49,13 +49,13 @@
 	return {running, writeSettings, expectLine};
 }
 
-test('a changed settings file is taken over with and without a signal; a bad one changes nothing and is named', async context => {
+test('a changed settings file is applied with and without a signal; an invalid one is logged and not applied', async context => {
 	const {running, writeSettings, expectLine} = await startDaemon(context);
 	writeSettings({shutdown: 'soon'});
 	running.child.kill('SIGHUP');
 	await expectLine(/"level":50.*settings-reloaded.*shutdown: found \\"soon\\"/);
 	writeSettings({service: 'hall'});
-	await expectLine(/settings-reloaded.*in force after a restart only: service/);
+	await expectLine(/settings-reloaded.*these settings take effect only after a restart: service/);
 	running.child.kill('SIGTERM');
 	assert.equal(await running.waitForEnd(), 0);
 });
--- a/apps/sidecar/main.ts
+++ b/apps/sidecar/main.ts
@@ -1,7 +1,7 @@
 #!/usr/bin/env node
 /**
- * The daemon on the users' platform: reads its settings, wires the library to
- * the platform's adapter and handles signals.
+ * The daemon of a sidecar node on the users' platform: reads its settings,
+ * connects the library to the platform's adapter and handles signals.
  *
  * @module
  */
@@ -16,10 +16,10 @@
 
 const exitCodes = {badSettings: 2, cannotListen: 3, uncaughtException: 5} as const;
 
-/** Lines that only people read. */
+/** Comment lines of the settings file. */
 const commentLines = /^#.*$/gm;
 
-/** Milliseconds that a fault of the program may take to be written. */
+/** Time to write the log line of an uncaught exception before the process exits. */
 const faultLogTimeoutMs = 200;
 
 function readSettings(file: string): Result<SidecarSettings, string> {
@@ -31,23 +31,23 @@
 	}
 
 	try {
-		// The template writes YAML that is JSON but for its comments, which needs no library to read.
+		// The settings template generates YAML that is JSON except for the comments, so no YAML library is needed.
 		return parseSidecarSettings(JSON.parse(text.replaceAll(commentLines, '')));
 	} catch (error) {
 		return err(`settings: ${(error as Error).message}`);
 	}
 }
 
-/** Milliseconds between two looks at the settings file, which may change without a signal. */
+/** Interval between checks of the settings file, which may change without a signal. */
 const settingsPollMs = 2000;
 
-/** Takes over a changed settings file. A bad one changes nothing and is named. */
+/** Applies a changed settings file. An invalid one is logged and not applied. */
 function applySettingsFile(sidecar: Sidecar, log: LineLog, file: string): void {
 	readSettings(file).match(
 		settings => {
 			const restartOnly = sidecar.applySettings(settings);
 			log.record('info', {
-				kind: 'settings-reloaded', outcome: 'in force', ...restartOnly.length > 0 ? {reason: `in force after a restart only: ${restartOnly.join(', ')}`} : {},
+				kind: 'settings-reloaded', outcome: 'in force', ...restartOnly.length > 0 ? {reason: `these settings take effect only after a restart: ${restartOnly.join(', ')}`} : {},
 			});
 		},
 		problem => {
@@ -127,6 +127,6 @@
 	}
 }
 
-// The bundle that is deployed is CommonJS, which starts in less processor time and has no top-level `await`.
+// The deployed bundle is CommonJS, which takes less processor time to start and does not support top-level `await`.
 // eslint-disable-next-line unicorn/prefer-top-level-await
 void run();
--- a/src/lib/common/address.ts
+++ b/src/lib/common/address.ts
@@ -1,5 +1,5 @@
 /**
- * Splits and checks addresses. Only IP numbers are used: the mesh asks no name service.
+ * Parses, checks and formats addresses. Hosts are IP addresses only: the mesh does no DNS lookups.
  *
  * @module
  */
@@ -11,12 +11,14 @@
 
 const maximumPort = 65_535;
 
-/** What may stand for a port: what `Number` takes for one besides, such as nothing, is none. */
+/** Digits of a port. `Number` alone would also accept other texts, such as an empty one. */
 const portDigits = /^(?:0|[1-9]\d{0,4})$/;
 
 /**
- * @param address - An IP number and a port, as in `127.0.0.1:7000` or `[::1]:7000`.
- * @returns Its parts.
+ * Splits an address into host and port.
+ *
+ * @param address - An IP address and a port, as in `127.0.0.1:7000` or `[::1]:7000`.
+ * @returns The host without brackets, and the port.
  * @internal
  */
 export function parseAddress(address: Address): HostAndPort {
@@ -25,8 +27,10 @@
 }
 
 /**
- * @param text - Perhaps an address.
- * @returns Whether it is an IP number and a port.
+ * Checks whether a text is an address.
+ *
+ * @param text - The text to check.
+ * @returns Whether it is an IP address and a port.
  * @internal
  */
 export function isAddress(text: string): boolean {
@@ -35,8 +39,10 @@
 }
 
 /**
- * @param text - Perhaps an address.
- * @returns Whether it is an address at which somebody may listen: port 0 only asks for any free one.
+ * Checks whether a text is an address that can be connected to.
+ *
+ * @param text - The text to check.
+ * @returns Whether it is an address with a port other than 0, which only requests any free port.
  * @internal
  */
 export function isReachableAddress(text: string): boolean {
@@ -44,9 +50,11 @@
 }
 
 /**
- * @param host - An IP number.
+ * Joins host and port into an address.
+ *
+ * @param host - An IP address.
  * @param port - A port.
- * @returns The address.
+ * @returns The address, with brackets around an IPv6 host.
  * @internal
  */
 export function formatAddress({host, port}: HostAndPort): Address {
--- a/src/lib/common/assert-never.ts
+++ b/src/lib/common/assert-never.ts
@@ -1,14 +1,14 @@
 /**
- * Exhausts unions at compile time.
+ * Compile-time check that a switch handles every case of a union.
  *
  * @module
  */
 
 /**
- * Stands in the last branch of a switch over a union. It fails to compile when a case is missing.
+ * Marks the last branch of a switch over a union. The call does not compile if a case is missing.
  *
- * @param value - What the compiler has proved impossible.
- * @returns Never; an error if the impossible came about.
+ * @param value - The value, of type `never` if all cases are handled.
+ * @returns Never; it throws if an unhandled value occurs at run time.
  * @internal
  */
 export function assertNever(value: never): never {
--- a/src/lib/common/byte-meter.ts
+++ b/src/lib/common/byte-meter.ts
@@ -1,5 +1,5 @@
 /**
- * Counts the bytes that control traffic puts on the wire.
+ * Counts the bytes that control traffic sends and receives.
  *
  * @module
  */
@@ -10,15 +10,17 @@
 
 /** @internal */
 export type ByteMeter = {
-	/** Counts everything that passes over a TCP connection. */
+	/** Counts all bytes of a TCP connection, in both directions. */
 	readonly watchSocket: (socket: Socket) => void;
-	/** Counts a datagram. */
+	/** Adds the bytes of a datagram. */
 	readonly count: (counts: ByteCounts) => void;
 	readonly getCounts: () => ByteCounts;
 };
 
 /**
- * @returns A meter at 0.
+ * Creates a byte meter.
+ *
+ * @returns The meter, with both counts at 0.
  * @internal
  */
 export function createByteMeter(): ByteMeter {
--- a/src/lib/common/clock.ts
+++ b/src/lib/common/clock.ts
@@ -1,6 +1,6 @@
 /**
- * The one place that reads the time, so that tests can pause and advance it
- * with `mock.timers`.
+ * Clocks and timers. The library reads the time only in this module, so that
+ * tests can pause and advance it with `mock.timers`.
  *
  * @module
  */
@@ -8,19 +8,23 @@
 import {createElapsedClock} from './elapsed-clock.js';
 
 /**
- * @returns Milliseconds since the epoch. It may jump, so no promise rests on it.
+ * Reads the time of day. It may jump, so no guarantee may depend on it.
+ *
+ * @returns Milliseconds since the epoch.
  * @internal
  */
 export function readNow(): number {
 	return Date.now();
 }
 
-/** The longest time of a timer, in milliseconds: one that is longer would fire at once. */
+/** The longest delay of a Node.js timer; a timer with a longer delay fires at once. */
 const maximumTimerMs = 2_147_483_647;
 
 /**
- * @param milliseconds - How long something may take, which others may have named.
- * @returns The same, as a timer takes it.
+ * Limits a delay to the range that timers support.
+ *
+ * @param milliseconds - The delay, possibly from a message of another process.
+ * @returns The delay, from 0 to the longest delay of a timer.
  * @internal
  */
 export function clampTimerMs(milliseconds: number): number {
@@ -28,11 +32,11 @@
 }
 
 /**
- * Waits.
+ * Waits for a time or until a signal is aborted.
  *
- * @param milliseconds - How long.
+ * @param milliseconds - The time to wait.
  * @param signal - Ends the wait early.
- * @returns When the time is over or the signal fired.
+ * @returns A promise that resolves when the time is over or the signal is aborted.
  * @internal
  */
 export async function waitFor(milliseconds: number, signal?: AbortSignal): Promise<void> {
@@ -53,7 +57,7 @@
 }
 
 /**
- * Reads a clock that does not jump, for measuring how long something took.
+ * Reads the monotonic clock, to measure how long something took.
  *
  * @returns Microseconds since the process started.
  * @internal
@@ -62,7 +66,7 @@
 	return performance.now() * 1000;
 }
 
-/** A system that does not tell its uptime tells of no suspension. */
+/** Reads the uptime of the system. Returns `undefined` if the system does not report it; suspensions are not detected then. */
 function readUptimeMs(): number | undefined {
 	try {
 		return os.uptime() * 1000;
@@ -72,8 +76,9 @@
 }
 
 /**
- * Reads the clock that stands still while this VM is suspended: for how long work took on it. A suspension of two seconds would otherwise be taken for the speed of the
- * server beside it, and requests be refused that it answers in time.
+ * Reads the monotonic clock that stops while this VM is suspended, to measure how long work took on this VM. With suspensions
+ * included, a suspension of two seconds would count as a slow response of the backend server, and requests would be refused
+ * that the server can answer in time.
  *
  * @returns Milliseconds, with fractions.
  * @internal
@@ -85,13 +90,13 @@
 const elapsedClock = createElapsedClock({readAwakeMs, readNow, readUptimeMs});
 
 /**
- * Reads the clock that does not jump, and that counts the time for which this VM was suspended. Deadlines, ages and rates of a sidecar
- * node are measured with it. Timers do not count that time: what waits for one listens for a resume as well (`watchResume`).
+ * Reads the monotonic clock that includes the time for which this VM was suspended. Deadlines, ages and rates of a sidecar
+ * node are measured with it. Timers do not include that time: code that waits for a timer also listens for resumes (`watchResume`).
  *
  * @returns Milliseconds since the process started, with fractions.
  * @internal
  */
 export const readSteadyMs = elapsedClock.read;
 
-/** Calls back when it is noticed that this VM was suspended, with its milliseconds; yields a function that takes that back. @internal */
+/** The suspensions of this VM: `watchResume` calls a handler for each, `getSuspendedMs` returns their total, `updateClockOffsets` corrects clock drift. See {@link ElapsedClock}. @internal */
 export const {watchResume, getSuspendedMs, updateOffsets: updateClockOffsets} = elapsedClock;
--- a/src/lib/common/digest-tree.test.ts
+++ b/src/lib/common/digest-tree.test.ts
@@ -14,7 +14,7 @@
 	return raw.map(({key, value}) => ({key, entry: value === undefined ? undefined : {value, fingerprint: String(value)}}));
 }
 
-test('a tree holds what a map would hold, however the changes are grouped', () => {
+test('property: a tree has the same entries as a map after the same changes, and its root does not depend on how they are grouped', () => {
 	fc.assert(fc.property(fc.array(changeArbitrary, {maxLength: 60}), fc.nat(60), (raw, cut) => {
 		const changes = toChanges(raw);
 		const atOnce = applyTreeChanges(createDigestTree<number>(), changes);
@@ -36,18 +36,18 @@
 	}));
 });
 
-test('the differing buckets are enough to make two trees equal', () => {
+test('property: replacing the buckets that differ makes two trees equal', () => {
 	fc.assert(fc.property(fc.array(changeArbitrary), fc.array(changeArbitrary), (left, right) => {
 		const mine = applyTreeChanges(createDigestTree<number>(), toChanges(left));
 		const other = applyTreeChanges(createDigestTree<number>(), toChanges(right));
 		const differing = findDifferingBuckets(other, mine.buckets.map(bucket => bucket.digest));
-		const mended = replaceBuckets(mine, new Map(differing.map(index => [index, other.buckets[index]?.entries ?? new Map()])));
-		assert.equal(mended.root, other.root);
-		assert.deepEqual(listTreeValues(mended), listTreeValues(other));
+		const repaired = replaceBuckets(mine, new Map(differing.map(index => [index, other.buckets[index]?.entries ?? new Map()])));
+		assert.equal(repaired.root, other.root);
+		assert.deepEqual(listTreeValues(repaired), listTreeValues(other));
 	}));
 });
 
-test('a list of digests of the wrong length counts as different everywhere', () => {
+test('with a list of digests of the wrong length, all buckets differ', () => {
 	const tree = createDigestTree<number>();
 	assert.equal(findDifferingBuckets(tree, []).length, tree.buckets.length);
 });
--- a/src/lib/common/digest-tree.ts
+++ b/src/lib/common/digest-tree.ts
@@ -1,10 +1,10 @@
 /**
- * An immutable keyed collection that knows the digest of its whole content.
+ * An immutable map with a digest of its whole content: a hash tree of two levels.
  *
- * Entries are spread over a fixed number of buckets by a hash of their key.
+ * Entries are distributed over a fixed number of buckets by a hash of their key.
  * Each bucket has a digest over its entries, and the root digest covers all
- * buckets. A change copies and digests one bucket only, and two holders find
- * what differs between them by comparing bucket digests.
+ * buckets. A change copies and digests one bucket only, and two nodes find
+ * the differences between their trees by comparing bucket digests.
  *
  * @module
  */
@@ -12,10 +12,10 @@
 import {computeDigest} from './digest.js';
 import {type Digest} from './ids.js';
 
-/** Buckets in every tree. More make a change cheaper and a comparison dearer. @internal */
+/** Number of buckets of every tree. More buckets make a change cheaper and a comparison more expensive. @internal */
 export const bucketCount = 256;
 
-/** One value with the text that stands for it in digests. @internal */
+/** A value with the text that represents it in digests. @internal */
 export type TreeEntry<T> = {
 	readonly value: T;
 	readonly fingerprint: string;
@@ -41,7 +41,7 @@
 };
 
 /**
- * Finds the bucket of a key, the same on every node.
+ * Returns the bucket of a key, which is the same on every node.
  *
  * @param key - The entry's key.
  * @returns An index from 0 to {@link bucketCount} - 1 (MurmurHash3).
@@ -79,11 +79,11 @@
 }
 
 /**
- * Applies changes to a tree. The given tree stays as it is.
+ * Applies changes to a copy of a tree.
  *
- * @param tree - The tree to start from.
- * @param changes - Applied in order; the last change of a key counts.
- * @returns The changed tree, which shares every untouched bucket.
+ * @param tree - The tree, which is not modified.
+ * @param changes - The changes, applied in order; the last change of a key counts.
+ * @returns The changed tree, which shares all unchanged buckets with the given tree.
  * @internal
  */
 export function applyTreeChanges<T>(tree: DigestTree<T>, changes: ReadonlyArray<TreeChange<T>>): DigestTree<T> {
@@ -110,9 +110,9 @@
 }
 
 /**
- * Replaces the whole content of some buckets, as received from another holder.
+ * Replaces the whole content of some buckets, as received from another node.
  *
- * @param tree - The tree to start from.
+ * @param tree - The tree, which is not modified.
  * @param replacements - New entries by bucket index.
  * @returns The changed tree.
  * @internal
@@ -125,9 +125,11 @@
 }
 
 /**
- * @param tree - Where to look.
+ * Looks up a value.
+ *
+ * @param tree - The tree.
  * @param key - The entry's key.
- * @returns The value, or `undefined` if the tree lacks the key.
+ * @returns The value, or `undefined` if the key is not in the tree.
  * @internal
  */
 export function getTreeValue<T>(tree: DigestTree<T>, key: string): T | undefined {
@@ -135,8 +137,10 @@
 }
 
 /**
- * @param tree - What to list.
- * @returns Every value, bucket by bucket.
+ * Lists the values of a tree.
+ *
+ * @param tree - The tree.
+ * @returns All values, bucket by bucket.
  * @internal
  */
 export function listTreeValues<T>(tree: DigestTree<T>): readonly T[] {
@@ -144,10 +148,10 @@
 }
 
 /**
- * Finds the buckets in which another holder differs.
+ * Finds the buckets that differ from those of another node.
  *
- * @param tree - This side's tree.
- * @param digests - The other side's bucket digests, or their first characters, in order.
+ * @param tree - This node's tree.
+ * @param digests - The other node's bucket digests, or their first characters, in order.
  * @returns Indexes of the buckets whose digests differ; all of them if the list has the wrong length.
  * @internal
  */
@@ -156,11 +160,13 @@
 	return tree.buckets.flatMap((bucket, index) => isComplete && bucket.digest.startsWith(digests[index] ?? ' ') ? [] : [index]);
 }
 
-/** Characters of a bucket digest that travel: 72 bits tell 256 buckets apart safely. */
+/** Characters of a bucket digest that are sent to other nodes: 72 bits make a collision among 256 buckets very unlikely. */
 const shortDigestCharacterCount = 12;
 
 /**
- * @param tree - The tree to describe.
+ * Lists the shortened bucket digests that are sent to other nodes.
+ *
+ * @param tree - The tree.
  * @returns The first characters of each bucket's digest, in order.
  * @internal
  */
--- a/src/lib/common/digest.ts
+++ b/src/lib/common/digest.ts
@@ -1,6 +1,6 @@
 /**
- * Digests over canonical JSON (RFC 8785), so that two nodes that hold the same
- * data compute the same digest whatever order its fields were written in.
+ * Digests and canonical JSON (RFC 8785). Nodes that hold the same data compute
+ * the same digest, regardless of the order of its fields.
  *
  * @module
  */
@@ -11,7 +11,7 @@
 /**
  * Computes the digest of a text.
  *
- * @param text - What to digest; read as UTF-8.
+ * @param text - The text, encoded as UTF-8.
  * @returns SHA-256, base64url.
  * @internal
  */
@@ -20,10 +20,10 @@
 }
 
 /**
- * Writes a JSON value in its one canonical form.
+ * Formats a value as canonical JSON.
  *
  * @param value - Any JSON value.
- * @returns Its RFC 8785 text; `null` for a value that JSON cannot hold.
+ * @returns Its RFC 8785 text, or the text `null` if JSON cannot represent the value.
  * @internal
  */
 export function formatCanonical(value: unknown): string {
--- a/src/lib/common/duration.ts
+++ b/src/lib/common/duration.ts
@@ -1,12 +1,14 @@
 /**
- * Times as text: a number and its unit, as in `1500ms` or `2.5s`.
+ * Parses and formats durations: a number and its unit, as in `1500ms` or `2.5s`.
  *
  * @module
  */
 
 /**
- * @param value - A time.
- * @returns Milliseconds, or `undefined` if the value is no time.
+ * Parses a duration.
+ *
+ * @param value - The value to parse, of any type.
+ * @returns Milliseconds, or `undefined` if the value is not a duration.
  * @internal
  */
 export function parseDuration(value: unknown): number | undefined {
@@ -20,13 +22,15 @@
 	}
 
 	const milliseconds = Number(match[1]) * (match[2] === 's' ? 1000 : 1);
-	// More digits than numbers hold would come out as infinite, which no message can carry on.
+	// A number with too many digits becomes Infinity, which JSON cannot represent.
 	return Math.abs(milliseconds) <= Number.MAX_SAFE_INTEGER ? milliseconds : undefined;
 }
 
 /**
- * @param milliseconds - A time.
- * @returns The same time as text.
+ * Formats a duration.
+ *
+ * @param milliseconds - The duration.
+ * @returns Whole milliseconds with their unit, as in `1500ms`.
  * @internal
  */
 export function formatDuration(milliseconds: number): string {
--- a/src/lib/common/elapsed-clock.test.ts
+++ b/src/lib/common/elapsed-clock.test.ts
@@ -5,16 +5,16 @@
 
 type FakeVm = {
 	readonly clock: ElapsedClock;
-	/** Milliseconds of each suspension that was told. */
+	/** The suspensions that were reported, in milliseconds. */
 	readonly resumes: readonly number[];
-	/** The VM runs for a while. */
+	/** Lets the VM run for a time. */
 	readonly run: (milliseconds: number) => void;
 	readonly suspend: (milliseconds: number) => void;
-	/** The time of day is set, forward or back. */
+	/** Sets the time of day forward or back. */
 	readonly setClock: (stepMs: number) => void;
 };
 
-/** Clocks of a VM; its uptime is told in hundredths of a second, or not at all. */
+/** Creates the clocks of a VM. Its uptime has a resolution of 10 ms, or is not available. */
 function createFakeVm(hasUptime = true): FakeVm {
 	let awake = 1000;
 	let boot = 500_000;
@@ -42,7 +42,7 @@
 	};
 }
 
-test('a suspension counts, and is told once, before the time is handed out', () => {
+test('elapsed time includes a suspension, which is reported once, before the read that detects it returns', () => {
 	const {clock, resumes, run, suspend} = createFakeVm();
 	assert.equal(clock.read(), 1000);
 	run(300);
@@ -55,7 +55,7 @@
 });
 
 for (const stepMs of [2000, -2000, 60, -60]) {
-	test(`a time of day that is set by ${stepMs} ms and back counts as nothing`, () => {
+	test(`setting the time of day by ${stepMs} ms and back is not reported as a suspension`, () => {
 		const {clock, resumes, run, setClock} = createFakeVm();
 		setClock(stepMs);
 		assert.equal(clock.read(), 1000);
@@ -66,16 +66,16 @@
 	});
 }
 
-test('where the uptime cannot be told, a jump is a set clock', () => {
+test('without an uptime, a jump of the time of day is not reported as a suspension', () => {
 	const {clock, resumes, suspend} = createFakeVm(false);
 	suspend(2000);
 	assert.equal(clock.read(), 1000);
 	assert.deepEqual(resumes, []);
 });
 
-test('an uptime that goes at another speed than the steady clock shows no suspension when the time of day is set', () => {
+test('drift between uptime and steady clock is not reported as a suspension when the time of day is set', () => {
 	const {clock, resumes, run, suspend, setClock} = createFakeVm();
-	for (let turn = 0; turn < 100; turn++) {
+	for (let step = 0; step < 100; step++) {
 		run(400);
 		suspend(30);
 		clock.updateOffsets();
@@ -86,10 +86,10 @@
 	assert.deepEqual(resumes, []);
 });
 
-/** Each suspension is told by the time of day, which may have been slewed by a little unnoticed. Milliseconds. */
+/** Error of the measured length of one suspension: it is taken from the time of day, which may have been slewed by an amount below the detection threshold. */
 const errorPerSuspensionMs = 60;
 
-test('property: elapsed time never goes back, and is the time awake and suspended, whatever else the time of day does', () => {
+test('property: elapsed time never decreases, and equals the time awake plus the time suspended, even if the time of day is set', () => {
 	const step = fc.oneof(
 		fc.record({type: fc.constant('run' as const), ms: fc.integer({min: 0, max: 3000})}),
 		fc.record({type: fc.constant('suspend' as const), ms: fc.integer({min: 100, max: 8000})}),
--- a/src/lib/common/elapsed-clock.ts
+++ b/src/lib/common/elapsed-clock.ts
@@ -1,51 +1,54 @@
 /**
- * A clock that does not jump and counts the time for which the VM was suspended.
+ * A monotonic clock that includes the time for which the VM was suspended.
  *
- * The steady clock of the runtime stands still meanwhile, so that a call would go on with time that its caller no longer has. The clock of
- * the system's uptime and the time of day go on; the latter may also be set. A jump of the time of day is therefore taken for a suspension only if
- * the uptime shows the same jump. Where it shows nothing, the jump is taken for a set clock: to age calls that nobody has waited for longer
- * loses what is in work at every step of a clock, to miss a suspension is what a node that stands still does anyway.
+ * The steady clock of the runtime stops during a suspension, so a call would continue with time that its caller no longer has. The
+ * uptime of the system and the time of day continue, but the time of day may also be set. A jump of the time of day therefore counts
+ * as a suspension only if the uptime shows the same jump. Without such a jump of the uptime, the time of day counts as set: expiring
+ * calls by a jump that was no suspension would lose the requests in flight whenever the clock is set, while a missed suspension only
+ * has the effect of a steady clock that stops: deadlines are late by the length of the suspension.
  *
  * @module
  */
 
-/** Where the times come from. @internal */
+/** The clocks of the system. @internal */
 export type ClockSources = {
-	/** Milliseconds of the steady clock, which stands still while the VM is suspended. */
+	/** Reads the steady clock, in milliseconds. It stops while the VM is suspended. */
 	readonly readAwakeMs: () => number;
-	/** Milliseconds since the epoch. */
+	/** Reads the time of day, in milliseconds since the epoch. */
 	readonly readNow: () => number;
-	/** Milliseconds since the system started, suspensions included; `undefined` if it cannot be told. Coarse, and some 3 µs a call: a hundred times the others. */
+	/** Reads the milliseconds since the system started, with suspensions; `undefined` if not available. Its resolution is coarse, and a call takes about 3 µs, a hundred times as long as for the other clocks. */
 	readonly readUptimeMs: () => number | undefined;
 };
 
 /** @internal */
 export type ElapsedClock = {
-	/** Milliseconds since the process started, with suspensions. */
+	/** Returns the milliseconds since the process started, with suspensions. */
 	readonly read: () => number;
-	/** Milliseconds for which the VM was suspended, as far as it has been noticed. */
+	/** Returns the total time of the suspensions detected so far, in milliseconds. */
 	readonly getSuspendedMs: () => number;
-	/** Calls back at each suspension that is noticed, with its milliseconds; yields a function that takes that back. */
+	/** Calls a handler for each detected suspension, with its milliseconds. Returns a function that removes the handler. */
 	readonly watchResume: (handleResume: (suspendedMs: number) => void) => () => void;
-	/** Reads the uptime again, so that what differs between the clocks by their drift does not add up. */
+	/** Measures the offsets between the clocks again, so that their drift does not accumulate. */
 	readonly updateOffsets: () => void;
 };
 
-/** A jump of the time of day that is worth a look. Milliseconds: less makes no difference to any call, and clocks are slewed by less. */
+/** Shortest jump of the time of day that is checked. A shorter suspension makes no difference to a call, and clocks are slewed by less than this. */
 const minimumJumpMs = 50;
 
-/** By how much the jumps of two clocks may differ and still be the same. Milliseconds: a step of the time of day that was too small to be looked at, the hundredths of a second in which the uptime is told, and the time that reading takes on a busy VM. */
+/** Greatest difference between the jumps of the two clocks that count as the same jump: a step of the time of day below the threshold, plus the 10 ms resolution of the uptime and the time between the reads on a busy VM. */
 const jumpToleranceMs = minimumJumpMs + 20;
 
 type ClockOffsets = {
-	/** Time of day less the steady clock. */
+	/** Time of day minus steady clock. */
 	readonly timeOfDayOffsetMs: number;
-	/** Uptime less the steady clock. */
+	/** Uptime minus steady clock; `undefined` if the uptime is not available. */
 	readonly uptimeOffsetMs: number | undefined;
 };
 
 /**
- * @param sources - The clocks.
+ * Creates a clock of elapsed time.
+ *
+ * @param sources - The clocks of the system.
  * @returns The clock.
  * @internal
  */
@@ -61,7 +64,7 @@
 	let lastAwakeMs = readAwakeMs();
 	let offsets = readOffsets(lastAwakeMs);
 
-	/** Reads the steady clock. One that goes back is another clock, as in tests that pause it: nothing can be told from a jump to it. */
+	/** Reads the steady clock. If it went back, a test has replaced it by another clock: the offsets are measured again, since the jump shows no suspension. */
 	const readAwake = (): number => {
 		const awakeMs = readAwakeMs();
 		if (awakeMs < lastAwakeMs) {
@@ -72,7 +75,7 @@
 		return awakeMs;
 	};
 
-	/** Looks where a jump of the time of day comes from. */
+	/** Checks whether a jump of the time of day was a suspension, and reports it to the handlers if so. */
 	const checkJump = (awakeMs: number): void => {
 		const before = offsets;
 		offsets = readOffsets(awakeMs);
--- a/src/lib/common/field-error.ts
+++ b/src/lib/common/field-error.ts
@@ -1,10 +1,10 @@
 /**
- * The error of a field of a message or a document that cannot be used.
+ * The error for an invalid field of a message or a document.
  *
  * @module
  */
 
-/** Characters of a value that an error shows: enough to recognise it. What others write may be as long as a message. */
+/** Characters of a value that an error shows: enough to recognise it. A value from another process may be as long as a whole message. */
 const maximumShownLength = 80;
 
 function describeValue(found: unknown): string {
@@ -13,18 +13,18 @@
 	}
 
 	if (typeof found === 'string' && found.length > maximumShownLength) {
-		return `${JSON.stringify(found.slice(0, maximumShownLength))} and ${found.length - maximumShownLength} characters more`;
+		return `${JSON.stringify(found.slice(0, maximumShownLength))} and ${found.length - maximumShownLength} more characters`;
 	}
 
 	if (typeof found !== 'object' || found === null) {
 		return JSON.stringify(found) ?? typeof found;
 	}
 
-	// What lies within may be too deep to be written down.
+	// The value may be nested too deeply for JSON.stringify.
 	return Array.isArray(found) ? `a list of ${found.length}` : 'an object';
 }
 
-/** A field that cannot be used: where it stands, what was found and what is allowed. @internal */
+/** Reports an invalid field: its place, the value found and the values allowed. @internal */
 export class FieldError extends Error {
 	constructor(place: string, found: unknown, allowed: string) {
 		super(`${place}: found ${describeValue(found)}, must be ${allowed}`);
--- a/src/lib/common/lazy-modules.ts
+++ b/src/lib/common/lazy-modules.ts
@@ -1,7 +1,7 @@
 /**
- * Modules of the runtime that a node does not need at its start, and often
- * never. Loading `node:crypto` and `node:zlib` is a tenth of what a start costs,
- * and neither is needed before the first change of a configuration.
+ * Loads modules of the runtime at their first use. Loading `node:crypto` and
+ * `node:zlib` takes a tenth of the processor time of a start, and neither is
+ * needed before the first change of a configuration.
  *
  * @module
  */
@@ -10,7 +10,9 @@
 import type zlib from 'node:zlib';
 
 /**
- * @returns `node:crypto`, loaded at the first call.
+ * Returns the module `node:crypto`.
+ *
+ * @returns The module, loaded at the first call.
  * @internal
  */
 export function getCrypto(): typeof crypto {
@@ -18,7 +20,9 @@
 }
 
 /**
- * @returns `node:zlib`, loaded at the first call.
+ * Returns the module `node:zlib`.
+ *
+ * @returns The module, loaded at the first call.
  * @internal
  */
 export function getZlib(): typeof zlib {
--- a/src/lib/common/listen-at.ts
+++ b/src/lib/common/listen-at.ts
@@ -1,5 +1,5 @@
 /**
- * Listening at an address of the settings.
+ * Starts servers at addresses from the settings.
  *
  * @module
  */
@@ -7,13 +7,15 @@
 import {parseAddress} from './address.js';
 import {type Address} from './ids.js';
 
-/** Connections that may wait to be accepted: a herd that comes back at once must not be told to try again seconds later. */
+/** Longest queue of connections that wait to be accepted: if many callers reconnect at once, a shorter queue would overflow, and the others would retry only seconds later. */
 const maximumBacklog = 4096;
 
 /**
+ * Starts a server.
+ *
  * @param server - The server.
- * @param address - Where it is to listen.
- * @returns A promise that is kept when it listens, and broken if it cannot.
+ * @param address - The address to listen at.
+ * @returns A promise that resolves when the server listens, and rejects if it cannot.
  * @internal
  */
 export async function listenAt(server: Server, address: Address): Promise<void> {
--- a/src/lib/common/locate-yaml.ts
+++ b/src/lib/common/locate-yaml.ts
@@ -1,6 +1,5 @@
 /**
- * Finds where in a YAML file a field stands, and says in words what is wrong
- * with it.
+ * Locates fields in YAML files, and describes what is wrong with them.
  *
  * @module
  */
@@ -9,20 +8,20 @@
 } from 'yaml';
 import {type z} from 'zod';
 
-/** Lines and columns count from 1. @internal */
+/** A position in a file. Lines and columns count from 1. @internal */
 export type SourcePosition = {readonly line: number; readonly column: number};
 
-/** The way to a field, from the top of the document. @internal */
+/** The keys and indexes that lead to a field from the top of the document. @internal */
 export type FieldPath = ReadonlyArray<string | number>;
 
-/** Finds the place of a field; a field that is not there has its nearest parent's. @internal */
+/** Returns the position of a field, or that of its nearest existing parent if the field is missing. @internal */
 export type Locator = (path: FieldPath) => SourcePosition;
 
 /**
- * Makes a function that finds the line and column of a field.
+ * Creates a locator for a document.
  *
  * @param document - The parsed YAML.
- * @param lines - The counter that was given to the parser.
+ * @param lines - The line counter that was passed to the parser.
  * @returns The locator.
  * @internal
  */
@@ -42,13 +41,13 @@
 }
 
 /**
- * Finds where a key itself stands, for a key that should not be there.
+ * Finds the position of a key itself instead of its value, to report an unknown key.
  *
  * @param document - The parsed YAML.
- * @param lines - The counter that was given to the parser.
- * @param path - The way to the map that has the key.
+ * @param lines - The line counter that was passed to the parser.
+ * @param path - The path of the map that has the key.
  * @param key - The key.
- * @returns Its place, or `undefined`.
+ * @returns The position of the key, or `undefined` if the map does not have it.
  * @internal
  */
 export function findKeyPosition(document: Document, lines: LineCounter, path: FieldPath, key: string): SourcePosition | undefined {
@@ -64,9 +63,11 @@
 }
 
 /**
- * @param value - A value with fields.
- * @param path - The way to one of them.
- * @returns What stands there, or `undefined`.
+ * Returns a nested field of a value.
+ *
+ * @param value - The value.
+ * @param path - The path of the field.
+ * @returns The value of the field, or `undefined` if it is missing.
  * @internal
  */
 export function getField(value: unknown, path: readonly PropertyKey[]): unknown {
@@ -78,10 +79,11 @@
 	return current;
 }
 
+/** Characters of a value that a message shows. */
 const maximumShownLength = 100;
 
 /**
- * Puts an issue of the schema library in words: what was found and what is allowed.
+ * Describes an issue of the schema library: the value found and the values allowed.
  *
  * @param issue - The issue.
  * @param found - The value that was found.
--- a/src/lib/common/loop-lag.test.ts
+++ b/src/lib/common/loop-lag.test.ts
@@ -9,11 +9,11 @@
 function blockEventLoop(milliseconds: number): void {
 	const until = performance.now() + milliseconds;
 	while (performance.now() < until) {
-		// The process stands still, and what arrives waits.
+		// Block the event loop, so that input stays unread.
 	}
 }
 
-/** Sends a byte and closes, both while the process stands still; yields whether the close was known when the byte was worked on. */
+/** Sends a byte and closes the connection while the event loop is blocked. Returns whether the server had read the close when it handled the byte. */
 async function isCloseReadFirst(waitForPendingInput: () => Promise<void>): Promise<boolean> {
 	return new Promise(resolve => {
 		const server = createServer((socket: Socket) => {
@@ -31,7 +31,7 @@
 		server.listen(0, '127.0.0.1', () => {
 			const caller = connect((server.address() as AddressInfo).port, '127.0.0.1', () => {
 				caller.end('x');
-				// Not before both are sent.
+				// Block only after the byte and the close have been sent.
 				setImmediate(() => {
 					blockEventLoop(50);
 				});
@@ -40,24 +40,24 @@
 	});
 }
 
-test('while the process lags, a close that came with a request is heard before the request is worked on', async () => {
+test('while the process lags, a close that arrived with a request is read before the request is handled', async () => {
 	const lag = createLoopLag();
 	lag.recordTimerDelay(150);
 	assert.equal(await isCloseReadFirst(lag.waitForPendingInput), true);
 });
 
-test('without a lag nothing is waited for', async () => {
+test('without lag, waitForPendingInput returns at once', async () => {
 	const lag = createLoopLag();
 	lag.recordTimerDelay(50);
-	let turns = 0;
+	let iterations = 0;
 	setImmediate(() => {
-		turns++;
+		iterations++;
 	});
 	await lag.waitForPendingInput();
-	assert.equal(turns, 0);
+	assert.equal(iterations, 0);
 });
 
-/** Callers of another thread: each sends a byte and closes, once it is told to. */
+/** Callers in another thread: on a message, each sends a byte and closes its connection. */
 const callersScript = `
 const {parentPort, workerData} = require('node:worker_threads');
 const {connect} = require('node:net');
@@ -69,7 +69,7 @@
 });
 `;
 
-test('within one long turn of the loop, closes that came with the requests read last are heard before these are worked on', async () => {
+test('within one long iteration of the event loop, closes that arrived with the last requests are read before these are handled', async () => {
 	const lag = createLoopLag();
 	lag.recordTimerDelay(0);
 	const callers = 10;
@@ -95,7 +95,7 @@
 			connected++;
 			if (connected === callers) {
 				worker.postMessage('send');
-				// All of it arrives while the process stands still.
+				// All bytes and closes arrive while the event loop is blocked.
 				blockEventLoop(300);
 			}
 		});
--- a/src/lib/common/loop-lag.ts
+++ b/src/lib/common/loop-lag.ts
@@ -1,7 +1,7 @@
 /**
- * Whether this process lags behind what arrives. While it does, a request and
- * the close of its connection may both have arrived: the request is read first,
- * and would be sent on although nobody waits for it any more.
+ * Detects whether this process lags behind its input. While it does, a request
+ * and the close of its connection may both have arrived: the request is read
+ * first, and would be forwarded although its caller has already left.
  *
  * @module
  */
@@ -10,41 +10,43 @@
 
 /** @internal */
 export type LoopLag = {
-	/** Notes how late a timer fired. */
+	/** Records how late a timer fired. */
 	readonly recordTimerDelay: (delayMs: number) => void;
-	/** For how long a request that was read just now may have lain unread: since the turn before began, if that has only just ended. Milliseconds. */
+	/** Estimates how long a request that was just read may have been waiting unread, in milliseconds: since the previous iteration of the event loop started, if that has only just ended. */
 	readonly estimateUnreadMs: () => number;
-	/** Waits until what had arrived with a request has been read as well: while the process lags, or always for what may have waited elsewhere than in it. */
+	/** Waits until input that arrived together with a request has been read as well. Returns at once if the process does not lag, unless the request may have waited outside of it, as on a connection that was not accepted yet. */
 	readonly waitForPendingInput: (mayHaveWaited?: boolean) => Promise<void>;
 };
 
-/** A timer that fires this late shows that events wait. Milliseconds: a fifth of the time after which a request that nobody waits for must not be sent on; below it the extra turns cost more than they save. */
+/** Delay of a timer above which events are considered to be waiting: a fifth of the time after which a request whose caller has left must not be forwarded. Below this, the extra iterations cost more than they save. */
 const lagThresholdMs = 100;
 
-/** What had arrived before a suspension is read within this time after it. Milliseconds: a few turns; what arrives in it for the first time counts as that much older. */
+/** Time after a suspension within which input that arrived before it is read: a few iterations. New input within this time is also estimated to be older by the length of the suspension. */
 const resumeWindowMs = 20;
 
-/** Two turns follow one another without a rest if less than this lies between them, in milliseconds. */
+/** Longest gap between two iterations that follow one another without idle time. */
 const maximumIterationGapMs = 2;
 
 /**
- * @returns The lag of a process that has just started: taken as lagging, since its code is still cold.
+ * Creates a lag detector.
+ *
+ * @returns The detector. It starts as lagging, since the code of a process that has just started is not optimized yet.
  * @internal
  */
 export function createLoopLag(): LoopLag {
 	let isLagging = true;
 	let iteration: {readonly startedAt: number; readonly previousMs: number} | undefined;
 	let lastIteration = {endedAt: 0, tookMs: 0};
-	/** The last suspension of this VM, and when it was noticed. */
+	/** The last suspension of this VM: when it was detected, and its length in milliseconds. */
 	let suspension = {noticedAt: Number.NEGATIVE_INFINITY, forMs: 0};
 	watchResume(forMs => {
 		suspension = {noticedAt: readAwakeMs(), forMs};
 	});
 
-	/** What is read in the first moments after a suspension may have arrived before it. */
+	/** Returns the length of the last suspension if input read now may have arrived before it, otherwise 0. */
 	const getSuspendedMs = (): number => readAwakeMs() - suspension.noticedAt < resumeWindowMs ? suspension.forMs : 0;
 
-	/** Notes that a request was read. A turn of the loop reads everything that has arrived: under a backlog it may take seconds, and no timer fires within. */
+	/** Records that a request was read, and returns the current iteration. One iteration of the event loop reads all input that has arrived: with a backlog it may take seconds, during which no timer fires. */
 	const recordRead = (now: number): {readonly startedAt: number; readonly previousMs: number} => {
 		if (iteration !== undefined) {
 			return iteration;
@@ -76,7 +78,7 @@
 				return;
 			}
 
-			// The first turn ends the reading of what was there; the close of a connection is read in the next.
+			// The current iteration reads the remaining input; the close of a connection is read in the next one.
 			await waitForImmediate();
 			await waitForImmediate();
 		},
--- a/src/lib/common/network.ts
+++ b/src/lib/common/network.ts
@@ -1,6 +1,6 @@
 /**
- * How a node reaches other nodes. It is handed in, so that a test can cut
- * nodes off from one another.
+ * Opens the connections and datagram sockets of a node. It is passed to the
+ * node as a parameter, so that a test can partition the network.
  *
  * @module
  */
@@ -11,12 +11,14 @@
 /** @public */
 export type Network = {
 	readonly connect: (place: HostAndPort) => Socket;
-	/** Creates the socket for datagrams of a node that listens on this host. */
+	/** Creates the datagram socket of a node that listens on this host. */
 	readonly createDatagramSocket: (host: string) => DatagramSocket;
 };
 
 /**
- * @returns The network of the operating system.
+ * Creates the network of the operating system.
+ *
+ * @returns The network.
  * @public
  */
 export function createSystemNetwork(): Network {
@@ -26,13 +28,13 @@
 	};
 }
 
-/** What the HTTP client calls to open a connection. */
+/** The function that the HTTP client calls to open a connection. */
 type Connector = (
 	options: {readonly hostname: string; readonly port: string},
 	callback: (...parameters: [Error, null] | [null, Socket]) => void, // eslint-disable-line @typescript-eslint/no-restricted-types -- the HTTP client's own signature
 ) => void;
 
-/** An error of a connection that was never made: nothing was sent. */
+/** Reports that a connection was not established in time, so that nothing was sent. */
 class ConnectTimeoutError extends Error {
 	override readonly name = 'ConnectTimeoutError';
 
@@ -42,11 +44,11 @@
 }
 
 /**
- * Lets the HTTP client open its connections through a network.
+ * Creates a connector that lets the HTTP client open its connections through a network.
  *
  * @param network - The network.
- * @param timeoutMs - Milliseconds until a connection that is not made has failed.
- * @returns The function that the client takes.
+ * @param timeoutMs - Connect timeout in milliseconds.
+ * @returns The connector, for the options of the client.
  * @internal
  */
 export function createConnector(network: Network, timeoutMs: number): Connector {
@@ -58,7 +60,7 @@
 		};
 
 		const timer = setTimeout(() => {
-			socket.destroy(new ConnectTimeoutError('no connection in time'));
+			socket.destroy(new ConnectTimeoutError('connect timeout'));
 		}, timeoutMs);
 		socket.once('error', fail);
 		socket.once('connect', () => {
--- a/src/lib/common/parse-json.ts
+++ b/src/lib/common/parse-json.ts
@@ -1,5 +1,5 @@
 /**
- * Reads JSON without exceptions.
+ * Parses JSON without exceptions.
  *
  * @module
  */
@@ -7,11 +7,11 @@
 import {type z} from 'zod';
 
 /**
- * Parses a text and checks its shape.
+ * Parses JSON and validates it against a schema.
  *
- * @param text - JSON, perhaps damaged.
- * @param schema - What it must be.
- * @returns The value, or what is wrong in one sentence.
+ * @param text - The text, possibly damaged.
+ * @param schema - The schema of the value.
+ * @returns The value, or a sentence that says what is wrong.
  * @internal
  */
 export function parseJson<T>(text: string, schema: z.ZodType<T>): Result<T, string> {
@@ -22,8 +22,8 @@
 		}
 
 		const issue = parsed.error.issues[0];
-		return err(`${issue?.path.join('.') ?? ''}: ${issue?.message ?? 'has the wrong shape'}`);
+		return err(`${issue?.path.join('.') ?? ''}: ${issue?.message ?? 'does not match the schema'}`);
 	} catch (error) {
-		return err(`is not JSON: ${(error as Error).message}`);
+		return err(`is not valid JSON: ${(error as Error).message}`);
 	}
 }
--- a/src/lib/common/read-input.ts
+++ b/src/lib/common/read-input.ts
@@ -1,7 +1,7 @@
 /**
- * Reads fields of messages that come from other nodes, or from whoever else
- * writes to the addresses of this one. A message of which one field cannot be
- * used is refused whole; fields that are not known are passed over.
+ * Reads fields of messages from other nodes, or from any other process that
+ * sends to the addresses of this node. A message with one invalid field is
+ * refused as a whole; unknown fields are ignored.
  *
  * @module
  */
@@ -9,14 +9,16 @@
 import {FieldError} from './field-error.js';
 import {toAddress, type Address} from './ids.js';
 
-/** Characters of a name or an id: several times the longest that platforms give. */
+/** Longest name or id in characters: several times the longest that platforms assign. */
 const maximumNameLength = 256;
 
 /**
- * @param value - Any JSON.
- * @param place - Where it stands, for the error.
+ * Reads a list.
+ *
+ * @param value - Any JSON value.
+ * @param place - The place of the value, for the error.
  * @returns The list.
- * @throws FieldError when it is none.
+ * @throws FieldError if the value is not a list.
  * @internal
  */
 export function readList(value: unknown, place: string): readonly unknown[] {
@@ -28,56 +30,64 @@
 }
 
 /**
- * @param value - Any JSON.
- * @param place - Where it stands, for the error.
- * @returns The text, which may be empty.
- * @throws FieldError when it is none.
+ * Reads a string.
+ *
+ * @param value - Any JSON value.
+ * @param place - The place of the value, for the error.
+ * @returns The string, which may be empty.
+ * @throws FieldError if the value is not a string.
  * @internal
  */
 export function readString(value: unknown, place: string): string {
 	if (typeof value !== 'string') {
-		throw new FieldError(place, value, 'a text');
+		throw new FieldError(place, value, 'a string');
 	}
 
 	return value;
 }
 
 /**
- * @param value - Any JSON.
- * @param place - Where it stands, for the error.
+ * Reads a name or an id.
+ *
+ * @param value - Any JSON value.
+ * @param place - The place of the value, for the error.
  * @returns The name.
- * @throws FieldError when it is no text, is empty or is longer than any name.
+ * @throws FieldError if the value is not a string, is empty or is too long for a name.
  * @internal
  */
 export function readName(value: unknown, place: string): string {
 	if (typeof value !== 'string' || value === '' || value.length > maximumNameLength) {
-		throw new FieldError(place, value, `a text of 1 to ${maximumNameLength} characters`);
+		throw new FieldError(place, value, `a string of 1 to ${maximumNameLength} characters`);
 	}
 
 	return value;
 }
 
 /**
- * @param value - Any JSON.
- * @param place - Where it stands, for the error.
- * @returns The number of something.
- * @throws FieldError when it is no whole number, is negative or is too large to be exact.
+ * Reads a count.
+ *
+ * @param value - Any JSON value.
+ * @param place - The place of the value, for the error.
+ * @returns The count.
+ * @throws FieldError if the value is not an integer, is negative or is not a safe integer.
  * @internal
  */
 export function readCount(value: unknown, place: string): number {
 	if (!Number.isSafeInteger(value) || (value as number) < 0) {
-		throw new FieldError(place, value, 'a whole number that is not negative');
+		throw new FieldError(place, value, 'a non-negative integer');
 	}
 
 	return value as number;
 }
 
 /**
- * @param value - Any JSON.
- * @param place - Where it stands, for the error.
- * @param maximum - The most that is allowed.
- * @returns The amount, which may be a fraction.
- * @throws FieldError when it is no number, is negative or is more.
+ * Reads a number with an upper bound.
+ *
+ * @param value - Any JSON value.
+ * @param place - The place of the value, for the error.
+ * @param maximum - The largest value that is allowed.
+ * @returns The number, which may be a fraction.
+ * @throws FieldError if the value is not a number, is negative or exceeds the maximum.
  * @internal
  */
 export function readAmount(value: unknown, place: string, maximum: number): number {
@@ -89,25 +99,29 @@
 }
 
 /**
- * @param value - Any JSON.
- * @param place - Where it stands, for the error.
+ * Reads an address.
+ *
+ * @param value - Any JSON value.
+ * @param place - The place of the value, for the error.
  * @returns The address.
- * @throws FieldError when nobody could be reached there.
+ * @throws FieldError if the value is not an IP address and a port other than 0.
  * @internal
  */
 export function readAddress(value: unknown, place: string): Address {
 	if (typeof value !== 'string' || !isReachableAddress(value)) {
-		throw new FieldError(place, value, 'an IP number and a port, as in 127.0.0.1:7001');
+		throw new FieldError(place, value, 'an IP address and a port, as in 127.0.0.1:7001');
 	}
 
 	return toAddress(value);
 }
 
 /**
- * @param value - Any JSON.
- * @param place - Where it stands, for the error.
- * @returns Whether it is set.
- * @throws FieldError when it is neither 0 nor 1.
+ * Reads a flag.
+ *
+ * @param value - Any JSON value.
+ * @param place - The place of the value, for the error.
+ * @returns Whether the flag is set.
+ * @throws FieldError if the value is neither 0 nor 1.
  * @internal
  */
 export function readFlag(value: unknown, place: string): boolean {
--- a/src/lib/common/request-start-limiter.test.ts
+++ b/src/lib/common/request-start-limiter.test.ts
@@ -6,47 +6,47 @@
 import {setImmediate as waitForImmediate} from 'node:timers/promises';
 import {createRequestStartLimiter} from './request-start-limiter.js';
 
-test('the first of a turn begin at once, the others in turns of their own, in order', async () => {
-	const turns = createRequestStartLimiter();
-	const begun: number[] = [];
+test('the first requests of an iteration start at once, the others in later iterations, in order', async () => {
+	const limiter = createRequestStartLimiter();
+	const started: number[] = [];
 	const all = Array.from({length: 10}, async (_, index) => {
-		await turns.waitForStart();
-		begun.push(index);
+		await limiter.waitForStart();
+		started.push(index);
 	});
 	await Promise.resolve();
 	await Promise.resolve();
-	const first = begun.length;
-	assert.ok(first > 0 && first < 10, `${first} at once`);
+	const first = started.length;
+	assert.ok(first > 0 && first < 10, `${first} started at once`);
 	await waitForImmediate();
-	assert.ok(begun.length > first && begun.length <= first * 2, `${begun.length} after a turn`);
+	assert.ok(started.length > first && started.length <= first * 2, `${started.length} started after one iteration`);
 	await Promise.all(all);
-	assert.deepEqual(begun, Array.from({length: 10}, (_, index) => index));
+	assert.deepEqual(started, Array.from({length: 10}, (_, index) => index));
 });
 
-test('what comes while others wait does not overtake them', async () => {
-	const turns = createRequestStartLimiter();
-	const begun: string[] = [];
+test('a request that arrives while others wait starts after them', async () => {
+	const limiter = createRequestStartLimiter();
+	const started: string[] = [];
 	const start = async (name: string): Promise<void> => {
-		await turns.waitForStart();
-		begun.push(name);
+		await limiter.waitForStart();
+		started.push(name);
 	};
 
 	const all = Array.from({length: 6}, async (_, index) => start(`early ${index}`));
 	await waitForImmediate();
 	all.push(start('late'));
 	await Promise.all(all);
-	assert.equal(begun.at(-1), 'late');
+	assert.equal(started.at(-1), 'late');
 });
 
-/** Work that is done while connections are counted, in milliseconds. It counts and not the time that passes: a machine that is busy with other things stretches that for both sides alike. */
+/** Work that is done while connections are counted. The test counts work instead of elapsed time, since load from other processes delays both variants alike. */
 const workMs = 400;
 
 /**
- * Counts the connections that are taken while so much work is done. Forty callers keep the process busy, each with a millisecond of work for each byte and a
- * next byte for each answer; two hundred others connect meanwhile. All are in this thread, so that each turn
- * brings the same whatever else the machine does.
+ * Counts the connections that are accepted during a fixed amount of work. 40 callers keep the process busy: each byte causes one
+ * millisecond of work, and each response the next byte. Meanwhile 200 other callers connect. All callers are in this thread, so
+ * that the load from other processes does not change what arrives in an iteration.
  */
-async function countConnections(begin: () => Promise<void>): Promise<number> {
+async function countConnections(waitForStart: () => Promise<void>): Promise<number> {
 	const [busy, callers] = [40, 200];
 	const sockets: Socket[] = [];
 	let connections = 0;
@@ -61,10 +61,10 @@
 		sockets.push(socket);
 		socket.on('error', () => undefined);
 		socket.on('data', async () => {
-			await begin();
+			await waitForStart();
 			const until = performance.now() + 1;
 			while (performance.now() < until) {
-				// Work.
+				// Do one millisecond of work.
 			}
 
 			doneMs += isCounting ? 1 : 0;
@@ -106,10 +106,10 @@
 	return connections;
 }
 
-test('a busy process takes several times as many new connections as with long turns', async context => {
+test('a busy process accepts at least twice as many new connections with the limiter', async context => {
 	const before = await countConnections(async () => undefined);
-	const {waitForStart: begin} = createRequestStartLimiter();
-	const after = await countConnections(begin);
-	context.diagnostic(`${before} connections in ${workMs} ms of work, ${after} with short turns`);
-	assert.ok(after > Math.max(1, before) * 2, `${before} and ${after}`);
+	const {waitForStart} = createRequestStartLimiter();
+	const after = await countConnections(waitForStart);
+	context.diagnostic(`${before} connections in ${workMs} ms of work without the limiter, ${after} with it`);
+	assert.ok(after > Math.max(1, before) * 2, `${before} connections without the limiter, ${after} with it`);
 });
--- a/src/lib/common/request-start-limiter.ts
+++ b/src/lib/common/request-start-limiter.ts
@@ -1,26 +1,28 @@
 /**
- * Keeps the turns of the event loop short while much arrives. The loop takes
- * one new connection in a turn, whatever a turn lasts, so long turns leave
- * callers waiting to be connected; closes are heard between turns, too.
+ * Limits the requests that start in one iteration of the event loop, to keep the
+ * iterations short under high load. The event loop accepts one new connection per
+ * iteration, so during long iterations callers wait to be connected. The close of
+ * a connection is also read between iterations only.
  *
- * The load that it answers: hundreds of callers that come back on new
- * connections at once, to a node that has just restarted or is the last one of its
- * failure domain.
+ * It is needed when hundreds of callers reconnect at once to a node that has just
+ * restarted, or that is the last one of its failure domain.
  *
  * @module
  */
 
 /** @internal */
 export type RequestStartLimiter = {
-	/** Waits until the work on a request may begin; at once unless this turn has begun enough. */
+	/** Waits until a request may start. Resolves at once unless enough requests have started in this iteration. */
 	readonly waitForStart: () => Promise<void>;
 };
 
-/** Requests of new connections whose work begins in one turn. Those of connections that are there already are not held up, so that reads stay in time under overload. Each takes about a millisecond of a small VM's core, so that a turn stays at a few. */
+/** Requests from new connections that start in one iteration. Each takes about one millisecond of a core of a small VM, so an iteration takes a few milliseconds. Requests on existing connections are not delayed, so that reads are answered in time under overload. */
 const maximumStartsPerIteration = 4;
 
 /**
- * @returns Turns in which nothing has begun.
+ * Creates a limiter.
+ *
+ * @returns The limiter, without any started request.
  * @internal
  */
 export function createRequestStartLimiter(): RequestStartLimiter {
--- a/src/lib/common/server-lifetime.test.ts
+++ b/src/lib/common/server-lifetime.test.ts
@@ -11,14 +11,14 @@
 	same: 'same', earlier: 'later', later: 'earlier', unrelated: 'unrelated',
 } as const;
 
-test('property: two lifetimes are the same exactly if their keys are, and stand to one another in opposite ways', () => {
+test('property: two lifetimes are the same if and only if their keys are equal, and swapping them reverses their order', () => {
 	fc.assert(fc.property(lifetime, lifetime, (left, right) => {
 		assert.equal(isSameLifetime(left, right), toLifetimeKey(left) === toLifetimeKey(right));
 		assert.equal(compareLifetimes(left, right), opposites[compareLifetimes(right, left)]);
 	}));
 });
 
-test('of one id the later start is the later lifetime; of different ids nothing is said', () => {
+test('lifetimes with the same id are ordered by start time; lifetimes with different ids are unrelated', () => {
 	const first: ServerLifetime = {id: toBackendServerId('i-1'), startedAt: 1000};
 	assert.equal(compareLifetimes(first, {...first, startedAt: 1001}), 'earlier');
 	assert.equal(compareLifetimes(first, {...first, startedAt: 999}), 'later');
--- a/src/lib/common/server-lifetime.ts
+++ b/src/lib/common/server-lifetime.ts
@@ -1,48 +1,50 @@
 /**
- * One start of a backend server. A server may start again under the id that it
- * had, and then holds and knows nothing of before: whatever is known of a server
- * is known of one lifetime.
+ * The lifetime of a backend server: the time from one start to its end. A server
+ * may restart with the same id and then has lost its earlier state, so all state
+ * about a server belongs to one lifetime.
  *
  * @module
  */
 import {type BackendServerId} from './ids.js';
 
-/** One start of a backend server. @internal */
+/** Identifies one lifetime of a backend server. @internal */
 export type ServerLifetime = {
 	readonly id: BackendServerId;
-	/** Milliseconds since the epoch by the clock of the server's machine, which may jump: it tells lifetimes of one id apart and means nothing beside any other clock. `unknownStart` if the server does not say it. */
+	/** Start time in milliseconds since the epoch by the clock of the server's machine, which may jump: it distinguishes the lifetimes of one id and must not be compared with any other clock. `unknownStart` if the server does not report it. */
 	readonly startedAt: number;
 };
 
-/** Stands for the start of a server that does not say when it started: earlier than any start. @internal */
+/** Start time of a server that does not report one: earlier than any other. @internal */
 export const unknownStart = 0;
 
 /**
- * @param lifetime - A lifetime.
- * @returns Whether its server said when it started.
+ * Checks whether the start time of a lifetime is known.
+ *
+ * @param lifetime - The lifetime.
+ * @returns Whether its server reported a start time.
  * @internal
  */
 export const isStartKnown = ({startedAt}: ServerLifetime): boolean => startedAt !== unknownStart;
 
-/** A lifetime as text, for keys of maps and members of sets. @internal */
+/** A lifetime as a string, for keys of maps and members of sets. @internal */
 export type LifetimeKey = string & {readonly __kind: 'LifetimeKey'};
 
-/** How a lifetime stands to another one. @internal */
+/** The order of a lifetime relative to another one. @internal */
 export type LifetimeOrder =
 	| 'same'
-	/** It is an earlier start of the same id. */
+	/** It has the same id and an earlier start. */
 	| 'earlier'
-	/** It is a later start of the same id. */
+	/** It has the same id and a later start. */
 	| 'later'
-	/** They have different ids: nothing tells which was first. */
+	/** It has a different id: the order is unknown. */
 	| 'unrelated';
 
 /**
- * Compares two lifetimes: the only place that does.
+ * Compares two lifetimes. All code compares lifetimes with this function.
  *
- * @param left - One of them.
- * @param right - The other one.
- * @returns How the first stands to the second.
+ * @param left - The first lifetime.
+ * @param right - The second lifetime.
+ * @returns The order of the first relative to the second.
  * @internal
  */
 export function compareLifetimes(left: ServerLifetime, right: ServerLifetime): LifetimeOrder {
@@ -58,9 +60,11 @@
 }
 
 /**
- * @param left - One lifetime.
- * @param right - Another one.
- * @returns Whether they are the same one.
+ * Checks whether two lifetimes are the same.
+ *
+ * @param left - The first lifetime.
+ * @param right - The second lifetime.
+ * @returns Whether both have the same id and start.
  * @internal
  */
 export function isSameLifetime(left: ServerLifetime, right: ServerLifetime): boolean {
@@ -68,8 +72,10 @@
 }
 
 /**
- * @param lifetime - A lifetime.
- * @returns Text that no other lifetime has.
+ * Returns the key of a lifetime.
+ *
+ * @param lifetime - The lifetime.
+ * @returns A string that is unique to the lifetime.
  * @internal
  */
 export function toLifetimeKey({id, startedAt}: ServerLifetime): LifetimeKey {
--- a/src/lib/common/settle.ts
+++ b/src/lib/common/settle.ts
@@ -1,12 +1,14 @@
 /**
- * Waits for promises whose failure is an answer like any other.
+ * Waits for promises whose rejection is not an error.
  *
  * @module
  */
 
 /**
- * @param promise - May fail.
- * @returns What it yields, or `undefined` if it failed.
+ * Waits for a promise that may reject.
+ *
+ * @param promise - The promise.
+ * @returns The value of the promise, or `undefined` if it rejects.
  * @internal
  */
 export async function settle<T>(promise: Promise<T>): Promise<T | undefined> {
--- a/src/lib/common/shuffle-list.ts
+++ b/src/lib/common/shuffle-list.ts
@@ -1,14 +1,14 @@
 /**
- * Random order.
+ * Shuffles lists.
  *
  * @module
  */
 
 /**
- * Puts a list in random order.
+ * Shuffles a copy of a list (Fisher-Yates).
  *
- * @param list - The list; it stays as it is.
- * @param random - Yields numbers from 0 up to 1.
+ * @param list - The list, which is not modified.
+ * @param random - Returns numbers from 0 up to, but not including, 1.
  * @returns The shuffled copy.
  * @internal
  */
@@ -16,9 +16,9 @@
 	const copy = [...list];
 	for (let index = copy.length - 1; index > 0; index--) {
 		const other = Math.floor(random() * (index + 1));
-		const held = copy[index] as T;
+		const element = copy[index] as T;
 		copy[index] = copy[other] as T;
-		copy[other] = held;
+		copy[other] = element;
 	}
 
 	return copy;
--- a/src/lib/common/token-bucket.ts
+++ b/src/lib/common/token-bucket.ts
@@ -1,5 +1,5 @@
 /**
- * A token bucket as plain data: bounds the rate of something.
+ * A token bucket as plain data, to limit a rate.
  *
  * @module
  */
@@ -18,6 +18,8 @@
 };
 
 /**
+ * Creates a token bucket.
+ *
  * @param limits - The rate and the burst.
  * @param now - Milliseconds since the epoch.
  * @returns A full bucket.
@@ -28,12 +30,12 @@
 }
 
 /**
- * Fills the bucket up to now.
+ * Adds the tokens for the time since the last update.
  *
- * @param bucket - The bucket as last seen.
+ * @param bucket - The bucket after its last update.
  * @param limits - The rate and the burst.
- * @param now - Milliseconds since the epoch; an earlier time than the last adds nothing.
- * @returns The filled bucket.
+ * @param now - Milliseconds since the epoch; a time before the last update adds nothing.
+ * @returns The refilled bucket.
  * @internal
  */
 export function refillTokenBucket(bucket: TokenBucket, limits: TokenBucketLimits, now: number): TokenBucket {
@@ -42,12 +44,12 @@
 }
 
 /**
- * Takes one token if there is one.
+ * Takes one token if one is available.
  *
- * @param bucket - The bucket as last seen.
+ * @param bucket - The bucket after its last update.
  * @param limits - The rate and the burst.
  * @param now - Milliseconds since the epoch.
- * @returns The bucket afterwards, and whether a token was taken.
+ * @returns The updated bucket, and whether a token was taken.
  * @internal
  */
 export function takeToken(bucket: TokenBucket, limits: TokenBucketLimits, now: number): {readonly bucket: TokenBucket; readonly isTaken: boolean} {
--- a/src/lib/common/verdict.ts
+++ b/src/lib/common/verdict.ts
@@ -1,8 +1,9 @@
 /**
- * The verdict on one attempt of a request: may a backend server have run it?
+ * The verdict on an attempt of a request: whether a backend server may have
+ * executed it.
  *
- * Whether a request may be sent again rests on this type and on nothing else,
- * so only the places that know may say `not-run`: the gate beside the backend
+ * Only the verdict decides whether a request may be sent again. Therefore only
+ * code with certain knowledge may return `not-run`: the gate beside the backend
  * server, and a sender that has not sent a byte yet.
  *
  * @module
@@ -15,10 +16,10 @@
 export const verdicts: readonly Verdict[] = ['not-run', 'may-have-run', 'ran'];
 
 /**
- * Reads a verdict that came over the wire.
+ * Parses a verdict from a message header.
  *
- * @param text - The header's value.
- * @returns The verdict. A value that is missing or unknown is `may-have-run`, the one that promises nothing.
+ * @param text - The value of the header.
+ * @returns The verdict. A missing or unknown value is `may-have-run`, which guarantees nothing.
  * @internal
  */
 export function parseVerdict(text: string | undefined): Verdict {
@@ -26,11 +27,11 @@
 }
 
 /**
- * Joins the verdicts of two attempts of the same request.
+ * Merges the verdicts of two attempts of the same request.
  *
- * @param first - The earlier attempt's verdict.
- * @param second - The later attempt's verdict.
- * @returns What holds for both together.
+ * @param first - The verdict of the earlier attempt.
+ * @param second - The verdict of the later attempt.
+ * @returns The verdict for both attempts together.
  * @internal
  */
 export function mergeVerdicts(first: Verdict, second: Verdict): Verdict {
--- a/src/lib/common/young-generation-tuner.test.ts
+++ b/src/lib/common/young-generation-tuner.test.ts
@@ -2,7 +2,7 @@
 import test from 'node:test';
 import {createYoungGenerationTuner, applyGrowthFactor} from './young-generation-tuner.js';
 
-test('the young generation grows only while there is much to do', () => {
+test('the young generation may grow only under a high rate of requests', () => {
 	const factors: number[] = [];
 	const young = createYoungGenerationTuner(factor => {
 		factors.push(factor);
@@ -14,7 +14,7 @@
 	assert.deepEqual(factors, [1, 2, 1]);
 });
 
-test('the engine takes the flag while it runs', () => {
+test('V8 accepts the flag at run time', () => {
 	assert.doesNotThrow(() => {
 		applyGrowthFactor(1);
 		applyGrowthFactor(2);
--- a/src/lib/common/young-generation-tuner.ts
+++ b/src/lib/common/young-generation-tuner.ts
@@ -1,7 +1,7 @@
 /**
- * Keeps the young generation of the heap small while a node has little to do.
- * A larger one costs memory on every VM all day; it saves processor time only
- * where many requests are under way.
+ * Keeps the young generation of the heap small while the load is low. A larger
+ * one takes memory on every VM permanently, and saves processor time only under
+ * a high rate of requests.
  *
  * @module
  */
@@ -9,24 +9,26 @@
 
 /** @internal */
 export type YoungGenerationTuner = {
-	/** Called every now and then with the requests since the last time. */
+	/** Records the number of requests since the last call, and the elapsed time. Called periodically. */
 	readonly recordLoad: (requests: number, elapsedMs: number) => void;
 };
 
-/** From this many requests a second on the young generation may grow. Measured: at 13 a second a small one costs no processor time, at 45 it costs 4 in 100 (MEASUREMENTS). */
+/** Above this rate the young generation may grow: a small one costs no processor time at 13 requests per second, and 4% more at 45. */
 const busyRequestsPerSecond = 40;
 
-/** How many times larger it becomes when too much of it is in use. */
+/** Factors by which the young generation grows when too much of it is in use. */
 const growthFactors = {small: 1, growing: 2} as const;
 
-/** Sets by how much the young generation grows; the engine reads it at each collection. @internal */
+/** Sets the growth factor of the young generation. V8 reads the flag at each garbage collection. @internal */
 export function applyGrowthFactor(factor: number): void {
 	setFlagsFromString(`--semi-space-growth-factor=${factor}`);
 }
 
 /**
- * @param setFactor - Sets by how much it grows.
- * @returns What decides; the young generation does not grow yet.
+ * Creates a tuner for the young generation.
+ *
+ * @param setFactor - Sets the growth factor.
+ * @returns The tuner, which has set the factor so that the young generation does not grow.
  * @internal
  */
 export function createYoungGenerationTuner(setFactor: (factor: number) => void): YoungGenerationTuner {
--- a/src/lib/operators/operator-api.ts
+++ b/src/lib/operators/operator-api.ts
@@ -1,5 +1,5 @@
 /**
- * The operators' port: submissions, configuration, status, servers, time line.
+ * The HTTP API of the operators' port: submissions, configuration, status, servers, timeline.
  *
  * @module
  */
@@ -39,9 +39,9 @@
 	readonly getStatus: () => NodeStatusResponse;
 	readonly getFleet: () => Promise<readonly Summary[]>;
 	readonly submit: (submission: Submission) => Promise<SubmissionOutcome>;
-	/** Yields the version that carried a submission out, 0 for none, or why that cannot be told. */
+	/** Returns the version that applied a submission, 0 if no version did, or the reason why this is unknown. */
 	readonly findSubmission: (id: SubmissionId) => Promise<number | string>;
-	/** Writes this node's configuration back to a store that lost it. */
+	/** Writes this node's configuration to a store that has lost it. Returns an empty string, or why it was refused. */
 	readonly republish: () => Promise<string>;
 	readonly localServers: LocalServers;
 	readonly loads: ServerLoads;
@@ -104,7 +104,7 @@
 				pool: pool.name,
 				policy: route.policy,
 				decision,
-				problem: chosen === undefined ? `no backend server of ${pool.service} can be chosen` : '',
+				problem: chosen === undefined ? `no backend server of ${pool.service} is available` : '',
 				servers: servers.map(({server}) => server.id),
 			};
 		},
@@ -182,10 +182,10 @@
 }
 
 /**
- * Creates the operators' HTTP interface.
+ * Creates the HTTP API for operators.
  *
- * @param context - What its answers come from.
- * @returns The application.
+ * @param context - The state and functions of the node that the API uses.
+ * @returns The Hono application.
  * @internal
  */
 export function createOperatorApi(context: OperatorContext): Hono {
@@ -207,7 +207,7 @@
 		const id = toBackendServerId(body.data.server);
 		return context.localServers.drain(id)
 			? exchange.json({draining: [id]})
-			: exchange.json({reason: 'unknown-server', problems: [`${id} is not beside this node; "stonemoor servers" shows beside which node it is`]}, 404);
+			: exchange.json({reason: 'unknown-server', problems: [`backend server ${id} is not beside this node; "stonemoor servers" lists the node of each server`]}, 404);
 	});
 
 	app.post('/v1/explain', async exchange => {
@@ -218,7 +218,7 @@
 		}
 
 		if (snapshot === undefined) {
-			return exchange.json({reason: 'not-ready', problems: ['this node has no configuration that it may serve yet']}, 503);
+			return exchange.json({reason: 'not-ready', problems: ['this node is not ready: it has no configuration to serve yet']}, 503);
 		}
 
 		const {headers, ...rest} = parsed.data;
--- a/src/lib/operators/operator-messages.ts
+++ b/src/lib/operators/operator-messages.ts
@@ -1,5 +1,5 @@
 /**
- * What the operators' port answers.
+ * The responses of the operators' port.
  *
  * @module
  */
@@ -11,14 +11,14 @@
 import {type Decision} from '../policy/decision.js';
 import {type StoreCounts} from '../store/budgeted-store.js';
 
-/** The configuration in force on one node. @public */
+/** The active configuration of one node. @public */
 export type ConfigurationResponse = {
 	readonly version: number;
 	readonly digest: string;
 	readonly items: readonly ConfiguredItem[];
 };
 
-/** One node's own state. @public */
+/** The state of one node. @public */
 export type NodeStatusResponse = {
 	readonly node: string;
 	readonly failureDomain: string;
@@ -35,13 +35,13 @@
 	readonly store: StoreCounts;
 	readonly controlBytes: ByteCounts;
 	readonly addedMicroseconds: {readonly p50: number; readonly p99: number};
-	/** Processor time of the process, in microseconds, and its memory, in bytes. */
+	/** Processor time of the process in microseconds; the next two fields are its memory in bytes. */
 	readonly cpuMicroseconds: number;
 	readonly heapBytes: number;
 	readonly residentBytes: number;
 };
 
-/** What is in force in every failure domain. @public */
+/** The active versions in all failure domains. @public */
 export type FleetResponse = {
 	readonly domains: readonly DomainStatus[];
 };
@@ -49,9 +49,9 @@
 /** @public */
 export type DomainStatus = {
 	readonly failureDomain: string;
-	/** Nodes that the directory holds for usable. */
+	/** Number of nodes that are usable according to the directory. */
 	readonly expected: number;
-	/** `undefined` when the domain's relay has not reported lately. */
+	/** `undefined` if there is no recent report of the domain's relay. */
 	readonly summary: Summary | undefined;
 };
 
@@ -64,7 +64,7 @@
 	readonly isEjected: boolean;
 };
 
-/** What would become of a request, and why. @public */
+/** How a request would be routed, and why. @public */
 export type ExplainResponse = {
 	readonly version: number;
 	readonly route: string;
@@ -78,7 +78,7 @@
 /** @public */
 export type CheckResponse = {readonly problems: readonly Problem[]};
 
-/** Where to find a node's operators' port. @public */
+/** A node with the address of its operators' port. @public */
 export type OperatorEndpoint = {
 	readonly node: string;
 	readonly failureDomain: string;
@@ -87,17 +87,17 @@
 };
 
 /**
- * Judges whether a version is in force everywhere.
+ * Finds the failure domains in which a version is not active on all nodes.
  *
- * @param fleet - What the failure domains reported.
+ * @param fleet - The reports of the failure domains.
  * @param version - The version.
- * @returns Why not, domain by domain; empty when it is.
+ * @returns One text for each such domain with the reason; empty if the version is active on all nodes.
  * @public
  */
 export function findConvergenceProblems(fleet: FleetResponse, version: number): readonly string[] {
 	return fleet.domains.flatMap(({failureDomain, expected, summary}) => {
 		if (summary === undefined) {
-			return [`${failureDomain}: its relay has not reported lately`];
+			return [`${failureDomain}: no recent report from its relay`];
 		}
 
 		if (summary.nodes < expected) {
--- a/src/lib/settings/load-settings.ts
+++ b/src/lib/settings/load-settings.ts
@@ -1,5 +1,5 @@
 /**
- * Reads a node's settings from YAML.
+ * Parses a node's settings from YAML.
  *
  * @module
  */
@@ -10,7 +10,7 @@
 } from '../common/locate-yaml.js';
 import {settingsSchema, type Settings} from './settings.js';
 
-/** What is wrong with a settings file. Lines and columns count from 1. @public */
+/** A problem in a settings file. Lines and columns count from 1. @public */
 export type SettingsProblem = {
 	readonly field: string;
 	readonly message: string;
@@ -19,9 +19,11 @@
 };
 
 /**
- * @param problem - The problem to show.
- * @param file - The settings file.
- * @returns One line for people.
+ * Formats a problem for operators.
+ *
+ * @param problem - The problem.
+ * @param file - The path of the settings file.
+ * @returns One line: file, position, field and message.
  * @public
  */
 export function formatSettingsProblem(problem: SettingsProblem, file: string): string {
@@ -29,10 +31,10 @@
 }
 
 /**
- * Parses and checks settings.
+ * Parses and validates settings.
  *
- * @param text - YAML.
- * @returns The settings with all defaults, or every problem found.
+ * @param text - The YAML text.
+ * @returns The settings with all defaults, or all problems found.
  * @public
  */
 export function parseSettings(text: string): Result<Settings, readonly SettingsProblem[]> {
@@ -57,7 +59,7 @@
 	return err(parsed.error.issues.map(issue => {
 		const path = issue.path as FieldPath;
 		const [unknownKey] = issue.code === 'unrecognized_keys' ? issue.keys : [];
-		// An unknown key is shown where it stands, not where its parent begins.
+		// For an unknown key, report the position of the key itself instead of its parent.
 		const place = unknownKey === undefined ? undefined : findKeyPosition(document, lines, path, unknownKey);
 		const field = [...path, ...unknownKey === undefined ? [] : [unknownKey]].join('.');
 		return {field, message: describeIssue(issue, getField(value, path)), ...place ?? locate(path)};
--- a/src/lib/settings/settings.ts
+++ b/src/lib/settings/settings.ts
@@ -1,5 +1,5 @@
 /**
- * The settings of a node: the schema with every default.
+ * The schema of a node's settings, with all defaults.
  *
  * @module
  */
@@ -11,7 +11,7 @@
 const idMessage = 'must be 1 to 60 letters, digits, ".", "_" or "-"';
 const nodeIdSchema = z.string().regex(idPattern, idMessage) as unknown as z.ZodType<NodeId>;
 const failureDomainSchema = z.string().regex(idPattern, idMessage) as unknown as z.ZodType<FailureDomain>;
-const addressSchema = z.string().refine(isAddress, 'must be an IP number and a port, as in 127.0.0.1:7001') as unknown as z.ZodType<Address>;
+const addressSchema = z.string().refine(isAddress, 'must be an IP address and a port, as in 127.0.0.1:7001') as unknown as z.ZodType<Address>;
 
 const storeSchema = z.strictObject({
 	address: addressSchema,
--- a/src/lib/timeline/explain-call.test.ts
+++ b/src/lib/timeline/explain-call.test.ts
@@ -15,7 +15,7 @@
 	};
 }
 
-test('a request that was refused under load: the gates that were full, in order, over two nodes', () => {
+test('for a request refused under load, the steps list the full gates of two nodes in order', () => {
 	const lines = [
 		createLine('n1', 3, createEnd('full: no slot in time', 503, [createAttempt('full')])),
 		createLine('n2', 1, {
@@ -26,13 +26,13 @@
 		}),
 		createLine('n1', 2, createEnd('answered', 200, [])),
 	].map(line => 'call' in line && line.kind === 'call-finished' && line.status === 200 ? {...line, call: 'other'} : line);
-	const story = explainCall(lines, 'c1');
-	assert.equal(story?.steps.length, 3);
-	assert.match(story.steps[0] ?? '', /gate of i-1 on n2 turned it away \(full\): 12 running, 20 waiting/);
-	assert.match(story.cause, /overloaded/);
+	const explanation = explainCall(lines, 'c1');
+	assert.equal(explanation?.steps.length, 3);
+	assert.match(explanation.steps[0] ?? '', /gate of i-1 on n2 refused it \(full\): 12 running, 20 waiting/);
+	assert.match(explanation.cause, /overloaded/);
 });
 
-test('a request that was lost with its node: what happened to that node stands beside it', () => {
+test('for a request lost with its node, the steps include the events of that node', () => {
 	const lines = [
 		createLine('n1', 3, createEnd('connection-lost: socket hang up', 502, [createAttempt('connection-lost', {verdict: 'may-have-run'})])),
 		createLine('n2', 4, {
@@ -43,28 +43,28 @@
 		}),
 		createLine('n2', 30, {kind: 'node-draining', reason: 'signal', requests: 1}),
 	];
-	const story = explainCall(lines, 'c1');
-	assert.deepEqual(story?.steps.map(step => /node-started|answered 502/.exec(step)?.[0]), ['answered 502', 'node-started']);
-	assert.match(story.cause, /connection was lost after the request had been sent/);
+	const explanation = explainCall(lines, 'c1');
+	assert.deepEqual(explanation?.steps.map(step => /node-started|answered 502/.exec(step)?.[0]), ['answered 502', 'node-started']);
+	assert.match(explanation.cause, /connection was lost after the request had been sent/);
 });
 
-test('a request that an older configuration had no route for names the version', () => {
-	const story = explainCall([createLine('n1', 1, {
+test('for a request without a matching route, the steps name the active version', () => {
+	const explanation = explainCall([createLine('n1', 1, {
 		kind: 'request-refused', call: 'c1', status: 404, reason: 'no route matches host and path', host: 'build.example', path: '/new/1', version: 8,
 	})], 'c1');
-	assert.match(story?.steps[0] ?? '', /refused it with 404.*version 8 in force/);
-	assert.equal(story?.cause, 'no route matches host and path');
+	assert.match(explanation?.steps[0] ?? '', /refused it with 404.*version 8 in force/);
+	assert.equal(explanation?.cause, 'no route matches host and path');
 });
 
-test('a request whose caller left before it was sent anywhere has a story', () => {
-	const story = explainCall([createLine('n1', 1, {
+test('a request whose caller left before it was sent to a server is explained', () => {
+	const explanation = explainCall([createLine('n1', 1, {
 		kind: 'caller-left', call: 'c1', route: 'r-logs', waitedMs: 40,
 	})], 'c1');
-	assert.match(story?.steps[0] ?? '', /caller left n1 within 40 ms/);
-	assert.equal(story?.cause, 'the caller left before the answer');
+	assert.match(explanation?.steps[0] ?? '', /caller disconnected from n1 within 40 ms/);
+	assert.equal(explanation?.cause, 'the caller left before the response');
 });
 
-test('an id that no line speaks of has no story, and lines of other programs are passed over', () => {
+test('an id without log lines has no explanation, and lines of other programs are ignored', () => {
 	assert.equal(explainCall([], 'c1'), undefined);
 	assert.equal(parseLogLine('listening on port 80'), undefined);
 	assert.equal(parseLogLine('{"some":"json"}'), undefined);
--- a/src/lib/timeline/explain-call.ts
+++ b/src/lib/timeline/explain-call.ts
@@ -1,31 +1,31 @@
 /**
- * Tells the story of one request from the logs of any number of nodes, and
- * names its cause where the lines show it.
+ * Reconstructs the steps of one request from the logs of any number of nodes,
+ * and the cause of its result if the log lines show it.
  *
  * @module
  */
 import {type AttemptRecord, type MeshEvent} from './mesh-log.js';
 
-/** One line of a log. @public */
+/** A line of a node's log. @public */
 export type LogLine = MeshEvent & {
 	/** ISO 8601, by the clock of the node that wrote it. */
 	readonly time: string;
 	readonly node: string;
 };
 
-/** What became of a request. @public */
+/** The steps and the result of a request. @public */
 export type CallExplanation = {
-	/** One sentence an event, in order. */
+	/** One sentence for each event, in order. */
 	readonly steps: readonly string[];
-	/** Why it ended as it did, in one sentence. */
+	/** The cause of the result, in one sentence. */
 	readonly cause: string;
 };
 
 /**
- * Reads a log line.
+ * Parses a log line.
  *
- * @param text - One line of a file, perhaps with something before the JSON.
- * @returns The line, or `undefined` if the text is none.
+ * @param text - One line of a file, possibly with other text before the JSON.
+ * @returns The log line, or `undefined` if the text is not a line of a node's log.
  * @public
  */
 export function parseLogLine(text: string): LogLine | undefined {
@@ -38,13 +38,13 @@
 		const line = JSON.parse(text.slice(start)) as Partial<LogLine>;
 		return typeof line.kind === 'string' && typeof line.node === 'string' && typeof line.time === 'string' ? line as LogLine : undefined;
 	} catch {
-		// Other programs write to the same files; what is no line of ours is passed over.
+		// Ignore other lines: other programs may write to the same file.
 		return undefined;
 	}
 }
 
 function describeAttempt({server, node, outcome, verdict, tookMs, infoAgeMs}: AttemptRecord): string {
-	const age = infoAgeMs === undefined ? '' : `, chosen by what was heard ${infoAgeMs} ms before`;
+	const age = infoAgeMs === undefined ? '' : `, chosen by a report ${infoAgeMs} ms old`;
 	return `${server} beside ${node}: ${outcome} after ${tookMs} ms (${verdict}${age})`;
 }
 
@@ -56,7 +56,7 @@
 
 		case 'gate-refused': {
 			const load = `${line.running} running, ${line.waiting} waiting, ${line.serviceMs} ms each`;
-			return `the gate of ${line.server} on ${line.node} turned it away (${line.reason}): ${load}, it might wait ${line.mayWaitMs} ms`;
+			return `the gate of ${line.server} on ${line.node} refused it (${line.reason}): ${load}, maximum wait ${line.mayWaitMs} ms`;
 		}
 
 		case 'request-refused': {
@@ -64,7 +64,7 @@
 		}
 
 		case 'caller-left': {
-			return `its caller left ${line.node} within ${line.waitedMs} ms, before it was sent anywhere`;
+			return `its caller disconnected from ${line.node} within ${line.waitedMs} ms, before it was sent to a server`;
 		}
 
 		case 'call-finished': {
@@ -78,25 +78,25 @@
 	}
 }
 
-/** What reasons mean, for people who do not know the code. */
+/** Explanations of the reasons for operators. */
 const causeTexts: Readonly<Record<string, string>> = {
-	full: 'no backend server of the service had a slot in time: the service was overloaded, or many of its servers were away',
-	draining: 'the backend servers that were asked were leaving',
-	gone: 'the backend server had started again or been replaced, and this node had not heard of it yet',
-	'server-unreachable': 'the backend server could not be reached by the node beside it: it had ended or was starting',
-	'node-unreachable': 'the node beside the backend server could not be reached: it had ended, was starting, or was cut off',
-	shed: 'the backend servers said themselves that they did not run it',
-	'connection-lost': 'the connection was lost after the request had been sent: the backend server, or its node, ended or broke off',
-	'server-crashed': 'the backend server crashed while it was in work there, and it may be the reason: it was not sent to another one',
-	quarantined: 'backend servers crashed each time that such a request was in work: it is kept from the others (look for "request-suspected" and "server-crashed" with its fingerprint)',
-	'wrong-answer': 'the backend server sent what was no answer to this request',
+	full: 'no backend server of the service had a slot in time: the service was overloaded, or many of its servers were down',
+	draining: 'the backend servers that were tried were leaving',
+	gone: 'the backend server had restarted or been replaced, and this node did not know that yet',
+	'server-unreachable': 'the backend server could not be reached by the node beside it: it was down or starting',
+	'node-unreachable': 'the node beside the backend server could not be reached: it was down, starting, or partitioned from the network',
+	shed: 'the backend servers reported that they did not execute it',
+	'connection-lost': 'the connection was lost after the request had been sent: the backend server or its node ended, or closed the connection',
+	'server-crashed': 'the backend server crashed while the request was in flight there, and the request may be the cause: it was not sent to another server',
+	quarantined: 'backend servers crashed each time such a request was in flight: it is not sent to other servers (search for "request-suspected" and "server-crashed" with its fingerprint)',
+	'wrong-answer': 'the backend server sent an invalid response to this request',
 	'no-server': 'no backend server of the service was known',
-	timeout: 'its time was over before the backend server answered',
-	cancelled: 'the caller left before the answer',
-	superseded: 'the node beside the backend server fell silent while it was in work',
+	timeout: 'its deadline passed before the backend server responded',
+	cancelled: 'the caller left before the response',
+	superseded: 'the node beside the backend server became silent while the request was in flight',
 };
 
-/** Events that explain what happened to a server or a node around that time. */
+/** Checks whether an event of a server or a node may explain the result of a request that involved it. */
 function isRelated(line: LogLine, names: ReadonlySet<string>): boolean {
 	switch (line.kind) {
 		case 'peer-lost':
@@ -128,13 +128,13 @@
 	}
 }
 
-/** Events this long before a request's end may explain it. Milliseconds. */
+/** Events within this time before or after the end of a request may explain its result. */
 const relatedEventsWindowMs = 5000;
 
 function findCause(lines: readonly LogLine[]): string {
 	const end = lines.findLast(line => line.kind === 'call-finished' || line.kind === 'request-refused' || line.kind === 'caller-left');
 	if (end === undefined) {
-		return 'the logs do not hold its end: the node that took it ended first, the lines were left out (look for "lines-dropped"), or it was answered at the first try';
+		return 'the logs do not contain the end of the request: the node that received it ended first, lines were dropped (search for "lines-dropped"), or the first attempt succeeded';
 	}
 
 	if (end.kind === 'request-refused') {
@@ -147,18 +147,18 @@
 
 	const reason = end.reason.split(':')[0] ?? '';
 	if (reason === 'answered') {
-		return end.status >= 500 ? 'the backend server itself failed it' : 'it was answered';
+		return end.status >= 500 ? 'the backend server responded with an error' : 'the backend server responded';
 	}
 
 	return causeTexts[reason] ?? reason;
 }
 
 /**
- * Tells the story of one request.
+ * Explains the result of one request.
  *
- * @param lines - Lines of any number of nodes, in any order.
- * @param call - The request's id.
- * @returns The story, or `undefined` if no line speaks of it.
+ * @param lines - Log lines of any number of nodes, in any order.
+ * @param call - The id of the request.
+ * @returns The explanation, or `undefined` if no line contains the id.
  * @public
  */
 export function explainCall(lines: readonly LogLine[], call: string): CallExplanation | undefined {
--- a/src/lib/timeline/explain-version.test.ts
+++ b/src/lib/timeline/explain-version.test.ts
@@ -22,8 +22,8 @@
 	kind: 'configuration-not-fetched', version: 7, from: 'n1', held: 1, outcome: 'unreachable', reason: 'no connection within 300 ms', tookMs: 301,
 });
 
-test('each node has its delay and what it waited for, the latest first, and those that never had it before all', () => {
-	const story = explainVersion([
+test('each node has its delay and the cause, sorted by delay, longest first; nodes that never had the version precede all others', () => {
+	const explanation = explainVersion([
 		...['n1', 'n2', 'n3', 'n4', 'n5', 'n6'].map(node => start(node)),
 		apply('n1', 10, 7),
 		hear('n2', 10.1, 7),
@@ -40,17 +40,17 @@
 		apply('n5', 11, 7),
 		write('n6', 14, {kind: 'node-ready', version: 1}),
 	], 7);
-	assert.deepEqual(story?.nodes.map(({node, lateMs}) => [node, lateMs]), [['n6', undefined], ['n3', 3000], ['n4', 1600], ['n5', 1000], ['n2', 200], ['n1', 0]]);
-	const causes = new Map(story.nodes.map(({node, cause}) => [node, cause]));
-	assert.equal(causes.get('n6'), 'it heard of it from no other node');
-	assert.equal(causes.get('n3'), '2 of its questions to other nodes failed, the last after 301 ms at n1: no connection within 300 ms (from n2)');
-	assert.equal(causes.get('n4'), 'it heard of it after 1500 ms, from n1 (from n1)');
+	assert.deepEqual(explanation?.nodes.map(({node, lateMs}) => [node, lateMs]), [['n6', undefined], ['n3', 3000], ['n4', 1600], ['n5', 1000], ['n2', 200], ['n1', 0]]);
+	const causes = new Map(explanation.nodes.map(({node, cause}) => [node, cause]));
+	assert.equal(causes.get('n6'), 'no other node reported the version to it');
+	assert.equal(causes.get('n3'), '2 of its requests to other nodes failed, the last after 301 ms to n1: no connection within 300 ms (from n2)');
+	assert.equal(causes.get('n4'), 'it learned of the version after 1500 ms, from n1 (from n1)');
 	assert.equal(causes.get('n5'), 'its read of the store took 900 ms (from store)');
 	assert.equal(causes.get('n2'), 'in time (from n1)');
 });
 
-test('a node that started later, or left before, is not late; a version that nobody had has no story', () => {
-	const story = explainVersion([
+test('nodes that started after or left before the version was active are not late; a version that no node had has no explanation', () => {
+	const explanation = explainVersion([
 		start('n1'),
 		start('n2'),
 		apply('n1', 10, 7),
@@ -58,6 +58,6 @@
 		apply('n3', 12, 7),
 		write('n2', 10.1, {kind: 'node-draining', reason: 'signal', requests: 0}),
 	], 7);
-	assert.deepEqual(story?.nodes.map(({node}) => node), ['n1']);
+	assert.deepEqual(explanation?.nodes.map(({node}) => node), ['n1']);
 	assert.equal(explainVersion([apply('n1', 10, 7)], 8), undefined);
 });
--- a/src/lib/timeline/explain-version.ts
+++ b/src/lib/timeline/explain-version.ts
@@ -1,25 +1,25 @@
 /**
- * Tells how one version of the configuration came into force on each node, from
- * the logs of any number of them, and what the slowest ones waited for.
+ * Explains from the logs of any number of nodes when each of them applied a
+ * version of the configuration, and what the slowest ones waited for.
  *
  * @module
  */
 import {type LogLine} from './explain-call.js';
 
-/** How one node got a version, or a later one. @public */
+/** When one node applied a version, or a later one. @public */
 export type VersionAtNode = {
 	readonly node: string;
-	/** Milliseconds after the first node had the version in force; `undefined` if the logs do not say that this one ever had it. */
+	/** Milliseconds after the first node applied the version; `undefined` if the logs do not show that this node applied it. */
 	readonly lateMs: number | undefined;
-	/** One sentence: where it was lost, as far as the lines show. */
+	/** The cause of the delay in one sentence, as far as the log lines show it. */
 	readonly cause: string;
 };
 
 /** @public */
 export type VersionExplanation = {
-	/** When the first node had the version in force, ISO 8601. */
+	/** When the first node applied the version, ISO 8601. */
 	readonly firstAt: string;
-	/** All nodes, the latest one first; those that never had it before all others. */
+	/** All nodes by descending delay; nodes that never applied the version precede all others. */
 	readonly nodes: readonly VersionAtNode[];
 };
 
@@ -29,28 +29,28 @@
 	return lines.filter((line): line is LineOfKind<Kind> => line.kind === kind);
 }
 
-/** A wait shorter than this is an ordinary one. Milliseconds: one period of heartbeats. */
+/** A shorter delay needs no explanation: one heartbeat period. */
 const expectedDelayMs = 400;
 
 const getTime = ({time}: LogLine): number => Date.parse(time);
 
-/** What a node met between the moment at which the first one had the version and its own. */
+/** Finds the cause of a node's delay in its log lines between the time at which the first node applied the version and its own. */
 function findCause(lines: readonly LogLine[], version: number, firstAt: number, endsAt: number): string {
 	const between = lines.filter(line => getTime(line) >= firstAt - expectedDelayMs && getTime(line) <= endsAt);
 	const failures = listLinesOfKind(between, 'configuration-not-fetched');
 	const last = failures.at(-1);
 	if (last !== undefined) {
-		return `${failures.length} of its questions to other nodes failed, the last after ${last.tookMs} ms at ${last.from}: ${last.reason}`;
+		return `${failures.length} of its requests to other nodes failed, the last after ${last.tookMs} ms to ${last.from}: ${last.reason}`;
 	}
 
 	const [lost] = listLinesOfKind(between, 'store-lost');
 	if (lost !== undefined) {
-		return `it did not reach the store: ${lost.call}: ${lost.reason}`;
+		return `it could not reach the store: ${lost.call}: ${lost.reason}`;
 	}
 
 	const [paused] = listLinesOfKind(between, 'node-paused');
 	if (paused !== undefined) {
-		return `it stood still for ${paused.forMs} ms`;
+		return `its process was paused for ${paused.forMs} ms`;
 	}
 
 	const read = listLinesOfKind(between, 'configuration-read').find(({call, tookMs}) => call === 'read' && tookMs > expectedDelayMs);
@@ -60,11 +60,11 @@
 
 	const heard = listLinesOfKind(lines, 'configuration-heard').find(line => line.version >= version);
 	if (heard === undefined) {
-		return 'it heard of it from no other node';
+		return 'no other node reported the version to it';
 	}
 
 	const heardMs = getTime(heard) - firstAt;
-	return heardMs > expectedDelayMs ? `it heard of it after ${heardMs} ms, from ${heard.from}` : 'it heard of it at once, and nothing is named that it waited for';
+	return heardMs > expectedDelayMs ? `it learned of the version after ${heardMs} ms, from ${heard.from}` : 'it learned of the version at once, and its log shows no cause of the delay';
 }
 
 function describeNode(node: string, lines: readonly LogLine[], version: number, firstAt: number, lastAt: number): VersionAtNode | undefined {
@@ -83,11 +83,12 @@
 }
 
 /**
- * Tells how a version came into force. Nodes that started after it was, or that left before they had it, are left out.
+ * Explains when each node applied a version. The result omits nodes that started after the first node applied it, and nodes that left
+ * without applying it.
  *
- * @param lines - Lines of any number of nodes, in any order. Their clocks are taken as they are.
+ * @param lines - Log lines of any number of nodes, in any order. Differences between the clocks of the nodes are not corrected.
  * @param version - The version.
- * @returns The story, or `undefined` if no node had the version in force.
+ * @returns The explanation, or `undefined` if no node applied the version.
  * @public
  */
 export function explainVersion(lines: readonly LogLine[], version: number): VersionExplanation | undefined {
--- a/src/lib/timeline/lamport-clock.ts
+++ b/src/lib/timeline/lamport-clock.ts
@@ -1,6 +1,6 @@
 /**
- * A Lamport clock: orders events of all processes by what could have caused
- * what, without trusting the clock of any of them.
+ * A Lamport clock: orders the events of all processes so that causes precede
+ * their effects, without depending on the clocks of the machines.
  *
  * @module
  */
@@ -8,14 +8,16 @@
 /** @internal */
 export type LamportClock = {
 	readonly getTime: () => number;
-	/** Advances for an event of this process and returns the event's time. */
+	/** Advances the clock for an event of this process, and returns the time of the event. */
 	readonly advance: () => number;
-	/** Takes note of the time on a message that was received. */
+	/** Advances the clock to the time in a received message, unless it is later already. */
 	readonly witness: (time: number) => void;
 };
 
 /**
- * @returns A clock at 0.
+ * Creates a Lamport clock.
+ *
+ * @returns The clock, at time 0.
  * @internal
  */
 export function createLamportClock(): LamportClock {
--- a/src/lib/timeline/line-log.test.ts
+++ b/src/lib/timeline/line-log.test.ts
@@ -7,7 +7,7 @@
 
 type Line = {readonly kind: string; readonly level: number; readonly of?: string; readonly count?: number};
 
-function createFakeSink(held = 0): {readonly sink: LineSink; readonly lines: Line[]} {
+function createFakeSink(bufferedBytes = 0): {readonly sink: LineSink; readonly lines: Line[]} {
 	const lines: Line[] = [];
 	return {
 		lines,
@@ -15,7 +15,7 @@
 			write(line) {
 				lines.push(JSON.parse(line) as Line);
 			},
-			countBufferedBytes: () => held,
+			countBufferedBytes: () => bufferedBytes,
 			flush: async () => undefined,
 		},
 	};
@@ -25,7 +25,7 @@
 	kind: 'gate-refused', call: 'c', server: 's', reason: 'full', rank: 1, running: 1, waiting: 1, serviceMs: 1, mayWaitMs: 1,
 };
 
-test('a flood of one kind is bounded, does not crowd out others, and is counted', async () => {
+test('lines of one kind are rate-limited without displacing other kinds, and the dropped lines are counted', async () => {
 	const {sink, lines} = createFakeSink();
 	const log = createLineLog('n1', 'info', sink);
 	for (let count = 0; count < 500; count++) {
@@ -40,7 +40,7 @@
 	assert.deepEqual(lines.filter(({kind}) => kind === 'lines-dropped').map(({of, count}) => [of, count]), [['gate-refused', 475]]);
 });
 
-test('how calls ended is told of more of them than anything else, and bounded too', async () => {
+test('lines about the end of calls have a higher rate limit than other kinds', async () => {
 	const {sink, lines} = createFakeSink();
 	const log = createLineLog('n1', 'info', sink);
 	for (let count = 0; count < 500; count++) {
@@ -54,7 +54,7 @@
 	assert.deepEqual(lines.filter(({kind}) => kind === 'lines-dropped').map(({of, count}) => [of, count]), [['request-refused', 300]]);
 });
 
-test('when nobody reads, lines about failures are the last to go', () => {
+test('when the output is not read, lines about failures are dropped last', () => {
 	const {sink, lines} = createFakeSink(200_000);
 	const log = createLineLog('n1', 'info', sink);
 	log.record('info', refused);
@@ -78,21 +78,21 @@
 }, 5);
 `;
 
-test('a reader that stops reading stops neither the process nor its exit', {timeout: 20_000}, async context => {
-	// Nobody reads the pipe: it fills after 64 KB of the 4 MB written.
+test('a reader that stops reading blocks neither the process nor its exit', {timeout: 20_000}, async context => {
+	// The pipe is not read: it is full after 64 KB of the 4 MB written.
 	const child = spawn('sh', ['-c', '("$0" --input-type=module -e "$1"; echo exited >&2) | sleep 30', process.execPath, program], {stdio: ['ignore', 'ignore', 'pipe'], detached: true});
 	context.after(() => {
 		process.kill(-child.pid!, 'SIGKILL');
 	});
-	let said = '';
+	let output = '';
 	child.stderr.setEncoding('utf8');
 	await new Promise<void>(resolve => {
 		child.stderr.on('data', (text: string) => {
-			said += text;
-			if (said.includes('exited')) {
+			output += text;
+			if (output.includes('exited')) {
 				resolve();
 			}
 		});
 	});
-	assert.equal(said, 'went on\nexited\n');
+	assert.equal(output, 'went on\nexited\n');
 });
--- a/src/lib/timeline/line-log.ts
+++ b/src/lib/timeline/line-log.ts
@@ -1,7 +1,7 @@
 /**
- * Writes events as JSON lines, without ever waiting for whoever reads them.
- * The volume is bounded for each kind of event, and in all; what is left out
- * is counted and said.
+ * Writes events as JSON lines without blocking if the output is not read.
+ * The rate of lines is limited for each kind of event, and the buffered bytes
+ * are limited in total. Dropped lines are counted, and the counts are logged.
  *
  * @module
  */
@@ -10,62 +10,62 @@
 import {readSteadyMs} from '../common/clock.js';
 import {type LogLevel, type MeshEvent, type MeshLog} from './mesh-log.js';
 
-/** Level numbers as bunyan and pino write them. */
+/** Level numbers of bunyan and pino. */
 const levelNumbers: Readonly<Record<LogLevel, number>> = {
 	debug: 20, info: 30, warn: 40, error: 50,
 };
 
 /** @internal */
 export type LineLog = MeshLog & {
-	/** Writes what is still held. */
+	/** Writes the buffered lines. */
 	readonly flush: () => Promise<void>;
 };
 
-/** Where lines go. @internal */
+/** The output of a log. @internal */
 export type LineSink = {
-	/** Takes a line without waiting. */
+	/** Writes or buffers a line without blocking. */
 	readonly write: (line: string) => void;
-	/** Bytes taken that nobody has read yet. */
+	/** Returns the number of buffered bytes that are not written yet. */
 	readonly countBufferedBytes: () => number;
 	readonly flush: () => Promise<void>;
 };
 
-/** Lines held at the most while nobody reads them, in bytes. */
+/** Limit on the buffered lines while the output is not read. */
 const maximumBufferedBytes = 262_144;
 
-/** Above this share of what may be held, only lines from `warn` on are kept. */
+/** When more than this share of the buffer is in use, only lines of level `warn` or higher are kept. */
 const warningsOnlyShare = 0.5;
 
-/** Lines of one kind and level below `warn` in a second: a line costs some 20 microseconds, so this is a thousandth of a core. */
+/** Rate limit for lines of one kind below level `warn`: a line takes about 20 microseconds, so this limits a kind to a thousandth of a core. */
 const maximumLinesPerSecond = 25;
 
-/** The same for lines that tell how a failed request ended: without its own line a failure cannot be explained. A node that refuses more than this in a second says so by the count of the rest. */
+/** Rate limit for lines of one kind that report the end of a failed request. It is higher, since a failure cannot be explained without its line. A node that refuses more requests per second logs the count of the others. */
 const maximumFinalLinesPerSecond = 200;
 
-/** Kinds that end the story of one request. */
+/** Kinds that report the end of a request. */
 const finalKinds: ReadonlySet<MeshEvent['kind']> = new Set<MeshEvent['kind']>(['call-finished', 'request-refused', 'caller-left']);
 
-/** Lines are gathered for this long before they are written. Milliseconds. */
+/** Time for which lines are collected before they are written. */
 const flushDelayMs = 200;
 
 /**
- * Opens a pipe a second time so that a write to it never blocks: a write that
- * blocks in a thread of the pool keeps the process from exiting.
+ * Opens a pipe a second time in non-blocking mode. A write that blocks in a
+ * thread of the pool would keep the process from exiting.
  */
 function openNonBlocking(fd: number): number {
 	try {
 		return openSync(`/proc/self/fd/${fd}`, constants.O_WRONLY | constants.O_NONBLOCK | constants.O_APPEND);
 	} catch {
-		// A socket cannot be opened so; it is written to as it is.
+		// A socket cannot be opened this way: use the descriptor itself.
 		return fd;
 	}
 }
 
 /**
- * Opens a file descriptor for lines. Writing to a pipe would block the one
- * thread as long as nobody reads; this does not.
+ * Creates a sink that writes to a file descriptor. Unlike a plain write to a
+ * pipe, it does not block the event loop while the pipe is not read.
  *
- * @param fd - The descriptor.
+ * @param fd - The file descriptor.
  * @returns The sink.
  * @internal
  */
@@ -81,7 +81,7 @@
 		bufferedBytes = Math.max(0, bufferedBytes - line.length);
 	});
 	boom.on('error', () => {
-		// There is nowhere left to say so: the log itself has failed, and the node goes on.
+		// The log itself has failed, so this error cannot be logged. The node continues without a log.
 	});
 	let timer: NodeJS.Timeout | undefined;
 	const flushSoon = (): void => {
@@ -89,7 +89,7 @@
 			timer = undefined;
 			boom.flush();
 			if (bufferedBytes > 0) {
-				// Nobody reads: what is held is tried again.
+				// The output is not read: retry later.
 				flushSoon();
 			}
 		}, flushDelayMs).unref();
@@ -105,7 +105,7 @@
 		async flush() {
 			clearTimeout(timer);
 			return new Promise(resolve => {
-				// Whoever has stopped reading does not keep the process.
+				// A reader that has stopped reading must not keep the process from exiting.
 				setTimeout(resolve, lastFlushTimeoutMs);
 				boom.flush(() => {
 					resolve();
@@ -115,9 +115,10 @@
 	};
 }
 
-/** How long the last lines may take. Milliseconds. */
+/** Timeout for writing the last lines. */
 const lastFlushTimeoutMs = 200;
 
+/** Counts of lines by kind in the current second. */
 type CountWindow = {
 	readonly startedAt: number;
 	readonly written: Map<string, number>;
@@ -133,11 +134,11 @@
 }
 
 /**
- * Creates the log.
+ * Creates a log of JSON lines.
  *
- * @param node - Named in each line.
- * @param level - The least level that is written.
- * @param sink - Where lines go.
+ * @param node - The name of the node, part of each line.
+ * @param level - The lowest level that is written.
+ * @param sink - The output.
  * @returns The log.
  * @internal
  */
--- a/src/lib/timeline/mesh-log.ts
+++ b/src/lib/timeline/mesh-log.ts
@@ -1,6 +1,6 @@
 /**
- * The structured log of a sidecar node: one line for each decision. What an
- * event holds is typed here and nowhere else.
+ * The structured log of a sidecar node, with one line for each decision. This
+ * module defines the fields of all events.
  *
  * @module
  */
@@ -9,49 +9,49 @@
 /** @internal */
 export type LogLevel = 'debug' | 'info' | 'warn' | 'error';
 
-/** How one attempt of a request ended, as the log tells it. @internal */
+/** The result of one attempt of a request, as part of log events. @internal */
 export type AttemptRecord = {
 	readonly server: string;
 	readonly node: string;
 	readonly verdict: Verdict;
 	readonly outcome: string;
 	readonly tookMs: number;
-	/** Milliseconds since the choice's information was heard. */
+	/** Age of the report by which the server was chosen, in milliseconds. */
 	readonly infoAgeMs?: number;
 };
 
-/** What was refused: a datagram at the address for heartbeats, what came over a connection to the gate, a call at the address for announcements, an entry of the store. @internal */
+/** The kind of input that was refused: a datagram at the heartbeat address, input on a connection to the gate, a call at the announcement address, an entry of the store. @internal */
 export type RefusalKind = 'heartbeat-refused' | 'peer-refused' | 'announcement-refused' | 'entry-refused';
 
 /** Why input was refused. @internal */
 export type RefusalCause =
-	/** Bytes, or a field, that cannot be read. */
+	/** The bytes or a field are invalid. */
 	| 'unreadable'
-	/** It speaks in the name of this node. */
+	/** The sender uses the name of this node. */
 	| 'own-name'
-	/** More than any mesh sends. */
+	/** It exceeds the amount that a mesh of any size sends. */
 	| 'flood'
-	/** It names an address at which nobody answers. */
+	/** It contains an address that does not answer. */
 	| 'no-answer'
 	| AnnouncementCause;
 
-/** Why a call that speaks for the backend server beside a node was refused. @internal */
+/** Why an announcement or leave of the backend server beside a node was refused. @internal */
 export type AnnouncementCause =
-	/** The target names no server. */
+	/** The request target contains no server id. */
 	| 'server-id'
-	/** The body is no JSON object in UTF-8. */
+	/** The body is not a JSON object in UTF-8. */
 	| 'body'
-	/** It does not say which start of the server speaks, or not as a whole number. */
+	/** The start time of the server is missing or not an integer. */
 	| 'start'
-	/** A field is missing, has another type or is out of bounds. */
+	/** A field is missing, has the wrong type or is out of range. */
 	| 'field'
-	/** The server says that it is in a state that is not known here. */
+	/** The state of the server is unknown. */
 	| 'state'
-	/** The server says that it runs another service than the one beside this node. */
+	/** The server reports another service than the one in the settings of this node. */
 	| 'service';
 
-/** What happened. @internal */
-/* eslint-disable @stylistic/max-len -- one event a line reads as the table that it is */
+/** An event of the log. @internal */
+/* eslint-disable @stylistic/max-len -- one event per line forms a table */
 export type MeshEvent =
 	| {readonly kind: 'node-started'; readonly run: string; readonly service: string; readonly address: string}
 	| {readonly kind: 'node-ready'; readonly version: number}
@@ -62,11 +62,11 @@
 	| {readonly kind: 'node-failed'; readonly reason: string}
 	| {readonly kind: 'settings-reloaded'; readonly outcome: string; readonly reason?: string}
 	| {readonly kind: 'configuration-applied'; readonly version: number; readonly from: string; readonly routes: number}
-	/** Another node told of a version that is newer than any heard of before. */
+	/** Another node reported a version that is newer than any known version. */
 	| {readonly kind: 'configuration-heard'; readonly version: number; readonly from: string; readonly held: number}
-	/** Another node was asked for its configuration, and this came of it. */
+	/** Another node was asked for its configuration and did not return a usable one. */
 	| {readonly kind: 'configuration-not-fetched'; readonly version: number; readonly from: string; readonly held: number; readonly outcome: string; readonly reason: string; readonly tookMs: number}
-	/** The store was asked for the configuration, whole or for changes of it. */
+	/** The configuration, or its changes, were read from the store. */
 	| {readonly kind: 'configuration-read'; readonly call: string; readonly version: number; readonly tookMs: number}
 	| {readonly kind: 'configuration-refused'; readonly version: number; readonly from: string; readonly reason: string}
 	| {readonly kind: 'configuration-unknown'; readonly version: number; readonly reason: string; readonly count: number}
@@ -89,7 +89,7 @@
 	| {readonly kind: 'server-crashed'; readonly server: string; readonly atWork: number; readonly suspects: readonly string[]; readonly calls: readonly string[]}
 	| {readonly kind: 'request-suspected'; readonly fingerprint: string; readonly crashes: number; readonly from: string}
 	| {readonly kind: 'request-cleared'; readonly fingerprint: string; readonly crashes: number}
-	/** Several callers asked for it right after a crash, and no server has answered it. */
+	/** Several callers sent the request shortly after a crash, and no server has responded to it since. */
 	| {readonly kind: 'request-repeated'; readonly fingerprint: string}
 	| {readonly kind: 'crash-not-stored'; readonly crash: string; readonly reason: string}
 	| {readonly kind: 'quarantine-not-stored'; readonly fingerprint: string; readonly reason: string}
@@ -98,7 +98,7 @@
 	| {readonly kind: 'attempt-failed'; readonly call: string; readonly route: string; readonly attempt: AttemptRecord; readonly next: string}
 	| {readonly kind: 'call-finished'; readonly call: string; readonly route: string; readonly version: number; readonly status: number; readonly verdict: Verdict; readonly reason: string; readonly tookMs: number; readonly leftMs: number; readonly attempts: readonly AttemptRecord[]}
 	| {readonly kind: 'gate-refused'; readonly call: string; readonly server: string; readonly reason: string; readonly rank: number; readonly running: number; readonly waiting: number; readonly serviceMs: number; readonly mayWaitMs: number}
-	/** The caller left before the work on its request began; it was sent to no server. */
+	/** The caller left before its request was started; the request was not sent to any server. */
 	| {readonly kind: 'caller-left'; readonly call: string; readonly route: string; readonly waitedMs: number}
 	| {readonly kind: 'request-refused'; readonly call: string; readonly status: number; readonly reason: string; readonly host: string; readonly path: string; readonly version: number}
 	| {readonly kind: 'lines-dropped'; readonly of: string; readonly count: number};
@@ -109,5 +109,5 @@
 	readonly record: (level: LogLevel, event: MeshEvent) => void;
 };
 
-/** A log that keeps nothing, for parts that run without one. @internal */
+/** A log that discards all events, for components that run without a log. @internal */
 export const silentLog: MeshLog = {record: () => undefined};
--- a/src/lib/timeline/refusal-log.test.ts
+++ b/src/lib/timeline/refusal-log.test.ts
@@ -7,7 +7,7 @@
 	kind: 'heartbeat-refused', cause: 'unreadable', place: '10.0.0.9:1', reason: 'report: found nothing, must be a list',
 };
 
-/** Counts of the lines that were written, since the last look. */
+/** Creates a refusal log. `takeLines` returns the lines written since its last call, each with its count. */
 function startFixture(context: TestContext) {
 	context.mock.timers.enable({apis: ['setTimeout']});
 	const events: MeshEvent[] = [];
@@ -25,7 +25,7 @@
 	};
 }
 
-test('the first is told at once, the others once a second with how many there were', context => {
+test('the first refusal is logged at once, further ones once per second with their count', context => {
 	const {refusals, counted, takeLines, tick} = startFixture(context);
 	for (let sent = 0; sent < 1000; sent++) {
 		refusals.record(heartbeat);
@@ -46,7 +46,7 @@
 	assert.equal(counted.length, 1002);
 });
 
-test('kinds and causes do not hide one another, and what was not told yet is told at the end', context => {
+test('each kind and cause is logged separately, and dispose logs the refusals that were not logged yet', context => {
 	const {refusals, counted, takeLines} = startFixture(context);
 	refusals.record(heartbeat);
 	refusals.record({...heartbeat, cause: 'flood'});
@@ -58,7 +58,7 @@
 	assert.equal(counted.length, 4);
 });
 
-test('a line stays short, however long what was refused is', context => {
+test('a line is short even if the place of the refused input is long', context => {
 	const {refusals, events} = startFixture(context);
 	refusals.record({...heartbeat, place: 'x'.repeat(60_000)});
 	assert.ok(JSON.stringify(events[0]).length < 600);
--- a/src/lib/timeline/refusal-log.ts
+++ b/src/lib/timeline/refusal-log.ts
@@ -1,8 +1,8 @@
 /**
- * Tells of input that was refused, at a bounded rate: whoever sends what cannot
- * be used may send thousands of it a second. Each is counted; lines are written
- * for the first of a kind and cause at once, then one a second at the most, with
- * how many there were since the last.
+ * Logs refused input at a limited rate, since a sender may send thousands of
+ * invalid messages per second. Each refusal is counted in the metrics. The first
+ * of a kind and cause is logged at once, then at most one line per second, with
+ * the number of refusals since the last line.
  *
  * @module
  */
@@ -12,32 +12,34 @@
 export type Refusal = {
 	readonly kind: RefusalKind;
 	readonly cause: RefusalCause;
-	/** Where it came from or stands. */
+	/** The sender's address, or the place of the input. */
 	readonly place: string;
-	/** What is wrong with it and what is allowed. */
+	/** What is wrong with the input, and what is allowed. */
 	readonly reason: string;
 };
 
 /** @internal */
 export type RefusalLog = {
 	readonly record: (refusal: Refusal) => void;
-	/** Says what was counted and not told yet. */
+	/** Logs the refusals that are counted but not logged yet, and stops the timers. */
 	readonly dispose: () => void;
 };
 
-/** Milliseconds between two lines of one kind and cause: enough lines to see who sends what, at a few hundred bytes a second. */
+/** Interval between lines of one kind and cause: short enough to see which sender sends what, at a few hundred bytes per second. */
 const lineIntervalMs = 1000;
 
-/** Characters of a place that a line shows: paths may be as long as a head. */
+/** Characters of a place that a line shows: a path may be as long as the whole head of a request. */
 const maximumPlaceLength = 200;
 
-/** What was refused since the last line of its kind and cause. */
+/** The refusals of one kind and cause since the last line. */
 type PendingRefusals = {count: number; last: Refusal; readonly timer: NodeJS.Timeout};
 
 /**
- * @param log - Where lines go.
- * @param count - Told of each refusal, for metrics.
- * @returns Refusals, none yet.
+ * Creates a refusal log.
+ *
+ * @param log - The log that lines are written to.
+ * @param count - Called for each refusal, to update the metrics.
+ * @returns The refusal log.
  * @internal
  */
 export function createRefusalLog(log: MeshLog, count: (kind: RefusalKind, cause: RefusalCause) => void): RefusalLog {
@@ -93,5 +95,5 @@
 	};
 }
 
-/** Refusals that nobody hears of, for parts that run without. @internal */
+/** A refusal log that discards all refusals, for components that run without one. @internal */
 export const silentRefusalLog: RefusalLog = {record: () => undefined, dispose: () => undefined};
--- a/src/lib/timeline/timeline-event.ts
+++ b/src/lib/timeline/timeline-event.ts
@@ -1,5 +1,5 @@
 /**
- * What the time line records.
+ * The events of the timeline.
  *
  * @module
  */
@@ -9,7 +9,7 @@
 import {type Verdict} from '../common/verdict.js';
 import {type NodeStatus} from '../directory/node-record.js';
 
-/** What happened, without when and where. @public */
+/** The kind and the fields of an event, without time and node. @public */
 export type EventDetail =
 	| {readonly kind: 'node-started'}
 	| {readonly kind: 'node-ready'; readonly version: number}
@@ -36,16 +36,16 @@
 /** @public */
 export type EventKind = EventDetail['kind'];
 
-/** An event on the time line. @public */
+/** An event of the timeline. @public */
 export type TimelineEvent = EventDetail & {
-	/** Lamport time: what could have caused an event has a smaller one. */
+	/** Lamport time: any event that may have caused this one has a smaller time. */
 	readonly time: number;
 	readonly node: NodeId;
-	/** Milliseconds since the epoch by the node's own clock; for people, never for order. */
+	/** Milliseconds since the epoch by the clock of the node; for display only, not for ordering. */
 	readonly at: number;
 };
 
-/** Which events are wanted. @public */
+/** The conditions that an event must match. @public */
 export type TimelineFilter = {
 	readonly node?: string;
 	readonly call?: string;
@@ -53,10 +53,10 @@
 };
 
 /**
- * Puts events of several nodes in one order that no effect precedes its cause in.
+ * Sorts the events of several nodes so that causes precede their effects.
  *
  * @param events - Events of any number of nodes.
- * @returns The same events, ordered.
+ * @returns The same events by Lamport time, then by node.
  * @public
  */
 export function sortEvents(events: readonly TimelineEvent[]): readonly TimelineEvent[] {
@@ -64,9 +64,11 @@
 }
 
 /**
- * @param event - An event.
- * @param filter - What is wanted; an empty filter wants everything.
- * @returns Whether the event is wanted.
+ * Checks whether an event matches a filter.
+ *
+ * @param event - The event.
+ * @param filter - The filter; an empty one matches every event.
+ * @returns Whether the event matches all conditions of the filter.
  * @public
  */
 export function matchesFilter(event: TimelineEvent, filter: TimelineFilter): boolean {
@@ -77,8 +79,10 @@
 }
 
 /**
- * @param event - An event.
- * @returns One line for people.
+ * Formats an event for display.
+ *
+ * @param event - The event.
+ * @returns One line: Lamport time, time of day, node, kind and fields.
  * @public
  */
 export function formatEvent(event: TimelineEvent): string {
--- a/src/lib/timeline/timeline.test.ts
+++ b/src/lib/timeline/timeline.test.ts
@@ -5,7 +5,7 @@
 import {formatEvent, sortEvents} from './timeline-event.js';
 import {createTimeline} from './timeline.js';
 
-test('no effect stands before its cause, whatever the clocks of the nodes say', t => {
+test('causes precede their effects even if the clocks of the nodes differ', t => {
 	t.mock.timers.enable({apis: ['Date'], now: 9_000_000});
 	const clocks = [createLamportClock(), createLamportClock()] as const;
 	const first = createTimeline(toNodeId('fast'), clocks[0]);
@@ -20,7 +20,7 @@
 	assert.match(formatEvent(merged[0]!), /configuration-applied\s+version=1 from=own/);
 });
 
-test('calls do not push out what the mesh did, and events can be filtered', () => {
+test('events of calls do not displace other events, and events can be filtered', () => {
 	const timeline = createTimeline(toNodeId('n'), createLamportClock());
 	timeline.record({kind: 'node-started'});
 	for (let index = 0; index < 5000; index++) {
--- a/src/lib/timeline/timeline.ts
+++ b/src/lib/timeline/timeline.ts
@@ -1,5 +1,5 @@
 /**
- * The events of this node, the newest few thousand of them.
+ * Keeps the newest events of this node in memory.
  *
  * @module
  */
@@ -13,11 +13,11 @@
 /** @public */
 export type Timeline = {
 	readonly record: (detail: EventDetail) => void;
-	/** Events after a Lamport time, oldest first. */
+	/** Lists the events after a Lamport time that match a filter, oldest first. */
 	readonly list: (filter?: TimelineFilter, after?: number) => readonly TimelineEvent[];
 };
 
-/** Events kept of each sort; calls have a store of their own so that they do not push out what the mesh did. */
+/** Number of events in each ring buffer. Events of calls have a buffer of their own, so that they do not displace other events. */
 const ringBufferSize = 2048;
 
 const callKinds: ReadonlySet<EventDetail['kind']> = new Set(['attempt-failed', 'call-finished']);
@@ -40,12 +40,12 @@
 }
 
 /**
- * Creates the time line of one node.
+ * Creates the timeline of one node.
  *
- * @param node - Whose events these are.
- * @param clock - The node's Lamport clock.
- * @param handleEvent - Told of every event; the daemon logs them.
- * @returns The time line.
+ * @param node - The node.
+ * @param clock - The Lamport clock of the node.
+ * @param handleEvent - Called for each event; the daemon logs the events.
+ * @returns The timeline.
  * @internal
  */
 export function createTimeline(node: NodeId, clock: LamportClock, handleEvent?: (event: TimelineEvent) => void): Timeline {
