--- a/apps/node/main.ts
+++ b/apps/node/main.ts
@@ -1,6 +1,6 @@
 #!/usr/bin/env node
 /**
- * The daemon: reads its settings, wires the library and handles signals.
+ * The daemon: reads its settings, creates and starts a node, and handles signals.
  *
  * @module
  */
@@ -14,15 +14,15 @@
 	type Node, type Settings, type TimelineEvent,
 } from '../../src/index.js';
 
-/** Exit codes, as in the operators' guide. */
-const exitCodes = {badSettings: 2, cannotListen: 3, cutCalls: 4} as const;
+/** Exit codes, as documented in the operators' guide. */
+const exitCodes = {badSettings: 2, cannotListen: 3, unfinishedCalls: 4} as const;
 
 async function readSettings(file: string): Promise<Settings | undefined> {
 	let text: string;
 	try {
 		text = await readFile(file, 'utf8');
 	} catch (error) {
-		process.stderr.write(`${file}: cannot be read: ${(error as Error).message}\n`);
+		process.stderr.write(`${file}: cannot read the settings file: ${(error as Error).message}\n`);
 		return undefined;
 	}
 
@@ -35,12 +35,12 @@
 	);
 }
 
-const quietKinds: ReadonlySet<TimelineEvent['kind']> = new Set(['call-finished', 'attempt-failed']);
+const debugKinds: ReadonlySet<TimelineEvent['kind']> = new Set(['call-finished', 'attempt-failed']);
 
 function createEventLogger(logger: bunyan): (event: TimelineEvent) => void {
 	return event => {
 		const {kind, ...details} = event;
-		if (quietKinds.has(kind)) {
+		if (debugKinds.has(kind)) {
 			logger.debug(details, kind);
 		} else {
 			logger.info(details, kind);
@@ -51,8 +51,8 @@
 async function stopNode(node: Node, logger: bunyan): Promise<void> {
 	const isDone = await node.drain();
 	if (!isDone) {
-		logger.warn('some calls had not ended when the time to drain was over');
-		process.exitCode = exitCodes.cutCalls;
+		logger.warn('drain timeout: some calls were still in flight');
+		process.exitCode = exitCodes.unfinishedCalls;
 	}
 }
 
@@ -60,8 +60,8 @@
 	let isStopping = false;
 	const handleSignal = async (): Promise<void> => {
 		if (isStopping) {
-			logger.warn('second signal: stopping at once');
-			process.exit(exitCodes.cutCalls);
+			logger.warn('received a second signal: exiting without waiting for calls in flight');
+			process.exit(exitCodes.unfinishedCalls);
 		}
 
 		isStopping = true;
@@ -76,7 +76,7 @@
 async function run(): Promise<void> {
 	const {settings: file} = await yargs(hideBin(process.argv))
 		.scriptName('stonemoor-node')
-		.usage('$0 --settings FILE\n\nRuns the node that stands beside a backend server.')
+		.usage('$0 --settings FILE\n\nRuns the node beside a backend server.')
 		.option('settings', {type: 'string', demandOption: true, describe: 'settings file (YAML)'})
 		.strict()
 		.parseAsync();
@@ -89,7 +89,7 @@
 	const logger = bunyan.createLogger({name: 'stonemoor-node', node: settings.node, level: settings.logLevel});
 	const store = createHttpStore(settings.store);
 	const node = createNode(settings, {store, random: Math.random, handleEvent: createEventLogger(logger)});
-	// Before anything listens: whoever finds the node's ports open may send it a signal.
+	// Install the handlers before the node listens: once its ports are open, a signal may arrive.
 	handleSignals(node, logger, async () => store.dispose());
 	const started = await node.start();
 	if (started.isErr()) {
--- a/src/lib/common/elapsed-clock.test.ts
+++ b/src/lib/common/elapsed-clock.test.ts
@@ -3,19 +3,19 @@
 import fc from 'fast-check';
 import {createElapsedClock, type ElapsedClock} from './elapsed-clock.js';
 
-type World = {
+type FakeVm = {
 	readonly clock: ElapsedClock;
-	/** Milliseconds of each suspension that was told. */
+	/** The suspensions that were reported, in milliseconds. */
 	readonly resumes: readonly number[];
-	/** The VM runs for a while. */
+	/** Lets the VM run for a time. */
 	readonly run: (milliseconds: number) => void;
 	readonly suspend: (milliseconds: number) => void;
-	/** The time of day is set, forward or back. */
+	/** Sets the time of day forward or back. */
 	readonly setClock: (stepMs: number) => void;
 };
 
-/** Clocks of a VM; its uptime is told in hundredths of a second, or not at all. */
-function createWorld(hasUptime = true): World {
+/** Creates the clocks of a VM. Its uptime has a resolution of 10 ms, or is not available. */
+function createFakeVm(hasUptime = true): FakeVm {
 	let awake = 1000;
 	let boot = 500_000;
 	let now = 1_764_723_600_000;
@@ -42,8 +42,8 @@
 	};
 }
 
-test('a suspension counts, and is told once, before the time is handed out', () => {
-	const {clock, resumes, run, suspend} = createWorld();
+test('elapsed time includes a suspension, which is reported once, before the read that detects it returns', () => {
+	const {clock, resumes, run, suspend} = createFakeVm();
 	assert.equal(clock.read(), 1000);
 	run(300);
 	suspend(2500);
@@ -55,8 +55,8 @@
 });
 
 for (const stepMs of [2000, -2000, 60, -60]) {
-	test(`a time of day that is set by ${stepMs} ms and back counts as nothing`, () => {
-		const {clock, resumes, run, setClock} = createWorld();
+	test(`setting the time of day by ${stepMs} ms and back is not reported as a suspension`, () => {
+		const {clock, resumes, run, setClock} = createFakeVm();
 		setClock(stepMs);
 		assert.equal(clock.read(), 1000);
 		run(5000);
@@ -66,19 +66,19 @@
 	});
 }
 
-test('where the uptime cannot be told, a jump is a set clock', () => {
-	const {clock, resumes, suspend} = createWorld(false);
+test('without an uptime, a jump of the time of day is not reported as a suspension', () => {
+	const {clock, resumes, suspend} = createFakeVm(false);
 	suspend(2000);
 	assert.equal(clock.read(), 1000);
 	assert.deepEqual(resumes, []);
 });
 
-test('an uptime that goes at another speed than the steady clock shows no suspension when the time of day is set', () => {
-	const {clock, resumes, run, suspend, setClock} = createWorld();
-	for (let turn = 0; turn < 100; turn++) {
+test('drift between uptime and steady clock is not reported as a suspension when the time of day is set', () => {
+	const {clock, resumes, run, suspend, setClock} = createFakeVm();
+	for (let step = 0; step < 100; step++) {
 		run(400);
 		suspend(30);
-		clock.align();
+		clock.updateOffsets();
 	}
 
 	setClock(2000);
@@ -86,17 +86,17 @@
 	assert.deepEqual(resumes, []);
 });
 
-/** Each suspension is told by the time of day, which may have been slewed by a little unnoticed. Milliseconds. */
-const exactToMs = 60;
+/** Error of the measured length of one suspension: it is taken from the time of day, which may have been slewed by an amount below the detection threshold. */
+const errorPerSuspensionMs = 60;
 
-test('property: elapsed time never goes back, and is the time awake and suspended, whatever else the time of day does', () => {
+test('property: elapsed time never decreases, and equals the time awake plus the time suspended, even if the time of day is set', () => {
 	const step = fc.oneof(
 		fc.record({type: fc.constant('run' as const), ms: fc.integer({min: 0, max: 3000})}),
 		fc.record({type: fc.constant('suspend' as const), ms: fc.integer({min: 100, max: 8000})}),
 		fc.record({type: fc.constant('set' as const), ms: fc.integer({min: -5000, max: 5000})}),
 	);
 	fc.assert(fc.property(fc.array(step, {maxLength: 30}), steps => {
-		const {clock, run, suspend, setClock} = createWorld();
+		const {clock, run, suspend, setClock} = createFakeVm();
 		let expected = clock.read();
 		let before = expected;
 		let suspensions = 0;
@@ -111,7 +111,7 @@
 
 			const elapsed = clock.read();
 			assert.ok(elapsed >= before, `${elapsed} after ${before}`);
-			assert.ok(Math.abs(elapsed - expected) <= suspensions * exactToMs, `${elapsed}, not ${expected}`);
+			assert.ok(Math.abs(elapsed - expected) <= suspensions * errorPerSuspensionMs, `${elapsed}, not ${expected}`);
 			before = elapsed;
 		}
 	}));
--- a/src/lib/common/loop-lag.test.ts
+++ b/src/lib/common/loop-lag.test.ts
@@ -6,15 +6,15 @@
 import {Worker} from 'node:worker_threads';
 import {createLoopLag} from './loop-lag.js';
 
-function waitBusily(milliseconds: number): void {
+function blockEventLoop(milliseconds: number): void {
 	const until = performance.now() + milliseconds;
 	while (performance.now() < until) {
-		// The process stands still, and what arrives waits.
+		// Block the event loop, so that input stays unread.
 	}
 }
 
-/** Sends a byte and closes, both while the process stands still; yields whether the close was known when the byte was worked on. */
-async function countClosedInTime(catchUp: () => Promise<void>): Promise<boolean> {
+/** Sends a byte and closes the connection while the event loop is blocked. Returns whether the server had read the close when it handled the byte. */
+async function isCloseReadFirst(waitForPendingInput: () => Promise<void>): Promise<boolean> {
 	return new Promise(resolve => {
 		const server = createServer((socket: Socket) => {
 			let isClosed = false;
@@ -22,7 +22,7 @@
 				isClosed = true;
 			});
 			socket.once('data', async () => {
-				await catchUp();
+				await waitForPendingInput();
 				resolve(isClosed);
 				socket.destroy();
 				server.close();
@@ -31,33 +31,33 @@
 		server.listen(0, '127.0.0.1', () => {
 			const caller = connect((server.address() as AddressInfo).port, '127.0.0.1', () => {
 				caller.end('x');
-				// Not before both are sent.
+				// Block only after the byte and the close have been sent.
 				setImmediate(() => {
-					waitBusily(50);
+					blockEventLoop(50);
 				});
 			});
 		});
 	});
 }
 
-test('while the process lags, a close that came with a request is heard before the request is worked on', async () => {
+test('while the process lags, a close that arrived with a request is read before the request is handled', async () => {
 	const lag = createLoopLag();
-	lag.note(150);
-	assert.equal(await countClosedInTime(lag.catchUp), true);
+	lag.recordTimerDelay(150);
+	assert.equal(await isCloseReadFirst(lag.waitForPendingInput), true);
 });
 
-test('without a lag nothing is waited for', async () => {
+test('without lag, waitForPendingInput returns at once', async () => {
 	const lag = createLoopLag();
-	lag.note(50);
-	let turns = 0;
+	lag.recordTimerDelay(50);
+	let iterations = 0;
 	setImmediate(() => {
-		turns++;
+		iterations++;
 	});
-	await lag.catchUp();
-	assert.equal(turns, 0);
+	await lag.waitForPendingInput();
+	assert.equal(iterations, 0);
 });
 
-/** Callers of another thread: each sends a byte and closes, once it is told to. */
+/** Callers in another thread: on a message, each sends a byte and closes its connection. */
 const callersScript = `
 const {parentPort, workerData} = require('node:worker_threads');
 const {connect} = require('node:net');
@@ -69,9 +69,9 @@
 });
 `;
 
-test('within one long turn of the loop, closes that came with the requests read last are heard before these are worked on', async () => {
+test('within one long iteration of the event loop, closes that arrived with the last requests are read before these are handled', async () => {
 	const lag = createLoopLag();
-	lag.note(0);
+	lag.recordTimerDelay(0);
 	const callers = 10;
 	const closedInTime = await new Promise<readonly boolean[]>(resolve => {
 		const seen: boolean[] = [];
@@ -82,9 +82,9 @@
 				isClosed = true;
 			});
 			socket.once('data', async () => {
-				await lag.catchUp();
+				await lag.waitForPendingInput();
 				seen.push(isClosed);
-				waitBusily(30);
+				blockEventLoop(30);
 				socket.destroy();
 				if (seen.length === callers) {
 					server.close();
@@ -95,8 +95,8 @@
 			connected++;
 			if (connected === callers) {
 				worker.postMessage('send');
-				// All of it arrives while the process stands still.
-				waitBusily(300);
+				// All bytes and closes arrive while the event loop is blocked.
+				blockEventLoop(300);
 			}
 		});
 		let worker: Worker;
--- /dev/null
+++ b/src/lib/common/request-start-limiter.ts
@@ -0,0 +1,63 @@
+/**
+ * Limits the requests that start in one iteration of the event loop, to keep the
+ * iterations short under high load. The event loop accepts one new connection per
+ * iteration, so during long iterations callers wait to be connected. The close of
+ * a connection is also read between iterations only.
+ *
+ * It is needed when hundreds of callers reconnect at once to a node that has just
+ * restarted, or that is the last one of its failure domain.
+ *
+ * @module
+ */
+
+/** @internal */
+export type RequestStartLimiter = {
+	/** Waits until a request may start. Resolves at once unless enough requests have started in this iteration. */
+	readonly waitForStart: () => Promise<void>;
+};
+
+/** Requests from new connections that start in one iteration. Each takes about one millisecond of a core of a small VM, so an iteration takes a few milliseconds. Requests on existing connections are not delayed, so that reads are answered in time under overload. */
+const maximumStartsPerIteration = 4;
+
+/**
+ * Creates a limiter.
+ *
+ * @returns The limiter, without any started request.
+ * @internal
+ */
+export function createRequestStartLimiter(): RequestStartLimiter {
+	const waiting: Array<() => void> = [];
+	let startedCount = 0;
+	let isCounting = false;
+
+	const endIteration = (): void => {
+		const starting = waiting.splice(0, maximumStartsPerIteration);
+		startedCount = starting.length;
+		isCounting = startedCount > 0;
+		if (isCounting) {
+			setImmediate(endIteration);
+		}
+
+		for (const start of starting) {
+			start();
+		}
+	};
+
+	return {
+		async waitForStart() {
+			if (!isCounting) {
+				isCounting = true;
+				setImmediate(endIteration);
+			}
+
+			if (startedCount < maximumStartsPerIteration && waiting.length === 0) {
+				startedCount++;
+				return;
+			}
+
+			await new Promise<void>(resolve => {
+				waiting.push(resolve);
+			});
+		},
+	};
+}
--- a/src/lib/node/node.ts
+++ b/src/lib/node/node.ts
@@ -35,7 +35,7 @@
 import {joinMesh, joinUnknownSeeds} from '../membership/join-mesh.js';
 import {createMemberList} from '../membership/member-list.js';
 import {createOperatorApi} from '../operators/operator-api.js';
-import {type NodeStatusAnswer} from '../operators/operator-messages.js';
+import {type NodeStatusResponse} from '../operators/operator-messages.js';
 import {createServerLoads} from '../routing/server-load.js';
 import {type Settings} from '../settings/settings.js';
 import {createBudgetedStore} from '../store/budgeted-store.js';
@@ -68,7 +68,7 @@
 	readonly drain: () => Promise<boolean>;
 	/** Stops immediately, without waiting for calls in flight. */
 	readonly dispose: () => Promise<void>;
-	readonly getStatus: () => NodeStatusAnswer;
+	readonly getStatus: () => NodeStatusResponse;
 };
 
 /** Interval at which the node checks whether it has to watch the store. */
@@ -200,7 +200,7 @@
 		return outcomes;
 	});
 
-	const getStatus = (): NodeStatusAnswer => {
+	const getStatus = (): NodeStatusResponse => {
 		const current = configuration.getConfiguration();
 		const treePlace = distributor.getPlace();
 		const memory = process.memoryUsage();
--- a/src/lib/sidecar/announcement-server.ts
+++ b/src/lib/sidecar/announcement-server.ts
@@ -13,7 +13,7 @@
 import {type AnnouncementRefusal} from '../local-server/announcement-refusal.js';
 import {type ServerAnnouncement, type ServerLeave} from '../local-server/local-server.js';
 import {type RefusalCause} from '../timeline/mesh-log.js';
-import {type Refusals} from '../timeline/refusals.js';
+import {type RefusalLog} from '../timeline/refusal-log.js';
 
 /** A message of the backend server to its node. @internal */
 export type ServerMessage =
@@ -26,7 +26,7 @@
 	readonly decode: (method: string, target: string, body: string) => Result<ServerMessage | undefined, AnnouncementRefusal>;
 	/** Applies a message, or returns why it is refused. */
 	readonly handleMessage: (message: ServerMessage) => Result<undefined, AnnouncementRefusal>;
-	readonly refusals: Refusals;
+	readonly refusals: RefusalLog;
 };
 
 type MessageOutcome =
@@ -51,7 +51,7 @@
 	const {decode, handleMessage, refusals} = context;
 
 	const refuse = (response: ServerResponse, place: string, cause: RefusalCause, reason: string): void => {
-		refusals.note({
+		refusals.record({
 			kind: 'announcement-refused', cause, place, reason,
 		});
 		sendResponse(response, 400, JSON.stringify({error: reason}));
--- a/src/lib/sidecar/config-sync.ts
+++ b/src/lib/sidecar/config-sync.ts
@@ -26,7 +26,7 @@
 	createSuspectEntries, suspectPrefix, type SuspectEntries, type SuspectEntriesContext,
 } from '../sync/suspect-entries.js';
 import {type MeshLog} from '../timeline/mesh-log.js';
-import {type Refusals} from '../timeline/refusals.js';
+import {type RefusalLog} from '../timeline/refusal-log.js';
 import {createConfigAnswerCache} from './config-answer-cache.js';
 import {createNewerConfigFetcher} from './newer-config-fetcher.js';
 
@@ -47,7 +47,7 @@
 	readonly isInOwnDomain: (report: PeerReport) => boolean;
 	readonly fetchConfig: GateClient['fetchConfig'];
 	readonly log: MeshLog;
-	readonly refusals: Refusals;
+	readonly refusals: RefusalLog;
 	readonly random: () => number;
 	/** Lists the quarantined requests to store, and handles those found in the store. */
 	readonly suspects: Pick<SuspectEntriesContext, 'listQuarantined' | 'handleRecords'>;
--- a/src/lib/sidecar/housekeeping.ts
+++ b/src/lib/sidecar/housekeeping.ts
@@ -6,7 +6,7 @@
  */
 import {readSteadyMs} from '../common/clock.js';
 import {toLifetimeKey} from '../common/server-lifetime.js';
-import {createYoungGeneration} from '../common/young-generation.js';
+import {createYoungGenerationTuner} from '../common/young-generation-tuner.js';
 import {type LoadView} from '../decisions/load-view.js';
 import {type PeerLink} from '../peers/peer-link.js';
 import {type SilenceWatchers} from './silence-watchers.js';
@@ -40,7 +40,7 @@
  * @internal
  */
 export function createHousekeeping({listPeers, loads, silenceWatchers, applyGrowthFactor}: HousekeepingContext): Housekeeping {
-	const youngGeneration = createYoungGeneration(applyGrowthFactor);
+	const youngGeneration = createYoungGenerationTuner(applyGrowthFactor);
 	let finishedCalls = 0;
 	let loadCheckedAt = readSteadyMs();
 	let cleanupTimer: NodeJS.Timeout | undefined;
@@ -62,7 +62,7 @@
 				return;
 			}
 
-			youngGeneration.note(finishedCalls, now - loadCheckedAt);
+			youngGeneration.recordLoad(finishedCalls, now - loadCheckedAt);
 			finishedCalls = 0;
 			loadCheckedAt = now;
 		},
--- a/src/lib/sidecar/sidecar.ts
+++ b/src/lib/sidecar/sidecar.ts
@@ -5,12 +5,12 @@
  * @module
  */
 import {type Result} from 'neverthrow';
-import {alignClocks, readSteadyMs, watchResume} from '../common/clock.js';
+import {updateClockOffsets, readSteadyMs, watchResume} from '../common/clock.js';
 import {type NodeId} from '../common/ids.js';
 import {toLifetimeKey} from '../common/server-lifetime.js';
 import {listenAt} from '../common/listen-at.js';
 import {createLoopLag} from '../common/loop-lag.js';
-import {createWorkTurns} from '../common/work-turns.js';
+import {createRequestStartLimiter} from '../common/request-start-limiter.js';
 import {type CallHeaderNames} from '../forwarding/call-headers.js';
 import {createEntryServer, type FinishedCall} from '../forwarding/entry-server.js';
 import {createGateClient} from '../forwarding/gate-client.js';
@@ -31,7 +31,7 @@
 import {type Candidate} from '../decisions/rank-servers.js';
 import {type MeshStore} from '../store/mesh-store.js';
 import {type MeshLog} from '../timeline/mesh-log.js';
-import {createRefusals} from '../timeline/refusals.js';
+import {createRefusalLog} from '../timeline/refusal-log.js';
 import {createAnnouncementServer, type AnnouncementContext} from './announcement-server.js';
 import {createConfigSync} from './config-sync.js';
 import {createHousekeeping} from './housekeeping.js';
@@ -98,7 +98,7 @@
 	let settings = initialSettings;
 	const metrics = createMeshMetrics();
 	const log = metrics.countEvents(dependencies.log);
-	const refusals = createRefusals(log, metrics.countRefusal);
+	const refusals = createRefusalLog(log, metrics.countRefusal);
 	const {node: self, failureDomain: domain} = settings;
 	const run = createRunId(random);
 	const createdAt = readSteadyMs();
@@ -111,16 +111,16 @@
 	const awaitedRoutes = createNestedCallDetector();
 	const loads = createLoadView();
 	const lag = createLoopLag();
-	const turns = createWorkTurns();
+	const turns = createRequestStartLimiter();
 	/**
 	 * Waits until the input that arrived together with a request has been read. Only a few requests on new connections start in one turn of the event loop.
 	 * Even while turns are short, a new connection may have waited in the accept queue for seconds and its caller may have left. This happens, for example,
 	 * at the last node of a failure domain whose other nodes were killed.
 	 */
 	const waitForPendingInput = async (isNewConnection: boolean): Promise<void> => {
-		await lag.catchUp(isNewConnection);
+		await lag.waitForPendingInput(isNewConnection);
 		if (isNewConnection) {
-			await turns.begin();
+			await turns.waitForStart();
 		}
 	};
 
@@ -192,7 +192,7 @@
 		settings: {
 			...peerLimits, node: self, listen: settings.listen.gossip, domain, periodMs: heartbeatPeriodMs,
 		}, describeSelf, isFollowing: () => sync.describeDuties().isFollowing, log, refusals, random, handleReport, handleRound(lateMs) {
-			alignClocks();
+			updateClockOffsets();
 			livenessMonitor.handleRound(lateMs);
 			housekeeping.handleRound();
 		},
@@ -266,7 +266,7 @@
 		waitForPendingInput,
 		estimateUnreadMs: lag.estimateUnreadMs,
 	});
-	const waitForLag = async (): Promise<void> => lag.catchUp();
+	const waitForLag = async (): Promise<void> => lag.waitForPendingInput();
 	const gateServer = createGateServer({
 		gate, getConfig: sync.getConfigAnswer, catchUp: waitForLag, log, refusals, link: linkWriter,
 	});
@@ -294,7 +294,7 @@
 
 	const livenessMonitor = createLivenessMonitor({
 		link, limits: peerLimits, silenceWatchers, gateClient, log, handleDelay(delayMs) {
-			lag.note(delayMs);
+			lag.recordTimerDelay(delayMs);
 			metrics.recordLoopDelay(delayMs);
 		},
 	});
--- a/src/lib/timeline/line-log.ts
+++ b/src/lib/timeline/line-log.ts
@@ -1,7 +1,7 @@
 /**
- * Writes events as JSON lines, without ever waiting for whoever reads them.
- * The volume is bounded for each kind of event, and in all; what is left out
- * is counted and said.
+ * Writes events as JSON lines without blocking if the output is not read.
+ * The rate of lines is limited for each kind of event, and the buffered bytes
+ * are limited in total. Dropped lines are counted, and the counts are logged.
  *
  * @module
  */
@@ -10,103 +10,103 @@
 import {readSteadyMs} from '../common/clock.js';
 import {type LogLevel, type MeshEvent, type MeshLog} from './mesh-log.js';
 
-/** Level numbers as bunyan and pino write them. */
+/** Level numbers of bunyan and pino. */
 const levelNumbers: Readonly<Record<LogLevel, number>> = {
 	debug: 20, info: 30, warn: 40, error: 50,
 };
 
 /** @internal */
 export type LineLog = MeshLog & {
-	/** Writes what is still held. */
+	/** Writes the buffered lines. */
 	readonly flush: () => Promise<void>;
 };
 
-/** Where lines go. @internal */
+/** The output of a log. @internal */
 export type LineSink = {
-	/** Takes a line without waiting. */
+	/** Writes or buffers a line without blocking. */
 	readonly write: (line: string) => void;
-	/** Bytes taken that nobody has read yet. */
-	readonly countHeldBytes: () => number;
+	/** Returns the number of buffered bytes that are not written yet. */
+	readonly countBufferedBytes: () => number;
 	readonly flush: () => Promise<void>;
 };
 
-/** Lines held at the most while nobody reads them, in bytes. */
-const maxHeldBytes = 262_144;
+/** Limit on the buffered lines while the output is not read. */
+const maximumBufferedBytes = 262_144;
 
-/** Above this share of what may be held, only lines from `warn` on are kept. */
-const failuresOnlyShare = 0.5;
+/** When more than this share of the buffer is in use, only lines of level `warn` or higher are kept. */
+const warningsOnlyShare = 0.5;
 
-/** Lines of one kind and level below `warn` in a second: a line costs some 20 microseconds, so this is a thousandth of a core. */
-const linesPerSecond = 25;
+/** Rate limit for lines of one kind below level `warn`: a line takes about 20 microseconds, so this limits a kind to a thousandth of a core. */
+const maximumLinesPerSecond = 25;
 
-/** The same for lines that tell how a failed request ended: without its own line a failure cannot be explained. A node that refuses more than this in a second says so by the count of the rest. */
-const failedCallsPerSecond = 200;
+/** Rate limit for lines of one kind that report the end of a failed request. It is higher, since a failure cannot be explained without its line. A node that refuses more requests per second logs the count of the others. */
+const maximumFinalLinesPerSecond = 200;
 
-/** Kinds that end the story of one request. */
-const endKinds: ReadonlySet<MeshEvent['kind']> = new Set<MeshEvent['kind']>(['call-finished', 'request-refused', 'caller-left']);
+/** Kinds that report the end of a request. */
+const finalKinds: ReadonlySet<MeshEvent['kind']> = new Set<MeshEvent['kind']>(['call-finished', 'request-refused', 'caller-left']);
 
-/** Lines are gathered for this long before they are written. Milliseconds. */
-const flushMs = 200;
+/** Time for which lines are collected before they are written. */
+const flushDelayMs = 200;
 
 /**
- * Opens a pipe a second time so that a write to it never blocks: a write that
- * blocks in a thread of the pool keeps the process from exiting.
+ * Opens a pipe a second time in non-blocking mode. A write that blocks in a
+ * thread of the pool would keep the process from exiting.
  */
-function openWithoutBlocking(fd: number): number {
+function openNonBlocking(fd: number): number {
 	try {
 		return openSync(`/proc/self/fd/${fd}`, constants.O_WRONLY | constants.O_NONBLOCK | constants.O_APPEND);
 	} catch {
-		// A socket cannot be opened so; it is written to as it is.
+		// A socket cannot be opened this way: use the descriptor itself.
 		return fd;
 	}
 }
 
 /**
- * Opens a file descriptor for lines. Writing to a pipe would block the one
- * thread as long as nobody reads; this does not.
+ * Creates a sink that writes to a file descriptor. Unlike a plain write to a
+ * pipe, it does not block the event loop while the pipe is not read.
  *
- * @param fd - The descriptor.
+ * @param fd - The file descriptor.
  * @returns The sink.
  * @internal
  */
 export function createDescriptorSink(fd: number): LineSink {
 	const boom = new sonicBoom.SonicBoom({
-		fd: openWithoutBlocking(fd), sync: false, minLength: 4096, maxLength: maxHeldBytes,
+		fd: openNonBlocking(fd), sync: false, minLength: 4096, maxLength: maximumBufferedBytes,
 	});
-	let held = 0;
+	let bufferedBytes = 0;
 	boom.on('write', (bytes: number) => {
-		held = Math.max(0, held - bytes);
+		bufferedBytes = Math.max(0, bufferedBytes - bytes);
 	});
 	boom.on('drop', (line: string) => {
-		held = Math.max(0, held - line.length);
+		bufferedBytes = Math.max(0, bufferedBytes - line.length);
 	});
 	boom.on('error', () => {
-		// There is nowhere left to say so: the log itself has failed, and the node goes on.
+		// The log itself has failed, so this error cannot be logged. The node continues without a log.
 	});
 	let timer: NodeJS.Timeout | undefined;
 	const flushSoon = (): void => {
 		timer ??= setTimeout(() => {
 			timer = undefined;
 			boom.flush();
-			if (held > 0) {
-				// Nobody reads: what is held is tried again.
+			if (bufferedBytes > 0) {
+				// The output is not read: retry later.
 				flushSoon();
 			}
-		}, flushMs).unref();
+		}, flushDelayMs).unref();
 	};
 
 	return {
 		write(line) {
-			held += line.length;
+			bufferedBytes += line.length;
 			boom.write(line);
 			flushSoon();
 		},
-		countHeldBytes: () => held,
+		countBufferedBytes: () => bufferedBytes,
 		async flush() {
 			clearTimeout(timer);
 			return new Promise(resolve => {
-				// Whoever has stopped reading does not keep the process.
-				setTimeout(resolve, lastFlushMs);
+				// A reader that has stopped reading must not keep the process from exiting.
+				setTimeout(resolve, lastFlushTimeoutMs);
 				boom.flush(() => {
 					resolve();
 				});
@@ -115,16 +115,17 @@
 	};
 }
 
-/** How long the last lines may take. Milliseconds. */
-const lastFlushMs = 200;
+/** Timeout for writing the last lines. */
+const lastFlushTimeoutMs = 200;
 
-type Bound = {
+/** Counts of lines by kind in the current second. */
+type CountWindow = {
 	readonly startedAt: number;
 	readonly written: Map<string, number>;
-	readonly left: Map<string, number>;
+	readonly dropped: Map<string, number>;
 };
 
-const createBound = (startedAt: number): Bound => ({startedAt, written: new Map(), left: new Map()});
+const createCountWindow = (startedAt: number): CountWindow => ({startedAt, written: new Map(), dropped: new Map()});
 
 function add(counts: Map<string, number>, kind: string): number {
 	const count = (counts.get(kind) ?? 0) + 1;
@@ -133,17 +134,17 @@
 }
 
 /**
- * Creates the log.
+ * Creates a log of JSON lines.
  *
- * @param node - Named in each line.
- * @param level - The least level that is written.
- * @param sink - Where lines go.
+ * @param node - The name of the node, part of each line.
+ * @param level - The lowest level that is written.
+ * @param sink - The output.
  * @returns The log.
  * @internal
  */
 export function createLineLog(node: string, level: LogLevel, sink: LineSink): LineLog {
-	const least = levelNumbers[level];
-	let bound = createBound(readSteadyMs());
+	const minimumLevel = levelNumbers[level];
+	let countWindow = createCountWindow(readSteadyMs());
 
 	const write = (number: number, event: MeshEvent): void => {
 		sink.write(`${JSON.stringify({
@@ -151,39 +152,39 @@
 		})}\n`);
 	};
 
-	const tellLeftOut = ({left}: Bound): void => {
+	const writeDropped = ({dropped: left}: CountWindow): void => {
 		for (const [kind, count] of left) {
 			write(levelNumbers.warn, {kind: 'lines-dropped', of: kind, count});
 		}
 	};
 
-	const isBounded = (number: number, {kind}: MeshEvent): boolean => {
+	const isWithinLimits = (number: number, {kind}: MeshEvent): boolean => {
 		const now = readSteadyMs();
-		if (now - bound.startedAt >= 1000) {
-			const last = bound;
-			bound = createBound(now);
-			tellLeftOut(last);
+		if (now - countWindow.startedAt >= 1000) {
+			const last = countWindow;
+			countWindow = createCountWindow(now);
+			writeDropped(last);
 		}
 
 		const isFailure = number >= levelNumbers.warn;
-		const room = isFailure ? maxHeldBytes : maxHeldBytes * failuresOnlyShare;
-		if (sink.countHeldBytes() <= room && (isFailure || add(bound.written, kind) <= (endKinds.has(kind) ? failedCallsPerSecond : linesPerSecond))) {
+		const limitBytes = isFailure ? maximumBufferedBytes : maximumBufferedBytes * warningsOnlyShare;
+		if (sink.countBufferedBytes() <= limitBytes && (isFailure || add(countWindow.written, kind) <= (finalKinds.has(kind) ? maximumFinalLinesPerSecond : maximumLinesPerSecond))) {
 			return true;
 		}
 
-		add(bound.left, kind);
+		add(countWindow.dropped, kind);
 		return false;
 	};
 
 	return {
 		record(eventLevel, event) {
 			const number = levelNumbers[eventLevel];
-			if (number >= least && isBounded(number, event)) {
+			if (number >= minimumLevel && isWithinLimits(number, event)) {
 				write(number, event);
 			}
 		},
 		async flush() {
-			tellLeftOut(bound);
+			writeDropped(countWindow);
 			return sink.flush();
 		},
 	};
--- a/src/lib/timeline/timeline.ts
+++ b/src/lib/timeline/timeline.ts
@@ -1,5 +1,5 @@
 /**
- * The events of this node, the newest few thousand of them.
+ * Keeps the newest events of this node in memory.
  *
  * @module
  */
@@ -7,27 +7,27 @@
 import {type NodeId} from '../common/ids.js';
 import {type LamportClock} from './lamport-clock.js';
 import {
-	isWanted, type EventDetail, type TimelineEvent, type TimelineFilter,
+	matchesFilter, type EventDetail, type TimelineEvent, type TimelineFilter,
 } from './timeline-event.js';
 
 /** @public */
 export type Timeline = {
 	readonly record: (detail: EventDetail) => void;
-	/** Events after a Lamport time, oldest first. */
+	/** Lists the events after a Lamport time that match a filter, oldest first. */
 	readonly list: (filter?: TimelineFilter, after?: number) => readonly TimelineEvent[];
 };
 
-/** Events kept of each sort; calls have a store of their own so that they do not push out what the mesh did. */
-const keptEvents = 2048;
+/** Number of events in each ring buffer. Events of calls have a buffer of their own, so that they do not displace other events. */
+const ringBufferSize = 2048;
 
 const callKinds: ReadonlySet<EventDetail['kind']> = new Set(['attempt-failed', 'call-finished']);
 
-type Ring = {
+type RingBuffer = {
 	readonly push: (event: TimelineEvent) => void;
 	readonly list: () => readonly TimelineEvent[];
 };
 
-function createRing(size: number): Ring {
+function createRingBuffer(size: number): RingBuffer {
 	const slots: TimelineEvent[] = [];
 	let next = 0;
 	return {
@@ -40,17 +40,17 @@
 }
 
 /**
- * Creates the time line of one node.
+ * Creates the timeline of one node.
  *
- * @param node - Whose events these are.
- * @param clock - The node's Lamport clock.
- * @param handleEvent - Told of every event; the daemon logs them.
- * @returns The time line.
+ * @param node - The node.
+ * @param clock - The Lamport clock of the node.
+ * @param handleEvent - Called for each event; the daemon logs the events.
+ * @returns The timeline.
  * @internal
  */
 export function createTimeline(node: NodeId, clock: LamportClock, handleEvent?: (event: TimelineEvent) => void): Timeline {
-	const meshEvents = createRing(keptEvents);
-	const callEvents = createRing(keptEvents);
+	const meshEvents = createRingBuffer(ringBufferSize);
+	const callEvents = createRingBuffer(ringBufferSize);
 	return {
 		record(detail) {
 			const event: TimelineEvent = {
@@ -60,7 +60,7 @@
 			handleEvent?.(event);
 		},
 		list: (filter = {}, after = 0) => [...meshEvents.list(), ...callEvents.list()]
-			.filter(event => event.time > after && isWanted(event, filter))
+			.filter(event => event.time > after && matchesFilter(event, filter))
 			.toSorted((left, right) => left.time - right.time),
 	};
 }
