--- a/apps/apps.test.ts
+++ b/apps/apps.test.ts
@@ -21,7 +21,7 @@
 
 async function runProgram(program: string, ...parameters: readonly string[]): Promise<Ended> {
 	const running = startProcess(program, program, parameters);
-	const code = await running.waitForEnd();
+	const code = await running.waitForExit();
 	return {code, output: running.getOutput()};
 }
 
@@ -94,7 +94,7 @@
 		assert.equal(running.child.exitCode, null);
 		assert.match(running.getOutput(), /node-started/);
 		running.child.kill('SIGTERM');
-		assert.equal(await running.waitForEnd(), 0);
+		assert.equal(await running.waitForExit(), 0);
 	});
 });
 
--- a/apps/sidecar/main.test.ts
+++ b/apps/sidecar/main.test.ts
@@ -57,5 +57,5 @@
 	writeSettings({service: 'hall'});
 	await expectLine(/settings-reloaded.*in force after a restart only: service/);
 	running.child.kill('SIGTERM');
-	assert.equal(await running.waitForEnd(), 0);
+	assert.equal(await running.waitForExit(), 0);
 });
--- a/bench/calls/call-worker.ts
+++ b/bench/calls/call-worker.ts
@@ -7,7 +7,7 @@
 import process from 'node:process';
 import {createHttpStore, createNode, type Settings} from '../../src/index.js';
 import {
-	startBackendServer, type BackendBehaviour, type BackendServerSettings, type BackendServerStandIn, type Ledger,
+	startBackendServer, type BackendBehaviour, type BackendServerSettings, type BackendServerStandIn, type RequestCounts,
 } from '../../stand-ins/backend-server/backend-server.js';
 
 /** From the bench to a worker. */
@@ -21,7 +21,7 @@
 /** From a worker to the bench. */
 export type FromCallWorker =
 	| {readonly type: 'started'; readonly address: string}
-	| {readonly type: 'report'; readonly cpuMicroseconds: number; readonly ledger: Ledger | undefined; readonly added: {readonly p50: number; readonly p99: number} | undefined};
+	| {readonly type: 'report'; readonly cpuMicroseconds: number; readonly ledger: RequestCounts | undefined; readonly added: {readonly p50: number; readonly p99: number} | undefined};
 
 let server: BackendServerStandIn | undefined;
 let getAdded: (() => {readonly p50: number; readonly p99: number}) | undefined;
@@ -65,7 +65,7 @@
 			const used = process.cpuUsage(cpu);
 			cpu = process.cpuUsage();
 			tell({
-				type: 'report', cpuMicroseconds: used.user + used.system, ledger: server?.getLedger(), added: getAdded?.(),
+				type: 'report', cpuMicroseconds: used.user + used.system, ledger: server?.getRequestCounts(), added: getAdded?.(),
 			});
 		}
 	}
--- a/bench/distribution.ts
+++ b/bench/distribution.ts
@@ -131,14 +131,14 @@
 
 async function measurePhase(bench: Bench, nodes: number, phase: Phase): Promise<Row> {
 	await bench.fleet.getUsage();
-	const before = bench.store.store.getCalls();
+	const before = bench.store.store.getCallCounts();
 	const startedAt = Date.now();
 	const submitted = await phase.run(bench);
 	const names = phase.listFollowers?.(bench) ?? bench.fleet.settings.map(settings => settings.node);
 	await waitUntil(() => measureConvergence(bench.fleet, names, submitted.slice(-1)).every(ms => Number.isFinite(ms)), 20_000);
 	const seconds = (Date.now() - startedAt) / 1000;
 	const usage = await bench.fleet.getUsage();
-	const after = bench.store.store.getCalls();
+	const after = bench.store.store.getCallCounts();
 	const storeCalls = after.reads + after.writes + after.watches - before.reads - before.writes - before.watches;
 	const storeBytes = after.bytesIn + after.bytesOut - before.bytesIn - before.bytesOut;
 	const controlBytes = bench.mode === 'mesh' ? usage.controlBytes + storeBytes : storeBytes;
--- a/bench/large.ts
+++ b/bench/large.ts
@@ -40,7 +40,7 @@
 
 	await sleep(settleMs);
 	const after = await fleet.getUsage();
-	const image = store.store.getImage();
+	const image = store.store.createBackup();
 	const largest = Math.max(...image.map(([, {value}]) => value.length));
 	process.stdout.write(`${formatMarkdown(['submission', 'size', 'outcome', 'accepted after ms', 'in force on 13 nodes after ms'], rows)}\n`);
 	const [heapBefore, heapAfter] = [before, after].map(usage => (usage.heapBytes / nodes / 1e6).toFixed(1));
--- a/bench/node-cost/node-cost.ts
+++ b/bench/node-cost/node-cost.ts
@@ -18,7 +18,7 @@
 import {announceTestServer, createTestConfig, sendCall} from '../../platform/test-mesh.js';
 import {createListenAddresses} from '../../stand-ins/loopback-addresses.js';
 import {startPlatformStore, type PlatformStore} from '../../stand-ins/platform-store/platform-store.js';
-import {startWireServer} from '../../stand-ins/wire-server/wire-server.js';
+import {startPlatformServer} from '../../stand-ins/platform-server/platform-server.js';
 import {formatMarkdown} from '../statistics.js';
 import {createSimulatedPeer, type SimulatedPeer} from './simulated-peer.js';
 
@@ -157,7 +157,7 @@
 	const store = await startPlatformStore();
 	const routes = Array.from({length: options.routes}, (_, index) => ({prefix: `/r${index}/`, service: services[index % 3]!}));
 	store.putConfig(createTestConfig(1, routes));
-	const worker = await startWireServer('i-measured');
+	const worker = await startPlatformServer('i-measured');
 	worker.setWorkMs(options.workMs);
 	const {callers, gate, gossip, announcements} = createListenAddresses(host);
 	const peers = createPeers(nodes, options);
--- a/bench/quarantine.ts
+++ b/bench/quarantine.ts
@@ -105,7 +105,7 @@
 	const mesh = await startTestMesh(listServices(nodes), createTestConfig(7, routes));
 	const {crashes, stop} = spoilServers(mesh, isFatal, plan.backAfterMs, server => {
 		server.setWorkMs(plan.workMs);
-		server.plan(...Array.from({length: plannedRuns}, () => plan.random() < plan.failShare ? 'fail' as const : 'answer' as const));
+		server.planBehaviours(...Array.from({length: plannedRuns}, () => plan.random() < plan.failShare ? 'fail' as const : 'answer' as const));
 	});
 	const endsAt = Date.now() + (seconds * 1000);
 	let page = 0;
--- a/bench/store-drill.ts
+++ b/bench/store-drill.ts
@@ -11,7 +11,7 @@
 import {randomUniform, randomLcg} from 'd3-random';
 import {median, sum} from 'simple-statistics';
 import {createTestConfig, startTestMesh, type TestMesh} from '../platform/test-mesh.js';
-import {type KeySpaceCopy} from '../stand-ins/platform-store/key-space.js';
+import {type KeySpaceBackup} from '../stand-ins/platform-store/key-space.js';
 import {waitUntil} from '../stand-ins/wait-until.js';
 
 /** @internal */
@@ -68,14 +68,14 @@
 }
 
 /** A copy from before some of the nodes had registered. */
-function dropEntries(copy: KeySpaceCopy, random: () => number): KeySpaceCopy {
+function dropEntries(copy: KeySpaceBackup, random: () => number): KeySpaceBackup {
 	return {...copy, items: new Map([...copy.items].filter(([key]) => !key.startsWith('stonemoor/nodes/') || random() < 0.5))};
 }
 
 async function measureReturn(mesh: TestMesh, firstVersion: number, isDrill: boolean, random: () => number): Promise<Return> {
 	const {store} = mesh;
 	const pickBetween = (least: number, most: number): number => randomUniform.source(random)(least, most)();
-	const copy = dropEntries(store.keys.copy(), random);
+	const copy = dropEntries(store.keys.createBackup(), random);
 	writeOthers(mesh, Math.floor(pickBetween(0, 40)));
 	writeVersion(mesh, firstVersion);
 	await sleep(pickBetween(0, 3000));
--- a/demo/callers.ts
+++ b/demo/callers.ts
@@ -32,10 +32,10 @@
 /** What a publication was told. */
 export type Publication = {readonly key: string; readonly verdict: string; readonly status: number};
 
-const pauseMs = 4;
+const pollPauseMs = 4;
 
 /** No call of a caller takes longer. Milliseconds. */
-const longestCallMs = 5000;
+const maximumCallMs = 5000;
 
 const chunkBytes = 65_536;
 
@@ -43,7 +43,7 @@
 export function startPolling(nodes: readonly MeshNode[], callers: number): Callers {
 	const agent = new Agent({connections: 4, pipelining: 1});
 	const avoided = new Set<string>();
-	const underWay = new Map<string, number>();
+	const inFlight = new Map<string, number>();
 	let counts: CallerCounts = {
 		calls: 0, whole: 0, wrong: 0, notRun: 0, mayHaveRun: 0, lost: 0,
 	};
@@ -56,7 +56,7 @@
 	const poll = async (node: MeshNode): Promise<void> => {
 		const path = `/logs/${randomUUID()}?page=${counts.calls}`;
 		add('calls');
-		underWay.set(node.id, (underWay.get(node.id) ?? 0) + 1);
+		inFlight.set(node.id, (inFlight.get(node.id) ?? 0) + 1);
 		try {
 			const reply = await sendRequest(`http://${node.callers}${path}`, {dispatcher: agent});
 			const body = await reply.body.text();
@@ -68,7 +68,7 @@
 		} catch {
 			add('lost');
 		} finally {
-			underWay.set(node.id, (underWay.get(node.id) ?? 0) - 1);
+			inFlight.set(node.id, (inFlight.get(node.id) ?? 0) - 1);
 		}
 	};
 
@@ -80,7 +80,7 @@
 				await poll(node);
 			}
 
-			await sleep(pauseMs);
+			await sleep(pollPauseMs);
 		}
 	};
 
@@ -89,7 +89,7 @@
 		getCounts: () => counts,
 		async avoid(node) {
 			avoided.add(node);
-			await waitUntil(() => (underWay.get(node) ?? 0) === 0, longestCallMs);
+			await waitUntil(() => (inFlight.get(node) ?? 0) === 0, maximumCallMs);
 		},
 		async stop() {
 			isStopping = true;
--- a/demo/main.ts
+++ b/demo/main.ts
@@ -11,8 +11,8 @@
 import {parse, stringify} from 'yaml';
 import {type NodeStatusAnswer} from '../src/index.js';
 import {settle} from '../src/lib/common/settle.js';
-import {type Ledger} from '../stand-ins/backend-server/backend-server.js';
-import {type StoreCalls} from '../stand-ins/store/memory-store.js';
+import {type RequestCounts} from '../stand-ins/backend-server/backend-server.js';
+import {type StoreCallCounts} from '../stand-ins/store/memory-store.js';
 import {waitUntil} from '../stand-ins/wait-until.js';
 import {
 	fetchBundle, publish, startPolling, uploadBundle, type Callers, type Publication,
@@ -26,24 +26,24 @@
 const callerCount = 8;
 
 /** Answers that callers get while something is looked at: enough that each node passes on a hundred. */
-const moreCalls = 600;
+const answersPerCheck = 600;
 
 /** The demo ends by itself within a minute, whatever hangs. Milliseconds. */
-const longestDemoMs = 55_000;
+const demoTimeoutMs = 55_000;
 
 const startedAt = Date.now();
 const processes = new Map<string, RunningProcess>();
-const broken: string[] = [];
+const brokenPromises: string[] = [];
 let stopCallers: (() => Promise<void>) | undefined;
 
-function tell(text: string): void {
+function printStep(text: string): void {
 	process.stdout.write(`${((Date.now() - startedAt) / 1000).toFixed(2).padStart(7)} s  ${text}\n`);
 }
 
 function check(isKept: boolean, promise: string): void {
 	if (!isKept) {
-		broken.push(promise);
-		tell(`BROKEN: ${promise}`);
+		brokenPromises.push(promise);
+		printStep(`BROKEN: ${promise}`);
 	}
 }
 
@@ -51,23 +51,23 @@
 async function killProcess(name: string): Promise<void> {
 	const running = processes.get(name);
 	running?.child.kill('SIGKILL');
-	await running?.waitForEnd();
+	await running?.waitForExit();
 }
 
 /** Waits until callers have got so many more whole answers. */
 async function waitForCalls(callers: Callers): Promise<void> {
 	const {whole} = callers.getCounts();
-	check(await waitUntil(() => callers.getCounts().whole >= whole + moreCalls, 10_000), `callers get ${moreCalls} answers`);
+	check(await waitUntil(() => callers.getCounts().whole >= whole + answersPerCheck, 10_000), `callers get ${answersPerCheck} answers`);
 }
 
-function keep(running: RunningProcess): RunningProcess {
+function registerProcess(running: RunningProcess): RunningProcess {
 	processes.set(running.name, running);
 	return running;
 }
 
 async function runCli(node: MeshNode, ...parameters: readonly string[]): Promise<string> {
 	const cli = startProcess('cli', 'apps/cli/main.js', [...parameters, '--node', node.operators]);
-	const code = await cli.waitForEnd();
+	const code = await cli.waitForExit();
 	const output = cli.getOutput().trim();
 	if (code !== 0) {
 		throw new Error(`stonemoor ${parameters.join(' ')} ended with ${code ?? 'a signal'}: ${output}`);
@@ -90,16 +90,16 @@
 	return status.isReady;
 }
 
-async function fetchLedger(node: MeshNode): Promise<Ledger> {
-	return fetchJson<Ledger>(`http://${node.serverAddress}/_ledger`);
+async function fetchRequestCounts(node: MeshNode): Promise<RequestCounts> {
+	return fetchJson<RequestCounts>(`http://${node.serverAddress}/_ledger`);
 }
 
 async function startMesh(mesh: Mesh): Promise<void> {
-	keep(startStore(mesh));
+	registerProcess(startStore(mesh));
 	check(await waitForStore(mesh), 'the store answers');
-	tell('the stand-in of the platform\'s store is up');
+	printStep('the stand-in of the platform\'s store is up');
 	for (const node of mesh.nodes) {
-		keep(startNode(node));
+		registerProcess(startNode(node));
 	}
 
 	for (const node of mesh.nodes) {
@@ -107,16 +107,16 @@
 		check(isUp, `${node.id} becomes ready`);
 	}
 
-	tell('six nodes in three failure domains are ready');
+	printStep('six nodes in three failure domains are ready');
 	for (const node of mesh.nodes) {
-		keep(startServer(mesh, node));
+		registerProcess(startServer(mesh, node));
 	}
 
 	for (const node of mesh.nodes) {
 		check(await waitForServers(node, mesh.nodes.length), `${node.id} knows every backend server`);
 	}
 
-	tell('six backend servers have announced themselves, and every node knows them all');
+	printStep('six backend servers have announced themselves, and every node knows them all');
 }
 
 /** Adds a route that answers without a backend server, so that callers can see which version a node has in force. */
@@ -158,25 +158,25 @@
 	return spreadMs;
 }
 
-async function collectLedgers(nodes: readonly MeshNode[]): Promise<readonly Ledger[]> {
-	const ledgers = await Promise.all(nodes.map(async node => settle(fetchLedger(node))));
-	return ledgers.flatMap(ledger => ledger ?? []);
+async function collectRequestCounts(nodes: readonly MeshNode[]): Promise<readonly RequestCounts[]> {
+	const found = await Promise.all(nodes.map(async node => settle(fetchRequestCounts(node))));
+	return found.flatMap(counts => counts ?? []);
 }
 
 type Outcome = {
 	readonly callers: Callers;
 	readonly publications: readonly Publication[];
-	readonly ledgers: readonly Ledger[];
+	readonly requestCounts: readonly RequestCounts[];
 	readonly convergenceMs: readonly number[];
 	readonly versions: readonly number[];
 	readonly controlBytesPerSecond: number;
-	readonly storeCalls: StoreCalls;
+	readonly storeCalls: StoreCallCounts;
 };
 
-function countRuns(ledgers: readonly Ledger[]): ReadonlyMap<string, number> {
+function countRuns(requestCounts: readonly RequestCounts[]): ReadonlyMap<string, number> {
 	const runs = new Map<string, number>();
-	for (const ledger of ledgers) {
-		for (const [key, count] of Object.entries(ledger.runs)) {
+	for (const counts of requestCounts) {
+		for (const [key, count] of Object.entries(counts.runs)) {
 			runs.set(key, (runs.get(key) ?? 0) + count);
 		}
 	}
@@ -186,7 +186,7 @@
 
 function printTable(outcome: Outcome): void {
 	const counts = outcome.callers.getCounts();
-	const runs = countRuns(outcome.ledgers);
+	const runs = countRuns(outcome.requestCounts);
 	const twice = [...runs.values()].filter(count => count > 1).length;
 	const isAlwaysNotRun = (key: string): boolean => outcome.publications.every(publication => publication.key !== key || publication.verdict === 'not-run');
 	const falseNotRun = outcome.publications.filter(({key}) => isAlwaysNotRun(key) && (runs.get(key) ?? 0) > 0).length;
@@ -223,65 +223,65 @@
 	}
 
 	await startMesh(mesh);
-	tell(await runCli(first, 'submit', new URL('../../examples/build-mesh.yaml', import.meta.url).pathname, '--wait'));
+	printStep(await runCli(first, 'submit', new URL('../../examples/build-mesh.yaml', import.meta.url).pathname, '--wait'));
 
 	const callers = startPolling(mesh.nodes, callerCount);
 	stopCallers = callers.stop;
 	const publications: Publication[] = [];
-	tell(`${callerCount} callers poll pages through every node`);
+	printStep(`${callerCount} callers poll pages through every node`);
 	publications.push(await publish(second, 'release-1'), await publish(third, 'release-1'));
-	tell(`release-1 was published: ${publications[0]?.verdict}; again with the same key through another node: ${publications[1]?.status} ${publications[1]?.verdict}`);
+	printStep(`release-1 was published: ${publications[0]?.verdict}; again with the same key through another node: ${publications[1]?.status} ${publications[1]?.verdict}`);
 	check(publications[0]?.verdict === 'ran', 'a publication runs');
 
 	const uploaded = await uploadBundle(first, 'bundle-1', bundleBytes);
 	const fetched = await fetchBundle(fourth, 'bundle-1');
-	tell(`a bundle of ${bundleBytes / 1024 / 1024} MB was uploaded (${uploaded.status}) and fetched back, ${uploaded.digest === fetched ? 'the same' : 'DIFFERENT'}`);
+	printStep(`a bundle of ${bundleBytes / 1024 / 1024} MB was uploaded (${uploaded.status}) and fetched back, ${uploaded.digest === fetched ? 'the same' : 'DIFFERENT'}`);
 	check(uploaded.digest === fetched, 'an upload arrives whole');
 
 	const convergenceMs = [await reviseConfiguration(mesh, mesh.nodes, 1)];
-	tell(`revision 1 is in force on every node; the last had it ${convergenceMs[0]} ms after the first`);
+	printStep(`revision 1 is in force on every node; the last had it ${convergenceMs[0]} ms after the first`);
 
-	tell(`${second.serverId} drains while calls run`);
+	printStep(`${second.serverId} drains while calls run`);
 	await runCli(second, 'drain');
-	const before = await fetchLedger(second);
+	const before = await fetchRequestCounts(second);
 	await waitForCalls(callers);
-	const after = await fetchLedger(second);
-	tell(`${second.serverId} got ${after.requests - before.requests} new requests while callers got ${moreCalls} answers after it was drained`);
+	const after = await fetchRequestCounts(second);
+	printStep(`${second.serverId} got ${after.requests - before.requests} new requests while callers got ${answersPerCheck} answers after it was drained`);
 	check(after.requests === before.requests, 'a leaving backend server gets no new work');
 
 	await callers.avoid('node-6');
 	const {lost} = callers.getCounts();
-	tell('node-6 is killed');
+	printStep('node-6 is killed');
 	await killProcess('node-6');
 	publications.push(await publish(first, 'release-2'));
 	await waitForCalls(callers);
 	check(callers.getCounts().lost === lost, 'calls through other nodes go on when a node dies');
 
-	const storeCalls = await fetchJson<StoreCalls>(`http://${mesh.storeAddress}/calls`);
-	tell('the store is taken away');
+	const storeCalls = await fetchJson<StoreCallCounts>(`http://${mesh.storeAddress}/calls`);
+	printStep('the store is taken away');
 	await killProcess('store');
-	const fenced = await publish(third, 'release-3');
-	publications.push(fenced);
-	tell(`release-3 while the store is down: ${fenced.status} ${fenced.verdict}`);
+	const duringOutage = await publish(third, 'release-3');
+	publications.push(duringOutage);
+	printStep(`release-3 while the store is down: ${duringOutage.status} ${duringOutage.verdict}`);
 	const refusal = await tryCli(first, 'submit', await writeRevision(mesh, 99));
-	tell(`a submission while the store is down: ${refusal.split(': ').slice(1).join(': ').slice(0, 140)}`);
-	const live = mesh.nodes.filter(node => node.id !== 'node-6');
-	keep(startStore(mesh));
+	printStep(`a submission while the store is down: ${refusal.split(': ').slice(1).join(': ').slice(0, 140)}`);
+	const liveNodes = mesh.nodes.filter(node => node.id !== 'node-6');
+	registerProcess(startStore(mesh));
 	check(await waitForStore(mesh), 'the store answers again');
-	tell('the store is back, but empty, as after a loss: the fleet keeps what it has');
-	tell(await runCli(first, 'republish'));
-	convergenceMs.push(await reviseConfiguration(mesh, live, 2));
-	tell(`revision 2 is in force on every node; the last had it ${convergenceMs[1]} ms after the first`);
+	printStep('the store is back, but empty, as after a loss: the fleet keeps what it has');
+	printStep(await runCli(first, 'republish'));
+	convergenceMs.push(await reviseConfiguration(mesh, liveNodes, 2));
+	printStep(`revision 2 is in force on every node; the last had it ${convergenceMs[1]} ms after the first`);
 	publications.push(await publish(third, 'release-3'));
-	tell(`release-3 again: ${publications.at(-1)?.verdict}`);
+	printStep(`release-3 again: ${publications.at(-1)?.verdict}`);
 
 	await callers.stop();
 	stopCallers = undefined;
-	const statuses = await Promise.all(live.map(async node => fetchJson<NodeStatusAnswer>(`http://${node.operators}/v1/status`)));
+	const statuses = await Promise.all(liveNodes.map(async node => fetchJson<NodeStatusAnswer>(`http://${node.operators}/v1/status`)));
 	const seconds = (Date.now() - startedAt) / 1000;
 	const bytes = statuses.reduce((total, status) => total + status.controlBytes.sent + status.controlBytes.received, 0) / statuses.length;
 	printTable({
-		callers, publications, convergenceMs, storeCalls, ledgers: await collectLedgers(mesh.nodes), versions: statuses.map(status => status.version), controlBytesPerSecond: bytes / seconds,
+		callers, publications, convergenceMs, storeCalls, requestCounts: await collectRequestCounts(mesh.nodes), versions: statuses.map(status => status.version), controlBytesPerSecond: bytes / seconds,
 	});
 	process.stdout.write('The last events of the time line:\n');
 	const events = await runCli(first, 'timeline');
@@ -293,16 +293,16 @@
 		child.kill('SIGKILL');
 	}
 
-	await Promise.all([...processes.values()].map(async running => running.waitForEnd()));
+	await Promise.all([...processes.values()].map(async running => running.waitForExit()));
 	await stopCallers?.();
 }
 
-function tellEnd(): void {
-	process.stdout.write(broken.length === 0 ? 'Every promise held.\n' : `Broken:\n${broken.map(promise => `  ${promise}`).join('\n')}\n`);
+function printResult(): void {
+	process.stdout.write(brokenPromises.length === 0 ? 'Every promise held.\n' : `Broken:\n${brokenPromises.map(promise => `  ${promise}`).join('\n')}\n`);
 }
 
-function tellFailure(error: Error): void {
-	broken.push(error.message);
+function printFailure(error: Error): void {
+	brokenPromises.push(error.message);
 	process.stdout.write(`${error.stack ?? ''}\n`);
 	for (const running of processes.values()) {
 		process.stdout.write(`--- ${running.name}\n${running.getOutput().slice(-1500)}\n`);
@@ -312,26 +312,26 @@
 const mesh = await prepareMesh();
 
 /** What hangs cannot be stopped in order. */
-const giveUp = setTimeout(() => {
-	const error = new Error(`the demo was not done after ${longestDemoMs / 1000} s`);
-	tellFailure(error);
+const demoTimer = setTimeout(() => {
+	const error = new Error(`the demo was not done after ${demoTimeoutMs / 1000} s`);
+	printFailure(error);
 	for (const {child} of processes.values()) {
 		child.kill('SIGKILL');
 	}
 
-	tellEnd();
+	printResult();
 	// Nobody catches it, so this process ends here, with code 1.
 	throw error;
-}, longestDemoMs);
+}, demoTimeoutMs);
 try {
 	await runDemo(mesh);
 } catch (error) {
-	tellFailure(error as Error);
+	printFailure(error as Error);
 } finally {
 	await stopAll();
 	await rm(mesh.directory, {recursive: true, force: true});
 }
 
-clearTimeout(giveUp);
-tellEnd();
-process.exitCode = broken.length === 0 ? 0 : 1;
+clearTimeout(demoTimer);
+printResult();
+process.exitCode = brokenPromises.length === 0 ? 0 : 1;
--- a/demo/processes.ts
+++ b/demo/processes.ts
@@ -14,10 +14,10 @@
 	readonly child: ChildProcess;
 	readonly getOutput: () => string;
 	/** Yields the exit code, or `undefined` after a signal. */
-	readonly waitForEnd: () => Promise<number | undefined>;
+	readonly waitForExit: () => Promise<number | undefined>;
 };
 
-const outputLimit = 200_000;
+const maximumOutputChars = 200_000;
 
 /** @returns The path of a compiled program of this project. */
 export function findProgram(path: string): string {
@@ -29,18 +29,18 @@
 	const child = spawn(process.execPath, [findProgram(program), ...parameters], {stdio: ['ignore', 'pipe', 'pipe']});
 	let output = '';
 	const collect = (chunk: Uint8Array): void => {
-		output = `${output}${Buffer.from(chunk).toString()}`.slice(-outputLimit);
+		output = `${output}${Buffer.from(chunk).toString()}`.slice(-maximumOutputChars);
 	};
 
 	child.stdout.on('data', collect);
 	child.stderr.on('data', collect);
-	const ended = new Promise<number | undefined>(resolve => {
+	const exited = new Promise<number | undefined>(resolve => {
 		child.once('exit', code => {
 			resolve(code ?? undefined);
 		});
 	});
 	return {
-		name, child, getOutput: () => output, waitForEnd: async () => ended,
+		name, child, getOutput: () => output, waitForExit: async () => exited,
 	};
 }
 
--- a/scenarios/crashing-requests.test.ts
+++ b/scenarios/crashing-requests.test.ts
@@ -18,16 +18,16 @@
 const serverNames = ['logview-1', 'logview-2', 'logview-3', 'logview-4'] as const;
 
 /** Nodes know of it within this time after the third crash. Milliseconds, the users' bound. */
-const knownAfterMs = 3000;
+const detectionBoundMs = 3000;
 
 /** So many runs may begin later than that: the users' bound. */
-const mostLateRuns = 3;
+const maximumLateRuns = 3;
 
 /** Servers that may end under one page where nodes come and go: the stated aim. */
-const mostEnded = 6;
+const maximumCrashes = 6;
 
 /** A server that has crashed is back after this. Milliseconds. */
-const backAfterMs = 600;
+const restartDelayMs = 600;
 
 async function startWorld(context: TestContext): Promise<World> {
 	const world = await createWorld();
@@ -45,14 +45,14 @@
 }
 
 /** Brings servers back until told to stop; yields when each ended. */
-function keepServersUp(world: World): {readonly crashes: readonly number[]; readonly stop: () => Promise<void>} {
+function restartCrashedServers(world: World): {readonly crashes: readonly number[]; readonly stop: () => Promise<void>} {
 	const crashes: number[] = [];
 	let isStopped = false;
-	const keepServerUp = async (name: string): Promise<void> => {
+	const restartCrashedServer = async (name: string): Promise<void> => {
 		while (!isStopped) {
 			if (!world.getServer(name).isUp()) {
 				crashes.push(Date.now());
-				await sleep(backAfterMs);
+				await sleep(restartDelayMs);
 				const server = await world.restartServer(name);
 				server.setBehaviour({crashPath: fatalPage, workMs: 20});
 			}
@@ -61,7 +61,7 @@
 		}
 	};
 
-	const running = serverNames.map(async name => keepServerUp(name));
+	const running = serverNames.map(async name => restartCrashedServer(name));
 	return {
 		crashes,
 		async stop() {
@@ -73,31 +73,31 @@
 
 test('a page that crashes servers ends three of them, and other pages are served meanwhile', async context => {
 	const world = await startWorld(context);
-	const {crashes, stop} = keepServersUp(world);
+	const {crashes, stop} = restartCrashedServers(world);
 	const endsAt = Date.now() + 14_000;
-	const others: Array<Promise<{readonly at: number; readonly status: number}>> = [];
-	const ask = async (node: string, path: string): Promise<{readonly at: number; readonly status: number}> => {
+	const otherCalls: Array<Promise<{readonly at: number; readonly status: number}>> = [];
+	const callPage = async (node: string, path: string): Promise<{readonly at: number; readonly status: number}> => {
 		const at = Date.now();
 		const {status} = await world.call(node, {path});
 		return {at, status};
 	};
 
-	const repeats: typeof others = [];
+	const fatalCalls: typeof otherCalls = [];
 	for (let turn = 0; Date.now() < endsAt; turn++) {
 		const node = `node-${(turn % 4) + 1}`;
-		repeats.push(ask(node, fatalPage));
-		others.push(ask(node, `/logs/page-${turn}`));
+		fatalCalls.push(callPage(node, fatalPage));
+		otherCalls.push(callPage(node, `/logs/page-${turn}`));
 		await sleep(150);
 	}
 
-	const [told, answered] = [await Promise.all(repeats), await Promise.all(others)];
+	const [fatalAnswers, otherAnswers] = [await Promise.all(fatalCalls), await Promise.all(otherCalls)];
 	await stop();
-	const thirdAt = crashes[2] ?? crashes.at(-1);
-	assert.ok(thirdAt !== undefined, 'the page was not run');
-	const late = crashes.filter(at => at > thirdAt + knownAfterMs).length;
+	const thirdCrashAt = crashes[2] ?? crashes.at(-1);
+	assert.ok(thirdCrashAt !== undefined, 'the page was not run');
+	const late = crashes.filter(at => at > thirdCrashAt + detectionBoundMs).length;
 	context.diagnostic(`${crashes.length} servers ended, ${late} of them late`);
-	assert.ok(late <= mostLateRuns && crashes.length <= mostEnded, `${crashes.length} servers ended, ${late} of them late`);
-	assert.deepEqual(told.filter(({at, status}) => at > thirdAt + knownAfterMs && status !== 503), [], 'a repeat was not refused as one that has not run');
-	const later = answered.filter(({at}) => at > thirdAt + 1000);
-	assert.ok(later.filter(({status}) => status === 200).length >= 0.95 * later.length, 'other pages were not served');
+	assert.ok(late <= maximumLateRuns && crashes.length <= maximumCrashes, `${crashes.length} servers ended, ${late} of them late`);
+	assert.deepEqual(fatalAnswers.filter(({at, status}) => at > thirdCrashAt + detectionBoundMs && status !== 503), [], 'a repeat was not refused as one that has not run');
+	const laterAnswers = otherAnswers.filter(({at}) => at > thirdCrashAt + 1000);
+	assert.ok(laterAnswers.filter(({status}) => status === 200).length >= 0.95 * laterAnswers.length, 'other pages were not served');
 });
--- a/scenarios/cut-network.ts
+++ b/scenarios/partitionable-network.ts
@@ -6,29 +6,29 @@
 import {type Socket} from 'node:net';
 import {createSystemNetwork, type Network} from '../src/index.js';
 
-export type CutNetwork = {
+export type PartitionableNetwork = {
 	/** The network as one host sees it. */
 	readonly createView: (host: string) => Network;
 	/** Cuts two groups of hosts off from one another, connections that stand included. */
-	readonly cut: (left: readonly string[], right: readonly string[]) => void;
-	readonly isCut: (from: string, to: string) => boolean;
+	readonly partition: (left: readonly string[], right: readonly string[]) => void;
+	readonly isPartitioned: (from: string, to: string) => boolean;
 	readonly heal: () => void;
 };
 
 type Connection = {readonly from: string; readonly to: string; readonly socket: Socket};
 
-export function createCutNetwork(): CutNetwork {
+export function createPartitionableNetwork(): PartitionableNetwork {
 	const system = createSystemNetwork();
-	const cuts = new Set<string>();
+	const blockedPairs = new Set<string>();
 	const connections = new Set<Connection>();
-	const isCut = (from: string, to: string): boolean => cuts.has(`${from} ${to}`);
+	const isPartitioned = (from: string, to: string): boolean => blockedPairs.has(`${from} ${to}`);
 
 	return {
-		isCut,
+		isPartitioned,
 		createView: from => ({
 			connect(place) {
 				// Nobody listens on port 1, so a connection across the cut fails as one to a host that is gone.
-				const socket = system.connect(isCut(from, place.host) ? {...place, port: 1} : place);
+				const socket = system.connect(isPartitioned(from, place.host) ? {...place, port: 1} : place);
 				const connection = {from, to: place.host, socket};
 				connections.add(connection);
 				socket.once('close', () => {
@@ -39,31 +39,31 @@
 			createDatagramSocket(host) {
 				const socket = system.createDatagramSocket(host);
 				const send = socket.send.bind(socket) as (bytes: Uint8Array, port: number, to: string, done: () => void) => void;
-				const sendUnlessCut = (bytes: Uint8Array, port: number, to: string, done: () => void): void => {
-					if (!isCut(from, to)) {
+				const sendUnlessPartitioned = (bytes: Uint8Array, port: number, to: string, done: () => void): void => {
+					if (!isPartitioned(from, to)) {
 						send(bytes, port, to, done);
 					}
 				};
 
-				return Object.assign(socket, {send: sendUnlessCut});
+				return Object.assign(socket, {send: sendUnlessPartitioned});
 			},
 		}),
-		cut(left, right) {
+		partition(left, right) {
 			for (const one of left) {
 				for (const other of right) {
-					cuts.add(`${one} ${other}`);
-					cuts.add(`${other} ${one}`);
+					blockedPairs.add(`${one} ${other}`);
+					blockedPairs.add(`${other} ${one}`);
 				}
 			}
 
 			for (const {from, to, socket} of connections) {
-				if (isCut(from, to)) {
+				if (isPartitioned(from, to)) {
 					socket.destroy(new Error('the network is cut'));
 				}
 			}
 		},
 		heal() {
-			cuts.clear();
+			blockedPairs.clear();
 		},
 	};
 }
--- a/scenarios/processes.test.ts
+++ b/scenarios/processes.test.ts
@@ -33,7 +33,7 @@
 	const file = join(mesh.directory, `${name}.yaml`);
 	await writeFile(file, `pools:\n  - {name: ${name}, service: s}\n`);
 	const cli = startProcess('cli', 'apps/cli/main.js', ['submit', file, '--node', node.operators]);
-	assert.equal(await cli.waitForEnd(), 0, cli.getOutput());
+	assert.equal(await cli.waitForExit(), 0, cli.getOutput());
 }
 
 async function findRelay(nodes: readonly MeshNode[], domain: string): Promise<MeshNode> {
--- a/scenarios/run-scenarios.test.ts
+++ b/scenarios/run-scenarios.test.ts
@@ -13,7 +13,7 @@
 	AstBuilder, compile, GherkinClassicTokenMatcher, Parser,
 } from '@cucumber/gherkin';
 import {IdGenerator, type Pickle, type PickleStep} from '@cucumber/messages';
-import {listSteps, type Scene, type StepDefinition} from './steps/index.js';
+import {listSteps, type ScenarioState, type StepDefinition} from './steps/index.js';
 import {createWorld, type World} from './world.js';
 
 type MatchedStep = {
@@ -79,7 +79,7 @@
 function checkRuns(world: World): void {
 	const runs = new Map<string, number>();
 	for (const server of world.servers.values()) {
-		for (const [key, count] of Object.entries(server.getLedger().runs)) {
+		for (const [key, count] of Object.entries(server.getRequestCounts().runs)) {
 			runs.set(key, (runs.get(key) ?? 0) + count);
 		}
 	}
@@ -92,13 +92,13 @@
 async function runScenario(scenario: Pickle): Promise<void> {
 	const steps = scenario.steps.map(step => matchStep(step));
 	const world = await createWorld();
-	const scene: Scene = {
-		world, outcomes: [], answers: [], backup: [], requestsAfterDrain: 0, dangling: [], rawStatus: 0,
+	const state: ScenarioState = {
+		world, outcomes: [], answers: [], backup: [], requestsAfterDrain: 0, danglingRoutes: [], rawStatus: 0,
 	};
 	try {
 		for (const {text, definition, parameters} of steps) {
 			try {
-				await definition.run(scene, ...parameters as never[]);
+				await definition.run(state, ...parameters as never[]);
 			} catch (error) {
 				throw new Error(`step "${text}" failed: ${(error as Error).message}`, {cause: error});
 			}
--- a/scenarios/steps/configuration-steps.ts
+++ b/scenarios/steps/configuration-steps.ts
@@ -54,25 +54,25 @@
 	await expectPool(world.listRunning(), 'logview');
 });
 
-defineStep('an operator submits pool {string} through {word}', async (scene, name: string, node: string) => {
-	scene.outcomes = [await scene.world.submit(node, [createPoolChange(name)])];
+defineStep('an operator submits pool {string} through {word}', async (state, name: string, node: string) => {
+	state.outcomes = [await state.world.submit(node, [createPoolChange(name)])];
 });
 
-defineStep('an operator submits pool {string} through {word} with id {string}', async (scene, name: string, node: string, id: string) => {
-	scene.outcomes = [await scene.world.submit(node, [createPoolChange(name)], {id})];
+defineStep('an operator submits pool {string} through {word} with id {string}', async (state, name: string, node: string, id: string) => {
+	state.outcomes = [await state.world.submit(node, [createPoolChange(name)], {id})];
 });
 
-defineStep('an operator submits a route to a pool that does not exist through {word}', async (scene, node: string) => {
-	scene.outcomes = [await scene.world.submit(node, [{
+defineStep('an operator submits a route to a pool that does not exist through {word}', async (state, node: string) => {
+	state.outcomes = [await state.world.submit(node, [{
 		type: 'put', item: {
 			kind: 'route', name: 'broken', host: '*', path: '/', methods: [], headers: {}, pool: 'nowhere', policy: 'nothing',
 		},
 	}])];
 });
 
-defineStep('{int} operators submit pool {string} through different nodes at once, each as a new item', async (scene, count: number, name: string) => {
-	scene.outcomes = await Promise.all(Array.from({length: count}, async (_, index) =>
-		scene.world.submit(`node-${index + 1}`, [{
+defineStep('{int} operators submit pool {string} through different nodes at once, each as a new item', async (state, count: number, name: string) => {
+	state.outcomes = await Promise.all(Array.from({length: count}, async (_, index) =>
+		state.world.submit(`node-${index + 1}`, [{
 			type: 'put', item: {
 				kind: 'pool', name, service: `service-${index}`, isLocalFirst: true, slowStartMs: 0,
 			},
@@ -120,7 +120,7 @@
 	assert.equal(reply.statusCode, 200, await reply.body.text());
 });
 
-const crossingRounds = 12;
+const overlappingRounds = 12;
 
 function createRouteChange(round: number, pool: string): ItemChange {
 	return {
@@ -130,13 +130,13 @@
 	};
 }
 
-function listDangling({items, version}: ConfigurationAnswer): readonly string[] {
+function listDanglingRoutes({items, version}: ConfigurationAnswer): readonly string[] {
 	const keys = new Set(items.map(({item}) => `${item.kind}/${item.name}`));
 	return items.flatMap(({item}) => item.kind === 'route' && !keys.has(`pool/${item.pool}`) ? [`version ${version}: ${item.name} to ${item.pool}`] : []);
 }
 
-defineStep('routes and their pools come and go in crossing submissions through all nodes', async scene => {
-	const {world} = scene;
+defineStep('routes and their pools come and go in crossing submissions through all nodes', async state => {
+	const {world} = state;
 	const nodes = world.listRunning();
 	await world.submit('node-1', [{
 		type: 'put', item: {
@@ -146,13 +146,13 @@
 	let isRunning = true;
 	const watch = async (node: WorldNode): Promise<void> => {
 		while (isRunning) {
-			scene.dangling = [...scene.dangling, ...listDangling(await fetchConfiguration(node))];
+			state.danglingRoutes = [...state.danglingRoutes, ...listDanglingRoutes(await fetchConfiguration(node))];
 			await sleep(2);
 		}
 	};
 
 	const watching = nodes.map(async node => watch(node));
-	for (let round = 0; round < crossingRounds; round++) {
+	for (let round = 0; round < overlappingRounds; round++) {
 		const pool = `pool-${round % 4}`;
 		await Promise.all([
 			world.submit(`node-${(round % nodes.length) + 1}`, [createPoolChange(pool), createRouteChange(round, pool)]),
@@ -165,8 +165,8 @@
 	await Promise.all(watching);
 });
 
-defineStep('at no moment did a route on a node point at a pool that the node lacked', ({dangling}) => {
-	assert.deepEqual(dangling, []);
+defineStep('at no moment did a route on a node point at a pool that the node lacked', ({danglingRoutes}) => {
+	assert.deepEqual(danglingRoutes, []);
 });
 
 // Calls.
--- a/scenarios/steps/define-step.ts
+++ b/scenarios/steps/define-step.ts
@@ -5,17 +5,17 @@
  */
 import assert from 'node:assert/strict';
 import {type SubmissionOutcome} from '../../src/index.js';
-import {type StoreImage} from '../../stand-ins/store/memory-store.js';
-import {type Answer, type World} from '../world.js';
+import {type StoreBackup} from '../../stand-ins/store/memory-store.js';
+import {type CallerAnswer, type World} from '../world.js';
 
 /** What the steps of one scenario hand to one another. */
-export type Scene = {
+export type ScenarioState = {
 	readonly world: World;
 	outcomes: readonly SubmissionOutcome[];
-	answers: ReadonlyArray<{readonly path: string; readonly answer: Answer}>;
-	backup: StoreImage;
+	answers: ReadonlyArray<{readonly path: string; readonly answer: CallerAnswer}>;
+	backup: StoreBackup;
 	requestsAfterDrain: number;
-	dangling: readonly string[];
+	danglingRoutes: readonly string[];
 	/** What a connection that spoke HTTP by hand was answered, 0 for nothing. */
 	rawStatus: number;
 };
@@ -25,7 +25,7 @@
 /** One sentence, in the notation of Cucumber expressions, and what it does. */
 export type StepDefinition = {
 	readonly expression: string;
-	readonly run: (scene: Scene, ...parameters: readonly never[]) => Promise<void> | void;
+	readonly run: (state: ScenarioState, ...parameters: readonly never[]) => Promise<void> | void;
 };
 
 const definitions: StepDefinition[] = [];
@@ -36,7 +36,7 @@
  * @param expression - The sentence, in the notation of Cucumber expressions.
  * @param run - What it does.
  */
-export function defineStep<P extends readonly Parameter[]>(expression: string, run: (scene: Scene, ...parameters: P) => Promise<void> | void): void {
+export function defineStep<P extends readonly Parameter[]>(expression: string, run: (state: ScenarioState, ...parameters: P) => Promise<void> | void): void {
 	definitions.push({expression, run: run as unknown as StepDefinition['run']});
 }
 
@@ -56,4 +56,4 @@
 }
 
 /** The answer to the last call. */
-export const getAnswer = (scene: Scene): Answer => getLast(scene.answers).answer;
+export const getLastAnswer = (state: ScenarioState): CallerAnswer => getLast(state.answers).answer;
--- a/scenarios/steps/fault-steps.ts
+++ b/scenarios/steps/fault-steps.ts
@@ -10,12 +10,12 @@
 
 defineStep('the network cuts off {word}', ({world}, name: string) => {
 	const others = world.listRunning().filter(node => node.name !== name).map(({host}) => host);
-	world.network.cut([world.getNode(name).host], [...others, storeHost]);
+	world.network.partition([world.getNode(name).host], [...others, storeHost]);
 });
 
 defineStep('the network cuts off {word}, but not from the store', ({world}, name: string) => {
 	const others = world.listRunning().filter(node => node.name !== name).map(({host}) => host);
-	world.network.cut([world.getNode(name).host], others);
+	world.network.partition([world.getNode(name).host], others);
 });
 
 defineStep('within a while {int} nodes take themselves for relays', async ({world}, count: number) => {
@@ -26,7 +26,7 @@
 	const listHosts = (domain: string): readonly string[] => world.listRunning()
 		.filter(({settings}) => settings.failureDomain === toFailureDomain(domain))
 		.map(({host}) => host);
-	world.network.cut(listHosts(left), listHosts(right));
+	world.network.partition(listHosts(left), listHosts(right));
 });
 
 defineStep('the network heals', ({world}) => {
@@ -83,10 +83,10 @@
 	world.store.setFaults({writesToDrop: 1});
 });
 
-defineStep('the store keeps a backup', scene => {
-	scene.backup = scene.world.store.getImage();
+defineStep('the store keeps a backup', state => {
+	state.backup = state.world.store.createBackup();
 });
 
 defineStep('the store comes back from the backup', ({world, backup}) => {
-	world.store.restoreImage(backup);
+	world.store.restoreBackup(backup);
 });
--- a/scenarios/steps/index.ts
+++ b/scenarios/steps/index.ts
@@ -11,5 +11,5 @@
 /* eslint-enable import-x/no-unassigned-import */
 
 export {
-	listSteps, type Scene, type StepDefinition,
+	listSteps, type ScenarioState, type StepDefinition,
 } from './define-step.js';
--- a/scenarios/steps/raw-steps.ts
+++ b/scenarios/steps/raw-steps.ts
@@ -5,10 +5,10 @@
  */
 import {Buffer} from 'node:buffer';
 import {connect} from 'node:net';
-import {defineStep, type Scene} from './define-step.js';
+import {defineStep, type ScenarioState} from './define-step.js';
 
-async function sendRaw(scene: Scene, node: string, text: string): Promise<void> {
-	const {host} = scene.world.getNode(node);
+async function sendRawRequest(state: ScenarioState, node: string, text: string): Promise<void> {
+	const {host} = state.world.getNode(node);
 	const socket = connect({host, port: 7001});
 	let reply = '';
 	socket.on('data', (chunk: Uint8Array) => {
@@ -21,22 +21,22 @@
 		setTimeout(resolve, 1000);
 	});
 	socket.destroy();
-	scene.rawStatus = Number(/^HTTP\/1\.1 (\d+)/.exec(reply)?.[1] ?? 0);
+	state.rawStatus = Number(/^HTTP\/1\.1 (\d+)/.exec(reply)?.[1] ?? 0);
 }
 
-defineStep('a caller sends a request with two lengths to {word}', async (scene, node: string) => {
-	await sendRaw(scene, node, 'POST /releases/x HTTP/1.1\r\nHost: a\r\nContent-Length: 3\r\nContent-Length: 5\r\n\r\nabcde');
+defineStep('a caller sends a request with two lengths to {word}', async (state, node: string) => {
+	await sendRawRequest(state, node, 'POST /releases/x HTTP/1.1\r\nHost: a\r\nContent-Length: 3\r\nContent-Length: 5\r\n\r\nabcde');
 });
 
-defineStep('a caller sends a request with a length and chunks to {word}', async (scene, node: string) => {
-	await sendRaw(scene, node, 'POST /releases/x HTTP/1.1\r\nHost: a\r\nContent-Length: 4\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n');
+defineStep('a caller sends a request with a length and chunks to {word}', async (state, node: string) => {
+	await sendRawRequest(state, node, 'POST /releases/x HTTP/1.1\r\nHost: a\r\nContent-Length: 4\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n');
 });
 
-defineStep('a caller sends {int} KB of headers to {word}', async (scene, kilobytes: number, node: string) => {
-	await sendRaw(scene, node, `GET /logs/x HTTP/1.1\r\nHost: a\r\nX-Long: ${'x'.repeat(kilobytes * 1024)}\r\n\r\n`);
+defineStep('a caller sends {int} KB of headers to {word}', async (state, kilobytes: number, node: string) => {
+	await sendRawRequest(state, node, `GET /logs/x HTTP/1.1\r\nHost: a\r\nX-Long: ${'x'.repeat(kilobytes * 1024)}\r\n\r\n`);
 });
 
-defineStep('a caller asks {word} whether to send an upload of {int} MB', async (scene, node: string, megabytes: number) => {
+defineStep('a caller asks {word} whether to send an upload of {int} MB', async (state, node: string, megabytes: number) => {
 	const length = megabytes * 1024 * 1024;
-	await sendRaw(scene, node, `POST /releases/u HTTP/1.1\r\nHost: a\r\nIdempotency-Key: ${node}-${scene.rawStatus}\r\nContent-Length: ${length}\r\nExpect: 100-continue\r\n\r\n`);
+	await sendRawRequest(state, node, `POST /releases/u HTTP/1.1\r\nHost: a\r\nIdempotency-Key: ${node}-${state.rawStatus}\r\nContent-Length: ${length}\r\nExpect: 100-continue\r\n\r\n`);
 });
--- a/scenarios/world.ts
+++ b/scenarios/world.ts
@@ -19,7 +19,7 @@
 import {createMemoryStore, type MemoryStore} from '../stand-ins/store/memory-store.js';
 import {createListenAddresses} from '../stand-ins/loopback-addresses.js';
 import {waitUntil} from '../stand-ins/wait-until.js';
-import {createCutNetwork, type CutNetwork} from './cut-network.js';
+import {createPartitionableNetwork, type PartitionableNetwork} from './partitionable-network.js';
 
 /** A node of the scenario and everything that it ever applied, over all its runs. */
 export type WorldNode = {
@@ -35,7 +35,7 @@
 };
 
 /** What a caller was told. */
-export type Answer = {
+export type CallerAnswer = {
 	readonly status: number;
 	readonly verdict: string;
 	readonly body: string;
@@ -53,7 +53,7 @@
 
 export type World = {
 	readonly store: MemoryStore;
-	readonly network: CutNetwork;
+	readonly network: PartitionableNetwork;
 	readonly nodes: Map<string, WorldNode>;
 	readonly servers: Map<string, BackendServerStandIn>;
 	readonly startNodes: (count: number, domains: number) => Promise<void>;
@@ -63,7 +63,7 @@
 	readonly killNode: (name: string) => Promise<void>;
 	readonly restartNode: (name: string) => Promise<void>;
 	readonly submit: (node: string, changes: readonly ItemChange[], options?: {readonly id?: string; readonly bases?: Readonly<Record<string, number>>}) => Promise<SubmissionOutcome>;
-	readonly call: (node: string, request: CallRequest) => Promise<Answer>;
+	readonly call: (node: string, request: CallRequest) => Promise<CallerAnswer>;
 	readonly getNode: (name: string) => WorldNode;
 	readonly getServer: (name: string) => BackendServerStandIn;
 	readonly listRunning: () => readonly WorldNode[];
@@ -71,7 +71,7 @@
 };
 
 /** Hosts that the addresses of one process have. */
-const mostHosts = 250;
+const maximumHosts = 250;
 
 /** The scenarios of one process use one address after another, so that none meets a port of the one before. Test files run side by side, each with addresses of its own process. */
 let nextHost = 1;
@@ -87,7 +87,7 @@
 	const {pid} = process;
 	const host = `127.${32 + (Math.floor(pid / 256) % 8)}.${pid % 256}.${nextHost}`;
 	// Those of scenarios that have ended are used again.
-	nextHost = (nextHost % mostHosts) + 1;
+	nextHost = (nextHost % maximumHosts) + 1;
 	return host;
 }
 
@@ -113,7 +113,7 @@
 /** Creates a world without nodes. */
 export async function createWorld(): Promise<World> {
 	const store = createMemoryStore({latencyMs: 1});
-	const network = createCutNetwork();
+	const network = createPartitionableNetwork();
 	const nodes = new Map<string, WorldNode>();
 	const servers = new Map<string, BackendServerStandIn>();
 	const serverSettings = new Map<string, BackendServerSettings>();
@@ -141,15 +141,15 @@
 	/** The store as one host reaches it. */
 	const createStoreView = (host: string): Store => {
 		const unavailable: StoreReadError = {type: 'unavailable', reason: 'the network is cut'};
-		const isCut = (): boolean => network.isCut(host, storeHost);
+		const isPartitioned = (): boolean => network.isPartitioned(host, storeHost);
 		return {
-			read: key => isCut() ? errAsync(unavailable) : store.read(key),
-			write: request => isCut() ? errAsync(unavailable) : store.write(request),
-			watch: request => isCut() ? errAsync(unavailable) : store.watch(request).andThen(stored => isCut() ? err(unavailable) : ok(stored)),
+			read: key => isPartitioned() ? errAsync(unavailable) : store.read(key),
+			write: request => isPartitioned() ? errAsync(unavailable) : store.write(request),
+			watch: request => isPartitioned() ? errAsync(unavailable) : store.watch(request).andThen(stored => isPartitioned() ? err(unavailable) : ok(stored)),
 		};
 	};
 
-	const createRun = (settings: Settings, host: string, record: Pick<WorldNode, 'applied' | 'events' | 'readyAt'>): Node => createNode(settings, {
+	const createNodeRun = (settings: Settings, host: string, record: Pick<WorldNode, 'applied' | 'events' | 'readyAt'>): Node => createNode(settings, {
 		store: createStoreView(host),
 		random: Math.random,
 		network: network.createView(host),
@@ -163,7 +163,7 @@
 		},
 	});
 
-	const start = async (worldNode: WorldNode): Promise<void> => {
+	const startWorldNode = async (worldNode: WorldNode): Promise<void> => {
 		const started = await worldNode.node.start();
 		if (started.isErr()) {
 			throw new Error(JSON.stringify(started.error));
@@ -172,14 +172,14 @@
 		worldNode.isRunning = true;
 	};
 
-	const startOne = async (name: string, host: string, domain: string, seeds: readonly string[]): Promise<void> => {
+	const addNode = async (name: string, host: string, domain: string, seeds: readonly string[]): Promise<void> => {
 		const settings = createWorldSettings(name, host, domain, seeds);
 		const record = {applied: [], events: [], readyAt: []};
 		const worldNode: WorldNode = {
-			name, host, settings, node: createRun(settings, host, record), isRunning: false, ...record,
+			name, host, settings, node: createNodeRun(settings, host, record), isRunning: false, ...record,
 		};
 		nodes.set(name, worldNode);
-		await start(worldNode);
+		await startWorldNode(worldNode);
 	};
 
 	const listRunning = (): readonly WorldNode[] => [...nodes.values()].filter(worldNode => worldNode.isRunning);
@@ -196,7 +196,7 @@
 			const hosts = Array.from({length: count}, () => createHost());
 			const seeds = hosts.slice(0, 3).map(host => `${host}:7003`);
 			for (const [index, host] of hosts.entries()) {
-				await startOne(`node-${index + 1}`, host, `domain-${(index % domains) + 1}`, seeds);
+				await addNode(`node-${index + 1}`, host, `domain-${(index % domains) + 1}`, seeds);
 			}
 
 			await waitFor('every node is ready and knows the others', () => listRunning().every(({node}) => node.getStatus().isReady && node.getStatus().knownNodes >= count));
@@ -232,8 +232,8 @@
 				await worldNode.node.dispose();
 			}
 
-			worldNode.node = createRun(worldNode.settings, worldNode.host, worldNode);
-			await start(worldNode);
+			worldNode.node = createNodeRun(worldNode.settings, worldNode.host, worldNode);
+			await startWorldNode(worldNode);
 		},
 		async submit(node, changes, {id = randomUUID(), bases = {}} = {}) {
 			const {settings, node: running} = getNode(node);
--- a/soak/apply-fault.ts
+++ b/soak/apply-fault.ts
@@ -9,7 +9,7 @@
 import {parseAddress} from '../src/lib/common/address.js';
 import {toAddress} from '../src/lib/common/ids.js';
 import {type StoreFault} from '../stand-ins/platform-store/platform-store.js';
-import {listForeignValues, sendForeignHeartbeat} from '../stand-ins/wire-server/server-calls.js';
+import {listInvalidValues, sendRawHeartbeat} from '../stand-ins/platform-server/server-messages.js';
 import {type FaultAction, type StoreEvent, type StoreTrouble} from './plan.js';
 import {type DisturbedPart} from './record.js';
 import {type SoakMesh, type SoakVm} from './soak-mesh.js';
@@ -71,9 +71,9 @@
 
 async function spoilStore({store}: SoakMesh, trouble: StoreTrouble, forMs: number): Promise<void> {
 	if (trouble === 'deaf') {
-		store.setDeaf(true);
+		store.setWatchEventsSuppressed(true);
 		await sleep(forMs);
-		store.setDeaf(false);
+		store.setWatchEventsSuppressed(false);
 		return;
 	}
 
@@ -84,7 +84,7 @@
 }
 
 async function putStoreBack({store}: SoakMesh, ageMs: number, forMs: number): Promise<void> {
-	const copy = store.keys.copy();
+	const copy = store.keys.createBackup();
 	await sleep(ageMs);
 	store.setFault('silent');
 	await sleep(forMs);
@@ -100,17 +100,17 @@
 function applyStoreEvent({store}: SoakMesh, event: StoreEvent): void {
 	switch (event) {
 		case 'leases-end': {
-			store.keys.revoke(entryPrefix);
+			store.keys.revokeKeys(entryPrefix);
 			break;
 		}
 
 		case 'history-forgotten': {
-			store.keys.forgetHistory();
+			store.keys.compactHistory();
 			break;
 		}
 
 		case 'watches-muted': {
-			store.muteWatches();
+			store.stallWatchConnections();
 			break;
 		}
 	}
@@ -126,7 +126,7 @@
 }
 
 const pickValue = (service: string, index: number): string => {
-	const values = listForeignValues(service);
+	const values = listInvalidValues(service);
 	return values[index % values.length]!;
 };
 
@@ -223,7 +223,7 @@
 
 		case 'foreign-heartbeat': {
 			const {node, service} = getVm(fault.node);
-			return sendForeignHeartbeat(node.announcements, `i-foreign-${fault.value}`, pickValue(service, fault.value));
+			return sendRawHeartbeat(node.announcements, `i-foreign-${fault.value}`, pickValue(service, fault.value));
 		}
 
 		case 'foreign-datagram': {
--- a/soak/checks/check-answers.ts
+++ b/soak/checks/check-answers.ts
@@ -3,13 +3,13 @@
  *
  * @module
  */
-import {type WireBehaviour} from '../../stand-ins/wire-server/wire-server.js';
+import {type PlatformServerBehaviour} from '../../stand-ins/platform-server/platform-server.js';
 import {
 	collectBy, type CallRecord, type RunRecord, type SoakRecord, type Violation,
 } from '../record.js';
 
 /** How a server that answers with success treats a request. */
-const succeeding: ReadonlySet<WireBehaviour> = new Set(['answer', 'extra', 'unframed', 'early']);
+const succeeding: ReadonlySet<PlatformServerBehaviour> = new Set(['answer', 'extra', 'unframed', 'early']);
 
 const signedFailure = 500;
 
--- a/soak/link-proxy.test.ts
+++ b/soak/link-proxy.test.ts
@@ -4,15 +4,15 @@
 import {setTimeout as sleep} from 'node:timers/promises';
 import test, {type TestContext} from 'node:test';
 import {sendCall, type CallerAnswer} from '../platform/test-mesh.js';
-import {startWireServer, type WireServer} from '../stand-ins/wire-server/wire-server.js';
+import {startPlatformServer, type PlatformServer} from '../stand-ins/platform-server/platform-server.js';
 import {startLinkProxy, type LinkMode, type LinkProxy} from './link-proxy.js';
 
 const address = `127.79.${process.pid % 250}.1:7010`;
 
-type Link = {readonly server: WireServer; readonly proxy: LinkProxy; readonly call: () => Promise<CallerAnswer>};
+type Link = {readonly server: PlatformServer; readonly proxy: LinkProxy; readonly call: () => Promise<CallerAnswer>};
 
 async function startLink(context: TestContext): Promise<Link> {
-	const server = await startWireServer('i-1');
+	const server = await startPlatformServer('i-1');
 	const proxy = await startLinkProxy(address, server.address);
 	context.after(async () => {
 		await proxy.close();
@@ -70,7 +70,7 @@
 test('a reset right behind the last bytes stays a reset, and an ordinary end an end', async context => {
 	const {server} = await startLink(context);
 	for (let sent = 0; sent < 20; sent++) {
-		server.plan('unframed-cut', 'unframed');
+		server.planBehaviours('unframed-cut', 'unframed');
 		assert.equal(await findReset(), true);
 		assert.equal(await findReset(), false);
 	}
--- a/soak/plan.ts
+++ b/soak/plan.ts
@@ -5,7 +5,7 @@
  * @module
  */
 import {randomExponential, randomLcg} from 'd3-random';
-import {type WireBehaviour} from '../stand-ins/wire-server/wire-server.js';
+import {type PlatformServerBehaviour} from '../stand-ins/platform-server/platform-server.js';
 import {type LinkMode} from './link-proxy.js';
 import {mostChanges} from './soak-config.js';
 
@@ -19,7 +19,7 @@
 
 const linkModes: ReadonlyArray<Exclude<LinkMode, 'pass'>> = ['delay', 'reset', 'cut-to-server', 'cut-to-client', 'silence', 'turn-away'];
 
-const misbehaviours: readonly WireBehaviour[] = [
+const misbehaviours: readonly PlatformServerBehaviour[] = [
 	'lose', 'truncate', 'foreign', 'extra', 'unframed', 'unframed-reset', 'unframed-cut', 'shed', 'fail', 'unsigned', 'garbage', 'hang',
 ];
 
@@ -38,7 +38,7 @@
 	| {readonly type: 'store-restored'; readonly ageMs: number; readonly forMs: number}
 	| {readonly type: 'server-crash'; readonly node: number; readonly times: number; readonly forMs: number; readonly keepsId: boolean}
 	| {readonly type: 'server-slow'; readonly node: number; readonly workMs: number; readonly forMs: number}
-	| {readonly type: 'server-misbehave'; readonly node: number; readonly behaviours: readonly WireBehaviour[]}
+	| {readonly type: 'server-misbehave'; readonly node: number; readonly behaviours: readonly PlatformServerBehaviour[]}
 	/** Says that it has more slots than it has. */
 	| {readonly type: 'server-lie'; readonly node: number; readonly forMs: number}
 	/** Its heartbeats arrive late, or not at all. */
--- a/soak/record.ts
+++ b/soak/record.ts
@@ -4,7 +4,7 @@
  *
  * @module
  */
-import {type WireRun} from '../stand-ins/wire-server/wire-server.js';
+import {type PlatformServerRun} from '../stand-ins/platform-server/platform-server.js';
 import {type SoakRoute} from './soak-config.js';
 
 /** One request as its caller saw it. Times are Unix milliseconds. */
@@ -28,7 +28,7 @@
 };
 
 /** One run of a request, as the backend server saw it. */
-export type RunRecord = WireRun & {
+export type RunRecord = PlatformServerRun & {
 	/** Id and start of the server. */
 	readonly server: string;
 	readonly service: string;
--- a/soak/soak-node.ts
+++ b/soak/soak-node.ts
@@ -12,15 +12,15 @@
 import {findProgram} from '../demo/processes.js';
 import {createListenAddresses} from '../stand-ins/loopback-addresses.js';
 import {
-	createReadinessAddress, fillSettings, readProgramOptions, type NodePlace,
+	createReadinessAddress, renderSettings, readProgramOptions, type NodeParameters,
 } from '../stand-ins/settings-template.js';
 import {waitUntil} from '../stand-ins/wait-until.js';
-import {askReadiness} from '../stand-ins/wire-server/server-calls.js';
+import {fetchReadiness} from '../stand-ins/platform-server/server-messages.js';
 import {type Lifetime} from './record.js';
 
 export type SoakNode = {
 	readonly name: string;
-	readonly place: NodePlace;
+	readonly place: NodeParameters;
 	readonly callers: string;
 	readonly announcements: string;
 	readonly gossip: string;
@@ -75,7 +75,7 @@
  * @param folder - Where its settings and its log go.
  * @returns The node.
  */
-export function startSoakNode(place: NodePlace, folder: string): SoakNode {
+export function startSoakNode(place: NodeParameters, folder: string): SoakNode {
 	const {name} = place;
 	const settingsFile = path.join(folder, `${name}.settings`);
 	const logFile = path.join(folder, `${name}.log`);
@@ -108,7 +108,7 @@
 			return;
 		}
 
-		writeSettings(fillSettings(place));
+		writeSettings(renderSettings(place));
 		const child = spawn(process.execPath, [...readProgramOptions(), findProgram('apps/sidecar/main.js'), settingsFile], {stdio: ['ignore', log, log]});
 		children.add(child);
 		const index = lifetimes.length;
@@ -131,7 +131,7 @@
 		run = own;
 	};
 
-	const isReady = async (): Promise<boolean> => askReadiness(readiness);
+	const isReady = async (): Promise<boolean> => fetchReadiness(readiness);
 	const waitReady = async (): Promise<boolean> => waitUntil(async () => {
 		const own = run;
 		if (own === undefined || !(await isReady())) {
@@ -205,13 +205,13 @@
 		async hangUp(times, isUnreadable) {
 			const own = run;
 			for (let sent = 0; sent < times && own?.wasReady && run === own; sent++) {
-				writeSettings(isUnreadable ? '{"node":' : fillSettings({...place, retrySlack: place.retrySlack + sent}));
+				writeSettings(isUnreadable ? '{"node":' : renderSettings({...place, retrySlack: place.retrySlack + sent}));
 				own.child.kill('SIGHUP');
 				await sleep(signalPauseMs);
 			}
 
 			// A process that starts later needs a file that it can read.
-			writeSettings(fillSettings(place));
+			writeSettings(renderSettings(place));
 		},
 		async close() {
 			isClosed = true;
--- a/soak/soak-server.ts
+++ b/soak/soak-server.ts
@@ -5,8 +5,8 @@
  * @module
  */
 import {setTimeout as sleep} from 'node:timers/promises';
-import {startWireServer, type WireBehaviour, type WireServer} from '../stand-ins/wire-server/wire-server.js';
-import {sendHeartbeat, sendLeave} from '../stand-ins/wire-server/server-calls.js';
+import {startPlatformServer, type PlatformServerBehaviour, type PlatformServer} from '../stand-ins/platform-server/platform-server.js';
+import {sendHeartbeat, sendLeave} from '../stand-ins/platform-server/server-messages.js';
 import {startLinkProxy, type LinkMode} from './link-proxy.js';
 import {type DrainRecord, type RunRecord} from './record.js';
 import {type SoakNode} from './soak-node.js';
@@ -20,7 +20,7 @@
 	readonly crash: (downMs: number, keepsId: boolean) => Promise<void>;
 	readonly drain: (saysDraining: boolean, downMs: number) => Promise<void>;
 	readonly slowDown: (workMs: number, forMs: number) => Promise<void>;
-	readonly misbehave: (behaviours: readonly WireBehaviour[]) => void;
+	readonly misbehave: (behaviours: readonly PlatformServerBehaviour[]) => void;
 	readonly lie: (forMs: number) => Promise<void>;
 	readonly delayHeartbeats: (delayMs: number, forMs: number) => Promise<void>;
 	readonly keepSilent: (forMs: number) => Promise<void>;
@@ -32,7 +32,7 @@
 type Incarnation = {
 	readonly id: string;
 	readonly born: number;
-	readonly wire: WireServer;
+	readonly wire: PlatformServer;
 	drainAckedAt: number | undefined;
 	isDraining: boolean;
 	/** It withdrew, and says nothing more. */
@@ -114,7 +114,7 @@
 	};
 
 	const start = async (id: string): Promise<void> => {
-		const wire = await startWireServer(id);
+		const wire = await startPlatformServer(id);
 		wire.setWorkMs(usualWorkMs);
 		wire.setSlots(slots);
 		current = {
@@ -193,7 +193,7 @@
 			}
 
 			const due = Date.now() + patienceMs;
-			while (own.wire.countAtWork() > 0 && Date.now() < due) {
+			while (own.wire.countInFlight() > 0 && Date.now() < due) {
 				await sleep(pollMs);
 			}
 
@@ -207,7 +207,7 @@
 			});
 		},
 		misbehave(behaviours) {
-			current?.wire.plan(...behaviours);
+			current?.wire.planBehaviours(...behaviours);
 		},
 		async lie(forMs) {
 			await changeFor(forMs, isOn => {
--- a/soak/soak.test.ts
+++ b/soak/soak.test.ts
@@ -17,7 +17,7 @@
 	context.after(() => {
 		soak.child.kill('SIGTERM');
 	});
-	assert.equal(await soak.waitForEnd(), 0, soak.getOutput());
+	assert.equal(await soak.waitForExit(), 0, soak.getOutput());
 	assert.match(soak.getOutput(), /every promise held/);
 	assert.ok(existsSync(path.join(folder, 'plan.json')));
 	rmSync(folder, {recursive: true});
--- a/src/lib/calls/once-fence.test.ts
+++ b/src/lib/calls/once-fence.test.ts
@@ -34,7 +34,7 @@
 test('a lease that the platform ends early lets a repeat through: the limit of the promise', async () => {
 	const store = createMemoryStore({latencyMs: 0});
 	const first = await takeFence(store, 'route', 'key', toCallId('a'));
-	store.lapseLeases();
+	store.expireLeases();
 	const second = await takeFence(store, 'route', 'key', toCallId('b'));
 	assert.deepEqual([first.type, second.type], ['held', 'held']);
 });
--- a/src/lib/distribution/accept-submissions.test.ts
+++ b/src/lib/distribution/accept-submissions.test.ts
@@ -56,7 +56,7 @@
 	const acceptor = createAcceptor(store);
 	const submission = createSubmission('s1', [samplePolicy, samplePool, sampleRoute].map(item => ({type: 'put', item})));
 	assert.deepEqual(await acceptOne(acceptor, submission), {type: 'accepted', version: 1, isRepeated: false});
-	assert.equal(store.getCalls().writes, 1);
+	assert.equal(store.getCallCounts().writes, 1);
 	assert.deepEqual(await acceptOne(acceptor, submission), {type: 'accepted', version: 1, isRepeated: true});
 	assert.equal((await findSubmissionVersion(acceptor, submission.id))._unsafeUnwrap(), 1);
 	assert.equal((await findSubmissionVersion(acceptor, toSubmissionId('other')))._unsafeUnwrap(), 0);
@@ -91,7 +91,7 @@
 	const acceptor = createAcceptor(store);
 	const outcomes = await acceptSubmissions(acceptor, ['a', 'b', 'c'].map(name => createSubmission(name, [createPoolChange(name, 1)])));
 	assert.deepEqual(outcomes.map(outcome => outcome.type === 'accepted' ? outcome.version : 0), [1, 1, 1]);
-	assert.equal(store.getCalls().writes, 1);
+	assert.equal(store.getCallCounts().writes, 1);
 	assert.equal(listItems(acceptor.getConfiguration()).length, 3);
 });
 
@@ -140,7 +140,7 @@
 });
 
 async function checkCollected(store: MemoryStore): Promise<void> {
-	const keys = store.getImage().map(([key]) => key);
+	const keys = store.createBackup().map(([key]) => key);
 	const accepted = await readAccepted(store);
 	assert.ok(accepted.version > 0);
 	assert.ok(keys.includes(headKey));
--- a/src/lib/distribution/read-head.test.ts
+++ b/src/lib/distribution/read-head.test.ts
@@ -38,7 +38,7 @@
 	const configuration = createVersion(20);
 	for (const damage of ['missing', 'truncated', 'changed'] as const) {
 		const {store} = await createStoreWith(configuration);
-		store.restoreImage(store.getImage().flatMap(([key, stored]): ReturnType<MemoryStore['getImage']> => {
+		store.restoreBackup(store.createBackup().flatMap(([key, stored]): ReturnType<MemoryStore['createBackup']> => {
 			if (!/snapshot\/.*\/0-/.test(key)) {
 				return [[key, stored]];
 			}
--- a/src/lib/distribution/relay-watch.test.ts
+++ b/src/lib/distribution/relay-watch.test.ts
@@ -41,7 +41,7 @@
 	context.after(watch.dispose);
 	watch.update(true);
 	await waitUntil(() => keeper.getConfiguration().version === configuration.version && store.getCounts().watches >= 2, 2000);
-	memory.restoreImage([]);
+	memory.restoreBackup([]);
 	await sleep(500);
 	const {watches, refused} = store.getCounts();
 	assert.equal(refused, 0, `${watches} calls, ${refused} refused`);
--- a/src/lib/membership/join-mesh.test.ts
+++ b/src/lib/membership/join-mesh.test.ts
@@ -123,17 +123,17 @@
 test('reads the store only if no member of its own failure domain is ready', async () => {
 	const helped = createFake({seed: {version: 2, members: ['relay']}, relay: {version: 2}});
 	await joinMesh(helped.context, neverAborted);
-	assert.equal(helped.store.getCalls().reads, 0);
+	assert.equal(helped.store.getCallCounts().reads, 0);
 
 	const withoutPeers = createFake({});
 	assert.equal(await joinMesh(withoutPeers.context, neverAborted), true);
-	assert.equal(withoutPeers.store.getCalls().reads, 1);
+	assert.equal(withoutPeers.store.getCallCounts().reads, 1);
 });
 
 test('members that have only just started are no reliable source: when a whole failure domain restarts, its nodes do not serve an empty configuration', async () => {
 	const fake = createFake({seed: {version: 0, members: ['relay'], isNotReady: true}, relay: {version: 0, isNotReady: true}});
 	assert.equal(await joinMesh(fake.context, neverAborted), true);
-	assert.equal(fake.store.getCalls().reads, 1);
+	assert.equal(fake.store.getCallCounts().reads, 1);
 
 	const cutOff = createFake({seed: {version: 0, members: ['relay'], isNotReady: true}, relay: {version: 0, isNotReady: true}});
 	cutOff.store.setFaults({isDown: true});
--- a/stand-ins/backend-server/backend-server.ts
+++ b/stand-ins/backend-server/backend-server.ts
@@ -55,7 +55,7 @@
 };
 
 /** What the server saw, counted by itself. */
-export type Ledger = {
+export type RequestCounts = {
 	readonly requests: number;
 	readonly cancelled: number;
 	readonly highestConcurrency: number;
@@ -67,7 +67,7 @@
 
 export type BackendServerStandIn = {
 	readonly address: string;
-	readonly getLedger: () => Ledger;
+	readonly getRequestCounts: () => RequestCounts;
 	readonly setBehaviour: (changes: Partial<BackendBehaviour>) => void;
 	/** Takes no new work, ends what is in work, withdraws and stops. */
 	readonly drain: () => Promise<void>;
@@ -77,11 +77,11 @@
 	readonly isUp: () => boolean;
 };
 
-const soundBehaviour: BackendBehaviour = {
+const defaultBehaviour: BackendBehaviour = {
 	workMs: 2, coldMs: 0, coldRequests: 0, isShedding: false, cutAnswers: 0, cutBeforeAnswer: 0, crashPath: '', answersEarly: false, claimedHealth: 'ok', claimedLoad: 0,
 };
 
-const announceMs = 1000;
+const announcePeriodMs = 1000;
 const drainPollMs = 20;
 
 async function readBody(request: IncomingMessage): Promise<Uint8Array> {
@@ -100,8 +100,8 @@
 
 /** Starts a backend server. */
 export async function startBackendServer(settings: BackendServerSettings): Promise<BackendServerStandIn> {
-	let behaviour = soundBehaviour;
-	let inWork = 0;
+	let behaviour = defaultBehaviour;
+	let inFlight = 0;
 	let highestConcurrency = 0;
 	let requests = 0;
 	let cancelled = 0;
@@ -123,14 +123,14 @@
 
 	const storeBundle = async (request: IncomingMessage, response: ServerResponse, file: string): Promise<void> => {
 		const hash = createHash('sha256');
-		const meter = new Transform({
+		const hasher = new Transform({
 			transform(chunk: Uint8Array, _encoding, done) {
 				hash.update(chunk);
 				done(undefined, chunk);
 			},
 		});
 		const partial = `${file}.${settings.id}.part`;
-		await pipeline(request, meter, createWriteStream(partial));
+		await pipeline(request, hasher, createWriteStream(partial));
 		await rename(partial, file);
 		sendText(response, 201, hash.digest('hex'));
 	};
@@ -147,7 +147,7 @@
 	};
 
 	/** Waits for one of the slots, without a limit: a server that nobody guards queues whatever it is sent. */
-	const takeSlot = async (): Promise<void> => {
+	const acquireSlot = async (): Promise<void> => {
 		if (busySlots < settings.slots) {
 			busySlots++;
 			return;
@@ -169,7 +169,7 @@
 
 	/** Works on a request, unless its caller has gone or its deadline passes first. */
 	const work = async (signal: AbortSignal): Promise<void> => {
-		await takeSlot();
+		await acquireSlot();
 		const isCold = requests <= behaviour.coldRequests;
 		const workMs = behaviour.workMs + (isCold ? behaviour.coldMs : 0);
 		try {
@@ -183,16 +183,16 @@
 	};
 
 	/** Fires when the caller has gone, or when the time that it gave is over. */
-	const createWorkSignal = (request: IncomingMessage, response: ServerResponse): AbortSignal => {
-		const gone = new AbortController();
+	const createCancelSignal = (request: IncomingMessage, response: ServerResponse): AbortSignal => {
+		const disconnect = new AbortController();
 		response.once('close', () => {
-			gone.abort();
+			disconnect.abort();
 		});
 		const timeoutMs = Number(request.headers['request-timeout-ms'] ?? 0);
-		return timeoutMs > 0 ? AbortSignal.any([gone.signal, AbortSignal.timeout(timeoutMs)]) : gone.signal;
+		return timeoutMs > 0 ? AbortSignal.any([disconnect.signal, AbortSignal.timeout(timeoutMs)]) : disconnect.signal;
 	};
 
-	const answer = async (request: IncomingMessage, response: ServerResponse): Promise<void> => {
+	const handleWork = async (request: IncomingMessage, response: ServerResponse): Promise<void> => {
 		const path = request.url ?? '/';
 		const bundle = /^\/bundles\/([\w.-]+)$/.exec(path)?.[1];
 		const file = join(settings.bundleDirectory, bundle ?? 'none');
@@ -212,7 +212,7 @@
 		}
 
 		await readBody(request);
-		await work(createWorkSignal(request, response));
+		await work(createCancelSignal(request, response));
 		if (path === behaviour.crashPath) {
 			await close();
 			return;
@@ -239,11 +239,11 @@
 		sendText(response, 200, text, {'x-served-by': settings.id});
 	};
 
-	const getLedger = (): Ledger => ({
+	const getRequestCounts = (): RequestCounts => ({
 		requests, cancelled, highestConcurrency, runs: Object.fromEntries(runs), calls: Object.fromEntries(calls),
 	});
 
-	const answerOwn = async (request: IncomingMessage, response: ServerResponse): Promise<void> => {
+	const handleControl = async (request: IncomingMessage, response: ServerResponse): Promise<void> => {
 		switch (request.url) {
 			case '/health': {
 				sendText(response, behaviour.claimedHealth === 'ok' ? 200 : 503, behaviour.claimedHealth);
@@ -256,7 +256,7 @@
 			}
 
 			case '/_ledger': {
-				sendText(response, 200, JSON.stringify(getLedger()));
+				sendText(response, 200, JSON.stringify(getRequestCounts()));
 				return;
 			}
 
@@ -270,7 +270,7 @@
 
 	const handle = async (request: IncomingMessage, response: ServerResponse): Promise<void> => {
 		if (['/health', '/load', '/_ledger', '/_behaviour'].includes(request.url ?? '')) {
-			await answerOwn(request, response);
+			await handleControl(request, response);
 			return;
 		}
 
@@ -280,20 +280,20 @@
 		}
 
 		requests++;
-		inWork++;
-		highestConcurrency = Math.max(highestConcurrency, inWork);
+		inFlight++;
+		highestConcurrency = Math.max(highestConcurrency, inFlight);
 		const call = request.headers['stonemoor-call'] as string | undefined;
 		if (call !== undefined) {
 			calls.set(call, (calls.get(call) ?? 0) + 1);
 		}
 
 		response.once('close', () => {
-			inWork--;
+			inFlight--;
 			if (!response.writableFinished) {
 				cancelled++;
 			}
 		});
-		await answer(request, response);
+		await handleWork(request, response);
 	};
 
 	const handleSafely = async (request: IncomingMessage, response: ServerResponse): Promise<void> => {
@@ -329,7 +329,7 @@
 		id: settings.id, service: settings.service, address, slots: settings.slots, connections: settings.connections,
 	});
 	await announce();
-	const timer = setInterval(announce, announceMs);
+	const timer = setInterval(announce, announcePeriodMs);
 
 	const close = async (): Promise<void> => {
 		clearInterval(timer);
@@ -343,7 +343,7 @@
 
 	return {
 		address,
-		getLedger,
+		getRequestCounts,
 		setBehaviour(changes) {
 			behaviour = {...behaviour, ...changes};
 		},
@@ -354,7 +354,7 @@
 
 			isClosing = true;
 			await callNode('POST', `/v1/announcements/${settings.id}/drain`);
-			while (inWork > 0) {
+			while (inFlight > 0) {
 				await sleep(drainPollMs);
 			}
 
--- a/stand-ins/wire-server/wire-server.ts
+++ b/stand-ins/platform-server/platform-server.ts
@@ -11,7 +11,7 @@
 import {type AddressInfo} from 'node:net';
 
 /** How it treats a request. */
-export type WireBehaviour =
+export type PlatformServerBehaviour =
 	| 'answer'
 	/** Runs it and closes the connection without an answer. */
 	| 'lose'
@@ -41,11 +41,11 @@
 	| 'hang';
 
 /** What it ran. */
-export type WireRun = {
+export type PlatformServerRun = {
 	/** Unix milliseconds. */
 	readonly at: number;
 	/** How it was treated. */
-	readonly behaviour: WireBehaviour;
+	readonly behaviour: PlatformServerBehaviour;
 	readonly id: string;
 	readonly method: string;
 	readonly target: string;
@@ -54,29 +54,29 @@
 	readonly body: string;
 };
 
-export type WireServer = {
+export type PlatformServer = {
 	readonly id: string;
 	readonly address: string;
-	readonly runs: readonly WireRun[];
+	readonly runs: readonly PlatformServerRun[];
 	/** Requests whose connection closed before they were answered. */
-	readonly countLeft: () => number;
+	readonly countDisconnected: () => number;
 	/** The next requests are treated so, then all are answered. */
-	readonly plan: (...behaviours: readonly WireBehaviour[]) => void;
+	readonly planBehaviours: (...behaviours: readonly PlatformServerBehaviour[]) => void;
 	readonly setWorkMs: (milliseconds: number) => void;
 	/** Requests at work at once from here on; it sheds those beyond. */
 	readonly setSlots: (slots: number) => void;
 	/** Requests at work. */
-	readonly countAtWork: () => number;
+	readonly countInFlight: () => number;
 	/** Requests for these targets crash the server as they run, unless it treats them otherwise: all its connections are cut, and nobody listens any more. */
-	readonly crashAt: (isFatal: (target: string) => boolean, handleCrash: (run: WireRun) => void) => void;
+	readonly crashOn: (isFatal: (target: string) => boolean, handleCrash: (run: PlatformServerRun) => void) => void;
 	/** From here on another server has the address. */
-	readonly rename: (id: string) => void;
+	readonly changeId: (id: string) => void;
 	readonly close: () => Promise<void>;
 };
 
 const createSignature = (id: string, body: string): string => `sig.${id}.${body.length}`;
 
-async function readText(request: IncomingMessage): Promise<string> {
+async function readBody(request: IncomingMessage): Promise<string> {
 	const chunks: Uint8Array[] = [];
 	for await (const chunk of request) {
 		chunks.push(chunk as Uint8Array);
@@ -85,7 +85,7 @@
 	return Buffer.concat(chunks).toString();
 }
 
-const getText = (request: IncomingMessage, name: string): string => String(request.headers[name] ?? '');
+const getHeader = (request: IncomingMessage, name: string): string => String(request.headers[name] ?? '');
 
 /**
  * Starts a server on the loopback address.
@@ -95,33 +95,33 @@
  * @param host - The loopback IP number that it listens at.
  * @returns The server.
  */
-export async function startWireServer(firstId: string, port = 0, host = '127.0.0.1'): Promise<WireServer> {
+export async function startPlatformServer(firstId: string, port = 0, host = '127.0.0.1'): Promise<PlatformServer> {
 	let id = firstId;
 	let workMs = 5;
-	let left = 0;
+	let disconnected = 0;
 	let slots = Infinity;
-	let atWork = 0;
-	const planned: WireBehaviour[] = [];
-	const runs: WireRun[] = [];
+	let inFlight = 0;
+	const planned: PlatformServerBehaviour[] = [];
+	const runs: PlatformServerRun[] = [];
 	let isFatal = (_target: string): boolean => false;
-	let handleCrash = (_run: WireRun): void => undefined;
+	let handleCrash = (_run: PlatformServerRun): void => undefined;
 
-	const send = (response: ServerResponse, request: IncomingMessage, status: number, body: string): void => {
-		const call = getText(request, 'stonemoor-attempt-id');
+	const sendResponse = (response: ServerResponse, request: IncomingMessage, status: number, body: string): void => {
+		const call = getHeader(request, 'stonemoor-attempt-id');
 		response.writeHead(status, {
 			'content-length': Buffer.byteLength(body), 'stonemoor-attempt-id': call, 'stonemoor-response-signature': createSignature(call, body),
 		});
 		response.end(body);
 	};
 
-	const misbehave = (behaviour: WireBehaviour, request: IncomingMessage, response: ServerResponse, body: string): void => {
+	const applyBehaviour = (behaviour: PlatformServerBehaviour, request: IncomingMessage, response: ServerResponse, body: string): void => {
 		const {socket} = request;
-		const call = getText(request, 'stonemoor-attempt-id');
+		const call = getHeader(request, 'stonemoor-attempt-id');
 		const head = `HTTP/1.1 200 OK\r\nStonemoor-Attempt-Id: ${call}\r\nStonemoor-Response-Signature: ${createSignature(call, body)}\r\n`;
 		switch (behaviour) {
 			case 'answer':
 			case 'early': {
-				send(response, request, 200, body);
+				sendResponse(response, request, 200, body);
 				break;
 			}
 
@@ -175,7 +175,7 @@
 			}
 
 			case 'fail': {
-				send(response, request, 500, 'failed');
+				sendResponse(response, request, 500, 'failed');
 				break;
 			}
 
@@ -196,20 +196,20 @@
 		}
 	};
 
-	const noteRun = (request: IncomingMessage, body: string, behaviour: WireBehaviour): void => {
+	const recordRun = (request: IncomingMessage, body: string, behaviour: PlatformServerBehaviour): void => {
 		runs.push({
 			at: Date.now(),
 			behaviour,
-			id: getText(request, 'stonemoor-attempt-id'),
+			id: getHeader(request, 'stonemoor-attempt-id'),
 			method: request.method ?? '',
 			target: request.url ?? '',
-			callerService: getText(request, 'stonemoor-caller-service'),
-			leftMs: Number(getText(request, 'stonemoor-deadline-ms')),
+			callerService: getHeader(request, 'stonemoor-caller-service'),
+			leftMs: Number(getHeader(request, 'stonemoor-deadline-ms')),
 			body,
 		});
 	};
 
-	const endByCrash = (run: WireRun): void => {
+	const crash = (run: PlatformServerRun): void => {
 		if (!server.listening) {
 			return;
 		}
@@ -220,45 +220,45 @@
 	};
 
 	const handle = async (request: IncomingMessage, response: ServerResponse): Promise<void> => {
-		const behaviour = atWork < slots ? planned.shift() ?? 'answer' : 'shed';
+		const behaviour = inFlight < slots ? planned.shift() ?? 'answer' : 'shed';
 		const expected = request.headers['stonemoor-expected-instance'];
 		if (expected !== undefined && expected !== id) {
 			request.resume();
-			response.writeHead(421, {'content-length': 0, 'stonemoor-instance-id': id, 'stonemoor-attempt-id': getText(request, 'stonemoor-attempt-id')});
+			response.writeHead(421, {'content-length': 0, 'stonemoor-instance-id': id, 'stonemoor-attempt-id': getHeader(request, 'stonemoor-attempt-id')});
 			response.end();
 			return;
 		}
 
 		if (behaviour === 'early') {
-			noteRun(request, '', behaviour);
-			misbehave(behaviour, request, response, `page ${request.url}`);
+			recordRun(request, '', behaviour);
+			applyBehaviour(behaviour, request, response, `page ${request.url}`);
 			request.resume();
 			return;
 		}
 
-		const body = await readText(request);
+		const body = await readBody(request);
 		if (behaviour !== 'shed') {
-			noteRun(request, body, behaviour);
+			recordRun(request, body, behaviour);
 		}
 
 		if (behaviour === 'answer' && isFatal(request.url ?? '')) {
 			const run = runs.at(-1)!;
 			setTimeout(() => {
-				endByCrash(run);
+				crash(run);
 			}, workMs);
 			return;
 		}
 
-		let isGone = false;
-		atWork++;
+		let isClosed = false;
+		inFlight++;
 		response.once('close', () => {
-			isGone = true;
-			atWork--;
-			left += response.writableEnded || behaviour !== 'answer' ? 0 : 1;
+			isClosed = true;
+			inFlight--;
+			disconnected += response.writableEnded || behaviour !== 'answer' ? 0 : 1;
 		});
 		setTimeout(() => {
-			if (!isGone) {
-				misbehave(behaviour, request, response, `page ${request.url} ${body}`);
+			if (!isClosed) {
+				applyBehaviour(behaviour, request, response, `page ${request.url} ${body}`);
 			}
 		}, workMs);
 	};
@@ -268,7 +268,7 @@
 			await handle(request, response);
 		} catch {
 			// A connection that closes within the body ends the request; there is nobody left to answer.
-			left++;
+			disconnected++;
 		}
 	};
 
@@ -282,8 +282,8 @@
 		id: firstId,
 		address: `${host}:${(server.address() as AddressInfo).port}`,
 		runs,
-		countLeft: () => left,
-		plan(...behaviours) {
+		countDisconnected: () => disconnected,
+		planBehaviours(...behaviours) {
 			planned.push(...behaviours);
 		},
 		setWorkMs(milliseconds) {
@@ -292,12 +292,12 @@
 		setSlots(next) {
 			slots = next;
 		},
-		countAtWork: () => atWork,
-		crashAt(isFatalTarget, handleEnd) {
+		countInFlight: () => inFlight,
+		crashOn(isFatalTarget, handleEnd) {
 			isFatal = isFatalTarget;
 			handleCrash = handleEnd;
 		},
-		rename(next) {
+		changeId(next) {
 			id = next;
 		},
 		async close() {
--- a/stand-ins/wire-server/server-calls.ts
+++ b/stand-ins/platform-server/server-messages.ts
@@ -21,10 +21,10 @@
 };
 
 /** A heartbeat counts as acknowledged within this time. Milliseconds. */
-const acknowledgeMs = 1000;
+const acknowledgementTimeoutMs = 1000;
 
-async function tell(announcements: string, call: string, id: string, body: string): Promise<boolean> {
-	const {status} = await sendCall(announcements, `/v1/rpc?call=${call}&of=${id}`, {method: 'POST', body, leaveAfterMs: acknowledgeMs});
+async function sendServerMessage(announcements: string, call: string, id: string, body: string): Promise<boolean> {
+	const {status} = await sendCall(announcements, `/v1/rpc?call=${call}&of=${id}`, {method: 'POST', body, leaveAfterMs: acknowledgementTimeoutMs});
 	return status === 200;
 }
 
@@ -35,7 +35,7 @@
  */
 export async function sendHeartbeat(announcements: string, heartbeat: ServerHeartbeat): Promise<boolean> {
 	const {id, born, address, service, failureDomain, slots, isDraining, sequence, coldMs} = heartbeat;
-	return tell(announcements, 'instances.heartbeat', id, JSON.stringify({
+	return sendServerMessage(announcements, 'instances.heartbeat', id, JSON.stringify({
 		born,
 		address,
 		info: {
@@ -46,18 +46,18 @@
 }
 
 /** Sends a heartbeat of another writer: any bytes. */
-export async function sendForeignHeartbeat(announcements: string, id: string, body: string): Promise<void> {
-	await tell(announcements, 'instances.heartbeat', id, body);
+export async function sendRawHeartbeat(announcements: string, id: string, body: string): Promise<void> {
+	await sendServerMessage(announcements, 'instances.heartbeat', id, body);
 }
 
 /** Says that a server leaves; yields whether it was acknowledged in time. */
 export async function sendLeave(announcements: string, id: string): Promise<boolean> {
-	return tell(announcements, 'instances.leave', id, '');
+	return sendServerMessage(announcements, 'instances.leave', id, '');
 }
 
 /** Asks a node whether it is ready, as the platform does. */
-export async function askReadiness(readiness: string): Promise<boolean> {
-	const {status} = await sendCall(readiness, '/v1/ready', {leaveAfterMs: acknowledgeMs});
+export async function fetchReadiness(readiness: string): Promise<boolean> {
+	const {status} = await sendCall(readiness, '/v1/ready', {leaveAfterMs: acknowledgementTimeoutMs});
 	return status === 200;
 }
 
@@ -67,7 +67,7 @@
  * @param service - A service of the mesh, so that only the rest is wrong.
  * @returns Their texts.
  */
-export function listForeignValues(service: string): readonly string[] {
+export function listInvalidValues(service: string): readonly string[] {
 	const info = {
 		service, version: 'v1', zone: 'a', slots: 4,
 	};
--- a/stand-ins/platform-store/key-space.ts
+++ b/stand-ins/platform-store/key-space.ts
@@ -30,10 +30,10 @@
 	| {readonly type: 'conflict'; readonly items: readonly StoredItem[]}
 	| {readonly type: 'no-lease'};
 
-type Lease = {readonly ttlMs: number; endsAt: number};
+type Lease = {readonly ttlMs: number; expiresAt: number};
 
 /** All that a key space holds at one moment. */
-export type KeySpaceCopy = {
+export type KeySpaceBackup = {
 	readonly items: ReadonlyMap<string, StoredItem>;
 	readonly leases: ReadonlyMap<number, Lease>;
 	readonly history: readonly StoredEvent[];
@@ -53,13 +53,13 @@
 	readonly renewLease: (lease: number) => number | undefined;
 	readonly endLease: (lease: number) => boolean;
 	/** Ends every lease whose time is over. */
-	readonly sweep: () => void;
+	readonly endExpiredLeases: () => void;
 	/** Removes keys without a trace in anybody's answers, as a store does that revokes leases. */
-	readonly revoke: (prefix: string) => void;
-	readonly forgetHistory: () => void;
-	readonly copy: () => KeySpaceCopy;
+	readonly revokeKeys: (prefix: string) => void;
+	readonly compactHistory: () => void;
+	readonly createBackup: () => KeySpaceBackup;
 	/** Goes back to a copy: what came after it is gone, its revisions and leases are given out again. Leases of the copy run from now. */
-	readonly restore: (copy: KeySpaceCopy) => void;
+	readonly restore: (backup: KeySpaceBackup) => void;
 	/** Called after each change. */
 	readonly subscribe: (handleChange: () => void) => () => void;
 };
@@ -71,14 +71,14 @@
 export function createKeySpace(readNow: () => number): KeySpace {
 	const items = new Map<string, StoredItem>();
 	const leases = new Map<number, Lease>();
-	const handlers = new Set<() => void>();
+	const subscribers = new Set<() => void>();
 	let history: StoredEvent[] = [];
-	let forgottenUpTo = 0;
+	let compactedRevision = 0;
 	let revision = 1;
 	let nextLease = 100;
 
 	const notify = (): void => {
-		for (const handleChange of handlers) {
+		for (const handleChange of subscribers) {
 			handleChange();
 		}
 	};
@@ -110,7 +110,7 @@
 		getRevision: () => revision,
 		getItem: key => items.get(key),
 		listItems: (prefix, after) => [...items.values()].filter(({key}) => key.startsWith(prefix) && key > after).toSorted((left, right) => left.key < right.key ? -1 : 1),
-		listEvents: (prefix, after) => after < forgottenUpTo || after > revision ? undefined : history.filter(event => event.revision > after && event.key.startsWith(prefix)),
+		listEvents: (prefix, after) => after < compactedRevision || after > revision ? undefined : history.filter(event => event.revision > after && event.key.startsWith(prefix)),
 		commit({expect, writes, remove}) {
 			const stale = expect.some(({key, revision: expected}) => (items.get(key)?.revision ?? 0) !== expected);
 			if (stale) {
@@ -137,58 +137,58 @@
 		},
 		grantLease(ttlMs) {
 			const lease = nextLease++;
-			leases.set(lease, {ttlMs, endsAt: readNow() + ttlMs});
+			leases.set(lease, {ttlMs, expiresAt: readNow() + ttlMs});
 			return lease;
 		},
 		renewLease(id) {
 			const lease = leases.get(id);
 			if (lease !== undefined) {
-				lease.endsAt = readNow() + lease.ttlMs;
+				lease.expiresAt = readNow() + lease.ttlMs;
 			}
 
 			return lease?.ttlMs;
 		},
 		endLease,
-		sweep() {
+		endExpiredLeases() {
 			const now = readNow();
 			for (const [id, lease] of leases) {
-				if (lease.endsAt <= now) {
+				if (lease.expiresAt <= now) {
 					endLease(id);
 				}
 			}
 		},
-		revoke(prefix) {
+		revokeKeys(prefix) {
 			removeKeys([...items.keys()].filter(key => key.startsWith(prefix)));
 			notify();
 		},
-		forgetHistory() {
+		compactHistory() {
 			history = [];
-			forgottenUpTo = revision;
+			compactedRevision = revision;
 			notify();
 		},
-		copy() {
+		createBackup() {
 			return {
 				items: new Map(items), leases: new Map([...leases].map(([id, lease]) => [id, {...lease}])), history: [...history], revision, nextLease,
 			};
 		},
-		restore(copy) {
+		restore(backup) {
 			items.clear();
-			for (const [key, item] of copy.items) {
+			for (const [key, item] of backup.items) {
 				items.set(key, item);
 			}
 
 			leases.clear();
-			for (const [id, {ttlMs}] of copy.leases) {
-				leases.set(id, {ttlMs, endsAt: readNow() + ttlMs});
+			for (const [id, {ttlMs}] of backup.leases) {
+				leases.set(id, {ttlMs, expiresAt: readNow() + ttlMs});
 			}
 
-			history = [...copy.history];
-			({revision, nextLease} = copy);
+			history = [...backup.history];
+			({revision, nextLease} = backup);
 		},
 		subscribe(handleChange) {
-			handlers.add(handleChange);
+			subscribers.add(handleChange);
 			return () => {
-				handlers.delete(handleChange);
+				subscribers.delete(handleChange);
 			};
 		},
 	};
--- a/stand-ins/platform-store/platform-store.ts
+++ b/stand-ins/platform-store/platform-store.ts
@@ -10,7 +10,7 @@
 } from 'node:http';
 import {type AddressInfo, type Socket} from 'node:net';
 import {
-	createKeySpace, type KeySpace, type KeySpaceCopy, type Transaction,
+	createKeySpace, type KeySpace, type KeySpaceBackup, type Transaction,
 } from './key-space.js';
 
 /** How the store misbehaves. */
@@ -32,11 +32,11 @@
 	readonly keys: KeySpace;
 	readonly setFault: (fault: StoreFault, slowMs?: number) => void;
 	/** Watches hear nothing while this is set. */
-	readonly setDeaf: (isDeaf: boolean) => void;
+	readonly setWatchEventsSuppressed: (isSuppressed: boolean) => void;
 	/** Connections of watches that wait now carry nothing more, without a reset; others and new ones work. */
-	readonly muteWatches: () => void;
+	readonly stallWatchConnections: () => void;
 	/** Comes back from a copy: watches are cut, and each answer from here on says so. */
-	readonly restore: (copy: KeySpaceCopy) => void;
+	readonly restore: (backup: KeySpaceBackup) => void;
 	/** The operator's write of a configuration. */
 	readonly putConfig: (value: unknown) => void;
 	/** What the operator wrote last. */
@@ -46,26 +46,26 @@
 	readonly close: () => Promise<void>;
 };
 
-const pageSize = 500;
-const leaseSweepMs = 50;
+const maximumRangeItems = 500;
+const leaseExpiryPeriodMs = 50;
 
-type Body = Readonly<Record<string, unknown>>;
+type JsonBody = Readonly<Record<string, unknown>>;
 
-async function readJson(request: IncomingMessage): Promise<Body> {
+async function readJson(request: IncomingMessage): Promise<JsonBody> {
 	const chunks: Uint8Array[] = [];
 	for await (const chunk of request) {
 		chunks.push(chunk as Uint8Array);
 	}
 
 	const text = Buffer.concat(chunks).toString();
-	return text === '' ? {} : JSON.parse(text) as Body;
+	return text === '' ? {} : JSON.parse(text) as JsonBody;
 }
 
 /** Connections that have fallen silent. */
-const mutedSockets = new WeakSet<Socket>();
+const stalledSockets = new WeakSet<Socket>();
 
-function answer(response: ServerResponse, status: number, body: unknown): void {
-	if (response.socket !== null && mutedSockets.has(response.socket)) {
+function sendJson(response: ServerResponse, status: number, body: unknown): void {
+	if (response.socket !== null && stalledSockets.has(response.socket)) {
 		return;
 	}
 
@@ -89,101 +89,101 @@
 	const counts = new Map<string, number>();
 	let fault: StoreFault = 'none';
 	let slowMs = 0;
-	let isDeaf = false;
-	const watches = new Set<ServerResponse>();
+	let areWatchEventsSuppressed = false;
+	const pendingWatches = new Set<ServerResponse>();
 	/** How often it has come back from a copy, from one on. */
 	let era = 1;
 
 	const getKey = (query: URLSearchParams, response: ServerResponse): void => {
 		const item = keys.getItem(query.get('key') ?? '');
 		const revision = {'store-revision': keys.getRevision()};
-		answer(response, item === undefined ? 404 : 200, item === undefined ? revision : {...item, ...revision});
+		sendJson(response, item === undefined ? 404 : 200, item === undefined ? revision : {...item, ...revision});
 	};
 
 	const getRange = (query: URLSearchParams, response: ServerResponse): void => {
 		const all = keys.listItems(query.get('prefix') ?? '', query.get('after') ?? '');
-		answer(response, 200, {items: all.slice(0, pageSize), 'has-more': all.length > pageSize, 'store-revision': keys.getRevision()});
+		sendJson(response, 200, {items: all.slice(0, maximumRangeItems), 'has-more': all.length > maximumRangeItems, 'store-revision': keys.getRevision()});
 	};
 
 	const watchKeys = (query: URLSearchParams, response: ServerResponse): void => {
 		const prefix = query.get('prefix') ?? '';
 		const after = Number(query.get('after'));
-		const finish = (): boolean => {
+		const answerIfChanged = (): boolean => {
 			const events = keys.listEvents(prefix, after);
 			if (events === undefined) {
-				answer(response, 410, {error: 'this history is gone'});
+				sendJson(response, 410, {error: 'this history is gone'});
 				return true;
 			}
 
-			if (events.length === 0 || isDeaf) {
+			if (events.length === 0 || areWatchEventsSuppressed) {
 				return false;
 			}
 
-			answer(response, 200, {events, 'store-revision': keys.getRevision()});
+			sendJson(response, 200, {events, 'store-revision': keys.getRevision()});
 			return true;
 		};
 
-		if (finish()) {
+		if (answerIfChanged()) {
 			return;
 		}
 
-		watches.add(response);
+		pendingWatches.add(response);
 		const stop = (): void => {
 			clearTimeout(timer);
 			unsubscribe();
-			watches.delete(response);
+			pendingWatches.delete(response);
 		};
 
 		const timer = setTimeout(() => {
 			stop();
-			answer(response, 200, {events: [], 'store-revision': keys.getRevision()});
+			sendJson(response, 200, {events: [], 'store-revision': keys.getRevision()});
 		}, Number(query.get('wait-ms')));
 		const unsubscribe = keys.subscribe(() => {
-			if (finish()) {
+			if (answerIfChanged()) {
 				stop();
 			}
 		});
 		response.once('close', stop);
 	};
 
-	const commit = (body: Body, response: ServerResponse): void => {
+	const commit = (body: JsonBody, response: ServerResponse): void => {
 		const {expect = [], writes = [], remove = []} = body as Partial<Transaction>;
 		const transaction: Transaction = {expect, writes, remove};
 		const keysWritten = [...transaction.writes.map(({key}) => key), ...transaction.remove];
 		if (keysWritten.some(key => key.startsWith('op/') || key.startsWith('servers/'))) {
-			answer(response, 403, {error: 'these keys are not yours'});
+			sendJson(response, 403, {error: 'these keys are not yours'});
 			return;
 		}
 
 		const result = keys.commit(transaction);
 		switch (result.type) {
 			case 'done': {
-				answer(response, 200, {revision: result.revision});
+				sendJson(response, 200, {revision: result.revision});
 				break;
 			}
 
 			case 'conflict': {
-				answer(response, 412, {items: result.items});
+				sendJson(response, 412, {items: result.items});
 				break;
 			}
 
 			case 'no-lease': {
-				answer(response, 404, {error: 'no such lease'});
+				sendJson(response, 404, {error: 'no such lease'});
 				break;
 			}
 		}
 	};
 
-	const grantLease = (body: Body, response: ServerResponse): void => {
+	const grantLease = (body: JsonBody, response: ServerResponse): void => {
 		const ttlMs = parseMilliseconds(body.ttl_time);
-		answer(response, 200, {lease: keys.grantLease(ttlMs), ttl_time: `${ttlMs}ms`});
+		sendJson(response, 200, {lease: keys.grantLease(ttlMs), ttl_time: `${ttlMs}ms`});
 	};
 
 	const changeLease = (path: string, response: ServerResponse): void => {
 		const lease = Number(path.split('/').at(-1));
 		const ttlMs = path.startsWith('/v1/kv-keep/') ? keys.renewLease(lease) : undefined;
 		const isDone = ttlMs !== undefined || (path.startsWith('/v1/kv-lease-end/') && keys.endLease(lease));
-		answer(response, isDone ? 200 : 404, ttlMs === undefined ? {} : {ttl_time: `${ttlMs}ms`});
+		sendJson(response, isDone ? 200 : 404, ttlMs === undefined ? {} : {ttl_time: `${ttlMs}ms`});
 	};
 
 	const dispatch = async (request: IncomingMessage, response: ServerResponse): Promise<void> => {
@@ -226,7 +226,7 @@
 
 	const handle = async (request: IncomingMessage, response: ServerResponse): Promise<void> => {
 		if (fault === 'busy' || fault === 'many') {
-			answer(response, fault === 'busy' ? 503 : 429, {error: fault});
+			sendJson(response, fault === 'busy' ? 503 : 429, {error: fault});
 			return;
 		}
 
@@ -268,7 +268,7 @@
 	await new Promise<void>(resolve => {
 		server.listen(0, '127.0.0.1', resolve);
 	});
-	const timer = setInterval(keys.sweep, leaseSweepMs);
+	const timer = setInterval(keys.endExpiredLeases, leaseExpiryPeriodMs);
 	return {
 		address: `127.0.0.1:${(server.address() as AddressInfo).port}`,
 		keys,
@@ -276,20 +276,20 @@
 			fault = next;
 			slowMs = nextSlowMs;
 		},
-		setDeaf(next) {
-			isDeaf = next;
+		setWatchEventsSuppressed(next) {
+			areWatchEventsSuppressed = next;
 		},
-		muteWatches() {
-			for (const {socket} of watches) {
+		stallWatchConnections() {
+			for (const {socket} of pendingWatches) {
 				if (socket !== null) {
-					mutedSockets.add(socket);
+					stalledSockets.add(socket);
 				}
 			}
 		},
-		restore(copy) {
+		restore(backup) {
 			era++;
-			keys.restore(copy);
-			for (const response of watches) {
+			keys.restore(backup);
+			for (const response of pendingWatches) {
 				response.destroy();
 			}
 		},
--- a/stand-ins/settings-template.ts
+++ b/stand-ins/settings-template.ts
@@ -8,7 +8,7 @@
 import {createListenAddresses} from './loopback-addresses.js';
 
 /** What differs between the nodes of a mesh. */
-export type NodePlace = {
+export type NodeParameters = {
 	readonly name: string;
 	readonly failureDomain: string;
 	readonly service: string;
@@ -24,22 +24,22 @@
 const placeholder = /{{([\w.-]+)(?:\|json)?}}/g;
 
 /** A value in quotes, but within a text that has quotes of its own. */
-const isQuoted = (match: string): boolean => match.endsWith('|json}}');
+const isJsonPlaceholder = (match: string): boolean => match.endsWith('|json}}');
 
 /** Addresses of a node's settings that other parts of a mesh need. */
 export const createReadinessAddress = (host: string): string => `${host}:7007`;
 
 /**
- * @param place - Where the node stands.
+ * @param parameters - Where the node stands.
  * @returns The text of its settings file.
  */
-export function fillSettings(place: NodePlace): string {
-	const {callers, gate, announcements} = createListenAddresses(place.host);
+export function renderSettings(parameters: NodeParameters): string {
+	const {callers, gate, announcements} = createListenAddresses(parameters.host);
 	const values: Readonly<Record<string, string | number>> = {
-		'node-name': place.name, zone: place.failureDomain, service: place.service, ip: place.host, 'internal-ports.0': 7004,
-		'listen.outbound': callers, 'listen.inbound': gate, 'listen.control': announcements, 'listen.readiness': createReadinessAddress(place.host),
-		'platform.address': place.storeAddress, 'limits.link-mbps': 1000,
-		'bounds.retry-budget-ratio': 0.2, 'bounds.budget-slack': place.retrySlack, 'bounds.budget-window': '10s', 'bounds.grace-period': `${place.graceMs}ms`,
+		'node-name': parameters.name, zone: parameters.failureDomain, service: parameters.service, ip: parameters.host, 'internal-ports.0': 7004,
+		'listen.outbound': callers, 'listen.inbound': gate, 'listen.control': announcements, 'listen.readiness': createReadinessAddress(parameters.host),
+		'platform.address': parameters.storeAddress, 'limits.link-mbps': 1000,
+		'bounds.retry-budget-ratio': 0.2, 'bounds.budget-slack': parameters.retrySlack, 'bounds.budget-window': '10s', 'bounds.grace-period': `${parameters.graceMs}ms`,
 	};
 	return readFileSync(new URL('settings.yaml', deployFolder), 'utf8').replaceAll(placeholder, (match, name: string) => {
 		const value = values[name];
@@ -47,7 +47,7 @@
 			throw new Error(`the settings template asks for ${name}, which stand-ins do not know`);
 		}
 
-		return isQuoted(match) ? JSON.stringify(value) : String(value);
+		return isJsonPlaceholder(match) ? JSON.stringify(value) : String(value);
 	});
 }
 
--- a/stand-ins/store/memory-store.ts
+++ b/stand-ins/store/memory-store.ts
@@ -30,7 +30,7 @@
 };
 
 /** What the store was asked for; a waiting watch counts as one call. */
-export type StoreCalls = {
+export type StoreCallCounts = {
 	readonly reads: number;
 	readonly writes: number;
 	readonly watches: number;
@@ -40,36 +40,36 @@
 };
 
 /** Everything the store holds. */
-export type StoreImage = ReadonlyArray<readonly [string, StoredValue]>;
+export type StoreBackup = ReadonlyArray<readonly [string, StoredValue]>;
 
 export type MemoryStore = Store & {
 	readonly setFaults: (faults: Partial<StoreFaults>) => void;
 	readonly getFaults: () => StoreFaults;
-	readonly getCalls: () => StoreCalls;
-	readonly getImage: () => StoreImage;
+	readonly getCallCounts: () => StoreCallCounts;
+	readonly createBackup: () => StoreBackup;
 	/** Ends every lease at once, as when the platform has lost track of them. */
-	readonly lapseLeases: () => void;
+	readonly expireLeases: () => void;
 	/** Goes back to an earlier image, as a restored backup does. */
-	readonly restoreImage: (image: StoreImage) => void;
+	readonly restoreBackup: (backup: StoreBackup) => void;
 };
 
-export const soundStore: StoreFaults = {
+export const defaultFaults: StoreFaults = {
 	latencyMs: 1, isDown: false, writesToLose: 0, writesToDrop: 0, readsPerSecond: 2000, writesPerSecond: 400,
 };
 
-const downError: StoreReadError = {type: 'unavailable', reason: 'the store is down'};
+const unavailableError: StoreReadError = {type: 'unavailable', reason: 'the store is down'};
 
 export function createMemoryStore(initialFaults: Partial<StoreFaults> = {}): MemoryStore {
-	let faults: StoreFaults = {...soundStore, ...initialFaults};
-	let calls: StoreCalls = {
+	let faults: StoreFaults = {...defaultFaults, ...initialFaults};
+	let calls: StoreCallCounts = {
 		reads: 0, writes: 0, watches: 0, refused: 0, bytesIn: 0, bytesOut: 0,
 	};
 	let values = new Map<string, StoredValue>();
 	let watchers: ReadonlySet<() => void> = new Set();
 	const buckets = new Map<'reads' | 'writes', TokenBucket>();
-	const leased = new Map<string, number>();
+	const leasedRevisions = new Map<string, number>();
 
-	const hasRate = (kind: 'reads' | 'writes'): boolean => {
+	const tryAcquire = (kind: 'reads' | 'writes'): boolean => {
 		const perSecond = kind === 'reads' ? faults.readsPerSecond : faults.writesPerSecond;
 		const limits = {perSecond, burst: perSecond};
 		const taken = takeToken(buckets.get(kind) ?? createTokenBucket(limits, readNow()), limits, readNow());
@@ -87,13 +87,13 @@
 		}
 	};
 
-	const wakeWatchers = (): void => {
+	const notifyWatchers = (): void => {
 		for (const wake of watchers) {
 			wake();
 		}
 	};
 
-	const countOut = (stored: StoredValue | undefined): void => {
+	const countBytesOut = (stored: StoredValue | undefined): void => {
 		calls = {...calls, bytesOut: calls.bytesOut + (stored?.value.length ?? 0)};
 	};
 
@@ -101,19 +101,19 @@
 		calls = {...calls, reads: calls.reads + 1};
 		await delay();
 		if (faults.isDown) {
-			return err(downError);
+			return err(unavailableError);
 		}
 
-		if (!hasRate('reads')) {
+		if (!tryAcquire('reads')) {
 			return err({type: 'unavailable', reason: 'the store sheds reads'});
 		}
 
 		const stored = values.get(key);
-		countOut(stored);
+		countBytesOut(stored);
 		return ok(stored);
 	};
 
-	const put = ({key, value, expectedRevision, ttlMs: lifeMs}: StoreWrite): Result<number, StoreError> => {
+	const applyWrite = ({key, value, expectedRevision, ttlMs}: StoreWrite): Result<number, StoreError> => {
 		const revision = values.get(key)?.revision ?? 0;
 		if (revision !== expectedRevision) {
 			return err({type: 'conflict', revision});
@@ -125,16 +125,16 @@
 			values.set(key, {value, revision: revision + 1});
 		}
 
-		if (lifeMs !== undefined) {
-			leased.set(key, revision + 1);
+		if (ttlMs !== undefined) {
+			leasedRevisions.set(key, revision + 1);
 			setTimeout(() => {
 				if (values.get(key)?.revision === revision + 1) {
 					values.delete(key);
 				}
-			}, lifeMs).unref();
+			}, ttlMs).unref();
 		}
 
-		wakeWatchers();
+		notifyWatchers();
 		return ok(revision + 1);
 	};
 
@@ -142,10 +142,10 @@
 		calls = {...calls, writes: calls.writes + 1, bytesIn: calls.bytesIn + (request.value?.length ?? 0)};
 		await delay();
 		if (faults.isDown) {
-			return err(downError);
+			return err(unavailableError);
 		}
 
-		if (!hasRate('writes')) {
+		if (!tryAcquire('writes')) {
 			return err({type: 'not-applied', reason: 'the store sheds writes'});
 		}
 
@@ -158,7 +158,7 @@
 			return err({type: 'unknown', reason: 'the answer was lost'});
 		}
 
-		const result = put(request);
+		const result = applyWrite(request);
 		if (faults.writesToLose > 0) {
 			faults = {...faults, writesToLose: faults.writesToLose - 1};
 			return err({type: 'unknown', reason: 'the answer was lost'});
@@ -196,16 +196,16 @@
 		calls = {...calls, watches: calls.watches + 1};
 		await delay();
 		if (faults.isDown) {
-			return err(downError);
+			return err(unavailableError);
 		}
 
-		if (!hasRate('reads')) {
+		if (!tryAcquire('reads')) {
 			return err({type: 'unavailable', reason: 'the store sheds watches'});
 		}
 
 		await waitForChange(request);
 		if (faults.isDown) {
-			return err(downError);
+			return err(unavailableError);
 		}
 
 		const stored = values.get(request.key);
@@ -213,7 +213,7 @@
 			return ok(undefined);
 		}
 
-		countOut(stored);
+		countBytesOut(stored);
 		return ok(stored);
 	};
 
@@ -223,24 +223,24 @@
 		watch: request => new ResultAsync(watch(request)),
 		setFaults(changes) {
 			faults = {...faults, ...changes};
-			wakeWatchers();
+			notifyWatchers();
 		},
 		getFaults: () => faults,
-		getCalls: () => calls,
-		lapseLeases() {
-			for (const [key, revision] of leased) {
+		getCallCounts: () => calls,
+		expireLeases() {
+			for (const [key, revision] of leasedRevisions) {
 				if (values.get(key)?.revision === revision) {
 					values.delete(key);
 				}
 			}
 
-			leased.clear();
-			wakeWatchers();
+			leasedRevisions.clear();
+			notifyWatchers();
 		},
-		getImage: () => [...values],
-		restoreImage(image) {
-			values = new Map(image);
-			wakeWatchers();
+		createBackup: () => [...values],
+		restoreBackup(backup) {
+			values = new Map(backup);
+			notifyWatchers();
 		},
 	};
 }
--- a/stand-ins/store/store-server.ts
+++ b/stand-ins/store/store-server.ts
@@ -15,7 +15,7 @@
 import {serve} from '@hono/node-server';
 import {Hono} from 'hono';
 import {
-	createMemoryStore, type MemoryStore, type StoreFaults, type StoreImage,
+	createMemoryStore, type MemoryStore, type StoreFaults, type StoreBackup,
 } from './memory-store.js';
 
 export type StoreServer = {
@@ -25,11 +25,11 @@
 };
 
 /** How long an answer that is meant to be lost keeps its caller waiting, in milliseconds. */
-const lostAnswerMs = 60_000;
+const lostAnswerDelayMs = 60_000;
 
 function createApp(store: MemoryStore): Hono {
 	const app = new Hono();
-	let backup: StoreImage = [];
+	let backup: StoreBackup = [];
 
 	app.get('/v1/keys/:key', async context => {
 		const key = context.req.param('key');
@@ -75,7 +75,7 @@
 			case 'unknown': {
 				// The caller is left without an answer, as when a connection goes dead.
 				await new Promise(resolve => {
-					const timer = setTimeout(resolve, lostAnswerMs);
+					const timer = setTimeout(resolve, lostAnswerDelayMs);
 					context.req.raw.signal.addEventListener('abort', () => {
 						clearTimeout(timer);
 						resolve(undefined);
@@ -91,17 +91,17 @@
 		store.setFaults(await context.req.json<Partial<StoreFaults>>());
 		return context.json(store.getFaults());
 	});
-	app.get('/calls', context => context.json(store.getCalls()));
+	app.get('/calls', context => context.json(store.getCallCounts()));
 	app.post('/lapse', context => {
-		store.lapseLeases();
+		store.expireLeases();
 		return context.json({});
 	});
 	app.post('/backup', context => {
-		backup = store.getImage();
+		backup = store.createBackup();
 		return context.json({keys: backup.length});
 	});
 	app.post('/restore', context => {
-		store.restoreImage(backup);
+		store.restoreBackup(backup);
 		return context.json({keys: backup.length});
 	});
 	return app;
--- a/stand-ins/wait-until.ts
+++ b/stand-ins/wait-until.ts
@@ -17,7 +17,7 @@
  * @returns Whether it held in time.
  */
 export async function waitUntil(condition: () => boolean | Promise<boolean>, timeoutMs: number, pollMs: number = defaultPollMs): Promise<boolean> {
-	const due = Date.now() + timeoutMs;
+	const deadline = Date.now() + timeoutMs;
 	do {
 		const holds = await settle((async () => condition())());
 		if (holds === true) {
@@ -25,13 +25,13 @@
 		}
 
 		await sleep(pollMs);
-	} while (Date.now() < due);
+	} while (Date.now() < deadline);
 
 	return false;
 }
 
 /** Far longer than anything takes that tests wait for, also beside load. Milliseconds. */
-const longestWaitMs = 20_000;
+const maximumWaitMs = 20_000;
 
 /**
  * Waits until a condition holds, for tests that make no sense without it.
@@ -41,7 +41,7 @@
  * @throws Error when it does not hold within twenty seconds.
  */
 export async function expectSoon(what: string, condition: () => boolean | Promise<boolean>): Promise<void> {
-	if (!(await waitUntil(condition, longestWaitMs))) {
+	if (!(await waitUntil(condition, maximumWaitMs))) {
 		throw new Error(`in vain: ${what}`);
 	}
 }
