--- a/apps/sidecar/main.test.ts
+++ b/apps/sidecar/main.test.ts
@@ -57,5 +57,5 @@
 	writeSettings({service: 'hall'});
 	await expectLine(/settings-reloaded.*these settings take effect only after a restart: service/);
 	running.child.kill('SIGTERM');
-	assert.equal(await running.waitForEnd(), 0);
+	assert.equal(await running.waitForExit(), 0);
 });
--- a/scenarios/run-scenarios.test.ts
+++ b/scenarios/run-scenarios.test.ts
@@ -1,6 +1,6 @@
 /**
- * Runs every scenario under the test runner, and after each of them checks what
- * must hold whatever happened.
+ * Runs every scenario of the feature files as a test, and checks invariants
+ * after each of them.
  *
  * @module
  */
@@ -13,7 +13,7 @@
 	AstBuilder, compile, GherkinClassicTokenMatcher, Parser,
 } from '@cucumber/gherkin';
 import {IdGenerator, type Pickle, type PickleStep} from '@cucumber/messages';
-import {listSteps, type Scene, type StepDefinition} from './steps/index.js';
+import {listSteps, type ScenarioState, type StepDefinition} from './steps/index.js';
 import {createWorld, type World} from './world.js';
 
 type MatchedStep = {
@@ -43,7 +43,7 @@
 	return compile(parser.parse(readFileSync(`${folder}${file}`, 'utf8')), file, newId);
 }
 
-/** No run of a node goes back, and no run serves what is older than an earlier run had applied. */
+/** Checks that no node process applies an older version than before, and that a restarted node serves no older version than it had applied before. */
 function checkVersions(world: World): void {
 	for (const {name, events} of world.nodes.values()) {
 		let highest = 0;
@@ -57,7 +57,7 @@
 				}
 
 				case 'configuration-applied': {
-					assert.ok(event.version > current, `${name} went from version ${current} to ${event.version}`);
+					assert.ok(event.version > current, `${name} reverted from version ${current} to ${event.version}`);
 					current = event.version;
 					highest = Math.max(highest, current);
 
@@ -65,7 +65,7 @@
 				}
 
 				case 'node-ready': {
-					assert.ok(event.version >= highest, `${name} serves version ${event.version} after it had ${highest}`);
+					assert.ok(event.version >= highest, `${name} became ready with version ${event.version} after it had applied version ${highest}`);
 
 					break;
 				}
@@ -75,11 +75,11 @@
 	}
 }
 
-/** No call reached the same backend server twice unless it may be repeated, and none that may not reached two. */
+/** Checks that no release ran more than once on all backend servers together. */
 function checkRuns(world: World): void {
 	const runs = new Map<string, number>();
 	for (const server of world.servers.values()) {
-		for (const [key, count] of Object.entries(server.getLedger().runs)) {
+		for (const [key, count] of Object.entries(server.getRequestCounts().runs)) {
 			runs.set(key, (runs.get(key) ?? 0) + count);
 		}
 	}
@@ -92,13 +92,13 @@
 async function runScenario(scenario: Pickle): Promise<void> {
 	const steps = scenario.steps.map(step => matchStep(step));
 	const world = await createWorld();
-	const scene: Scene = {
-		world, outcomes: [], answers: [], backup: [], requestsAfterDrain: 0, dangling: [], rawStatus: 0,
+	const state: ScenarioState = {
+		world, outcomes: [], answers: [], backup: [], requestsAfterDrain: 0, danglingRoutes: [], rawStatus: 0,
 	};
 	try {
 		for (const {text, definition, parameters} of steps) {
 			try {
-				await definition.run(scene, ...parameters as never[]);
+				await definition.run(state, ...parameters as never[]);
 			} catch (error) {
 				throw new Error(`step "${text}" failed: ${(error as Error).message}`, {cause: error});
 			}
--- a/scenarios/world.ts
+++ b/scenarios/world.ts
@@ -1,6 +1,6 @@
 /**
- * What the scenarios act on: nodes in this process on loopback addresses, a
- * stand-in store, stand-in backend servers and callers.
+ * The environment of a scenario: nodes in this process on loopback addresses,
+ * a stand-in for the store, stand-ins for backend servers, and callers.
  *
  * @module
  */
@@ -19,28 +19,32 @@
 import {createMemoryStore, type MemoryStore} from '../stand-ins/store/memory-store.js';
 import {createListenAddresses} from '../stand-ins/loopback-addresses.js';
 import {waitUntil} from '../stand-ins/wait-until.js';
-import {createCutNetwork, type CutNetwork} from './cut-network.js';
+import {createPartitionableNetwork, type PartitionableNetwork} from './partitionable-network.js';
 
-/** A node of the scenario and everything that it ever applied, over all its runs. */
+/** A node of the scenario, with the events of all its runs. */
 export type WorldNode = {
 	readonly name: string;
 	readonly host: string;
 	readonly settings: Settings;
+	/** The current or last run. */
 	node: Node;
 	isRunning: boolean;
+	/** The versions that it applied, in order. */
 	readonly applied: number[];
-	/** Versions at the moment that a run became ready to serve. */
+	/** The version in force when each run became ready. */
 	readonly readyAt: number[];
 	readonly events: TimelineEvent[];
 };
 
-/** What a caller was told. */
-export type Answer = {
+/** The outcome of a call, as its caller saw it. */
+export type CallerAnswer = {
 	readonly status: number;
 	readonly verdict: string;
 	readonly body: string;
 	readonly retryAfter: string | undefined;
+	/** Whether the connection failed before the complete response. `status` is 0 then. */
 	readonly isCut: boolean;
+	/** How long the call took. */
 	readonly milliseconds: number;
 };
 
@@ -53,30 +57,30 @@
 
 export type World = {
 	readonly store: MemoryStore;
-	readonly network: CutNetwork;
+	readonly network: PartitionableNetwork;
 	readonly nodes: Map<string, WorldNode>;
 	readonly servers: Map<string, BackendServerStandIn>;
 	readonly startNodes: (count: number, domains: number) => Promise<void>;
 	readonly startServer: (name: string, service: string, node: string, slots?: number) => Promise<void>;
-	/** Starts a backend server again at its address and under its id. */
+	/** Starts a stopped backend server again, with the same address and id. */
 	readonly restartServer: (name: string) => Promise<BackendServerStandIn>;
 	readonly killNode: (name: string) => Promise<void>;
 	readonly restartNode: (name: string) => Promise<void>;
 	readonly submit: (node: string, changes: readonly ItemChange[], options?: {readonly id?: string; readonly bases?: Readonly<Record<string, number>>}) => Promise<SubmissionOutcome>;
-	readonly call: (node: string, request: CallRequest) => Promise<Answer>;
+	readonly call: (node: string, request: CallRequest) => Promise<CallerAnswer>;
 	readonly getNode: (name: string) => WorldNode;
 	readonly getServer: (name: string) => BackendServerStandIn;
 	readonly listRunning: () => readonly WorldNode[];
 	readonly dispose: () => Promise<void>;
 };
 
-/** Hosts that the addresses of one process have. */
-const mostHosts = 250;
+/** Number of loopback IP addresses that one process uses. */
+const maximumHosts = 250;
 
-/** The scenarios of one process use one address after another, so that none meets a port of the one before. Test files run side by side, each with addresses of its own process. */
+/** The last number of the next loopback IP address. Each node of a process gets another address, so that no port is still in use by an earlier scenario. Test files run concurrently in processes of their own, each with its own range of addresses. */
 let nextHost = 1;
 
-/** Stands for the platform's store where hosts are cut off from one another. */
+/** The host name of the store in network partitions. */
 export const storeHost = 'store';
 
 const membership = {
@@ -86,8 +90,8 @@
 function createHost(): string {
 	const {pid} = process;
 	const host = `127.${32 + (Math.floor(pid / 256) % 8)}.${pid % 256}.${nextHost}`;
-	// Those of scenarios that have ended are used again.
-	nextHost = (nextHost % mostHosts) + 1;
+	// Wraps around to the addresses of scenarios that have ended.
+	nextHost = (nextHost % maximumHosts) + 1;
 	return host;
 }
 
@@ -103,17 +107,17 @@
 	});
 }
 
-/** Waits until a condition holds, or fails with what was waited for. */
+/** Waits until a condition holds. Throws an error that names the condition if it doesn't within the timeout. */
 export async function waitFor(what: string, condition: () => boolean | Promise<boolean>, timeoutMs = 16_000): Promise<void> {
 	if (!await waitUntil(condition, timeoutMs)) {
-		throw new Error(`within ${timeoutMs} ms it did not come about that ${what}`);
+		throw new Error(`condition not met within ${timeoutMs} ms: ${what}`);
 	}
 }
 
-/** Creates a world without nodes. */
+/** Creates an environment without nodes. */
 export async function createWorld(): Promise<World> {
 	const store = createMemoryStore({latencyMs: 1});
-	const network = createCutNetwork();
+	const network = createPartitionableNetwork();
 	const nodes = new Map<string, WorldNode>();
 	const servers = new Map<string, BackendServerStandIn>();
 	const serverSettings = new Map<string, BackendServerSettings>();
@@ -123,7 +127,7 @@
 	const getNode = (name: string): WorldNode => {
 		const found = nodes.get(name);
 		if (found === undefined) {
-			throw new Error(`there is no ${name}`);
+			throw new Error(`the scenario has no node ${name}`);
 		}
 
 		return found;
@@ -132,24 +136,24 @@
 	const getServer = (name: string): BackendServerStandIn => {
 		const found = servers.get(name);
 		if (found === undefined) {
-			throw new Error(`there is no backend server ${name}`);
+			throw new Error(`the scenario has no backend server ${name}`);
 		}
 
 		return found;
 	};
 
-	/** The store as one host reaches it. */
+	/** Returns the store as one host sees it: unavailable while a partition separates them. */
 	const createStoreView = (host: string): Store => {
-		const unavailable: StoreReadError = {type: 'unavailable', reason: 'the network is cut'};
-		const isCut = (): boolean => network.isCut(host, storeHost);
+		const unavailable: StoreReadError = {type: 'unavailable', reason: 'network partition between the node and the store'};
+		const isPartitioned = (): boolean => network.isPartitioned(host, storeHost);
 		return {
-			read: key => isCut() ? errAsync(unavailable) : store.read(key),
-			write: request => isCut() ? errAsync(unavailable) : store.write(request),
-			watch: request => isCut() ? errAsync(unavailable) : store.watch(request).andThen(stored => isCut() ? err(unavailable) : ok(stored)),
+			read: key => isPartitioned() ? errAsync(unavailable) : store.read(key),
+			write: request => isPartitioned() ? errAsync(unavailable) : store.write(request),
+			watch: request => isPartitioned() ? errAsync(unavailable) : store.watch(request).andThen(stored => isPartitioned() ? err(unavailable) : ok(stored)),
 		};
 	};
 
-	const createRun = (settings: Settings, host: string, record: Pick<WorldNode, 'applied' | 'events' | 'readyAt'>): Node => createNode(settings, {
+	const createNodeRun = (settings: Settings, host: string, record: Pick<WorldNode, 'applied' | 'events' | 'readyAt'>): Node => createNode(settings, {
 		store: createStoreView(host),
 		random: Math.random,
 		network: network.createView(host),
@@ -163,7 +167,7 @@
 		},
 	});
 
-	const start = async (worldNode: WorldNode): Promise<void> => {
+	const startWorldNode = async (worldNode: WorldNode): Promise<void> => {
 		const started = await worldNode.node.start();
 		if (started.isErr()) {
 			throw new Error(JSON.stringify(started.error));
@@ -172,14 +176,14 @@
 		worldNode.isRunning = true;
 	};
 
-	const startOne = async (name: string, host: string, domain: string, seeds: readonly string[]): Promise<void> => {
+	const addNode = async (name: string, host: string, domain: string, seeds: readonly string[]): Promise<void> => {
 		const settings = createWorldSettings(name, host, domain, seeds);
 		const record = {applied: [], events: [], readyAt: []};
 		const worldNode: WorldNode = {
-			name, host, settings, node: createRun(settings, host, record), isRunning: false, ...record,
+			name, host, settings, node: createNodeRun(settings, host, record), isRunning: false, ...record,
 		};
 		nodes.set(name, worldNode);
-		await start(worldNode);
+		await startWorldNode(worldNode);
 	};
 
 	const listRunning = (): readonly WorldNode[] => [...nodes.values()].filter(worldNode => worldNode.isRunning);
@@ -196,7 +200,7 @@
 			const hosts = Array.from({length: count}, () => createHost());
 			const seeds = hosts.slice(0, 3).map(host => `${host}:7003`);
 			for (const [index, host] of hosts.entries()) {
-				await startOne(`node-${index + 1}`, host, `domain-${(index % domains) + 1}`, seeds);
+				await addNode(`node-${index + 1}`, host, `domain-${(index % domains) + 1}`, seeds);
 			}
 
 			await waitFor('every node is ready and knows the others', () => listRunning().every(({node}) => node.getStatus().isReady && node.getStatus().knownNodes >= count));
@@ -232,8 +236,8 @@
 				await worldNode.node.dispose();
 			}
 
-			worldNode.node = createRun(worldNode.settings, worldNode.host, worldNode);
-			await start(worldNode);
+			worldNode.node = createNodeRun(worldNode.settings, worldNode.host, worldNode);
+			await startWorldNode(worldNode);
 		},
 		async submit(node, changes, {id = randomUUID(), bases = {}} = {}) {
 			const {settings, node: running} = getNode(node);
--- a/src/lib/calls/idempotency-claim.test.ts
+++ b/src/lib/calls/idempotency-claim.test.ts
@@ -34,7 +34,7 @@
 test('known limit: after the platform ends a lease early, a retry can claim the key as well', async () => {
 	const store = createMemoryStore({latencyMs: 0});
 	const first = await claimIdempotencyKey(store, 'route', 'key', toCallId('a'));
-	store.lapseLeases();
+	store.expireLeases();
 	const second = await claimIdempotencyKey(store, 'route', 'key', toCallId('b'));
 	assert.deepEqual([first.type, second.type], ['held', 'held']);
 });
--- a/stand-ins/backend-server/backend-server.ts
+++ b/stand-ins/backend-server/backend-server.ts
@@ -1,7 +1,7 @@
 /**
- * A stand-in for a users' backend server: slots, a cold start, shedding,
- * draining, cancellation and deadlines, and health and load endpoints that can
- * be made to lag or lie.
+ * A stand-in for a users' backend server. It has a concurrency limit, a cold
+ * start, load shedding, draining, cancellation and deadlines. Its health and
+ * load endpoints return configured values, whatever its state is.
  *
  * @module
  */
@@ -26,62 +26,63 @@
 	readonly port: number;
 	readonly slots: number;
 	readonly connections: number;
-	/** Where the node beside it takes announcements; without it, the server announces nothing. */
+	/** `IP:PORT` at which the node beside it accepts announcements. If undefined, the server doesn't announce itself. */
 	readonly announcements?: string;
-	/** Where bundles are kept: stands for the users' shared object storage. */
+	/** The directory of uploaded bundles. All backend servers share it, as they share the users' object storage. */
 	readonly bundleDirectory: string;
 };
 
-/** How the server behaves at the moment. */
+/** The server's current behaviour, faults included. */
 export type BackendBehaviour = {
-	/** Milliseconds of work for each request. */
+	/** Processing time of each request, in milliseconds. */
 	readonly workMs: number;
-	/** More milliseconds for the first requests after the start. */
+	/** Additional processing time of the first `coldRequests` requests after the start, in milliseconds. */
 	readonly coldMs: number;
 	readonly coldRequests: number;
-	/** Answers 503 and says that it did not run the request. */
+	/** Whether it rejects every request with status 503 and the verdict `not-run`. */
 	readonly isShedding: boolean;
-	/** Cuts the connection in the middle of the answer. */
+	/** How many of the next responses end in the middle of the body, with the connection closed. */
 	readonly cutAnswers: number;
-	/** Runs the request, then cuts the connection without an answer. */
+	/** How many of the next requests run, but get no response: the connection is closed instead. */
 	readonly cutBeforeAnswer: number;
-	/** Ends without a word when it has worked on a request for this path; none if empty. */
+	/** A request for this path crashes the server once it has run: all connections close without a response. No path crashes it if empty. */
 	readonly crashPath: string;
-	/** Answers before it has read the body. */
+	/** Whether it responds with status 413 before it has read the body. */
 	readonly answersEarly: boolean;
-	/** What the health endpoint says, whatever is true. */
+	/** What the health endpoint returns, independent of the server's state. */
 	readonly claimedHealth: 'ok' | 'failing';
+	/** What the load endpoint returns, independent of the server's load. */
 	readonly claimedLoad: number;
 };
 
-/** What the server saw, counted by itself. */
-export type Ledger = {
+/** What the server itself counted. */
+export type RequestCounts = {
 	readonly requests: number;
 	readonly cancelled: number;
 	readonly highestConcurrency: number;
-	/** How often each request ran, by its idempotency key. */
+	/** How many times each `POST` request ran, by its idempotency key, or by its path if it has no key. */
 	readonly runs: Readonly<Record<string, number>>;
-	/** How often each call reached this server, by the mesh's call id. */
+	/** How many times each call reached this server, by the call id that the mesh sends. */
 	readonly calls: Readonly<Record<string, number>>;
 };
 
 export type BackendServerStandIn = {
 	readonly address: string;
-	readonly getLedger: () => Ledger;
+	readonly getRequestCounts: () => RequestCounts;
 	readonly setBehaviour: (changes: Partial<BackendBehaviour>) => void;
-	/** Takes no new work, ends what is in work, withdraws and stops. */
+	/** Tells the node that it drains, waits for the requests in flight, withdraws its announcement and stops. */
 	readonly drain: () => Promise<void>;
-	/** Dies at once. */
+	/** Stops at once and closes all connections, without telling the node. */
 	readonly kill: () => Promise<void>;
-	/** Whether it listens. */
+	/** Whether it listens on its address. */
 	readonly isUp: () => boolean;
 };
 
-const soundBehaviour: BackendBehaviour = {
+const defaultBehaviour: BackendBehaviour = {
 	workMs: 2, coldMs: 0, coldRequests: 0, isShedding: false, cutAnswers: 0, cutBeforeAnswer: 0, crashPath: '', answersEarly: false, claimedHealth: 'ok', claimedLoad: 0,
 };
 
-const announceMs = 1000;
+const announcePeriodMs = 1000;
 const drainPollMs = 20;
 
 async function readBody(request: IncomingMessage): Promise<Uint8Array> {
@@ -98,10 +99,10 @@
 	response.end(text);
 }
 
-/** Starts a backend server. */
+/** Starts a backend server and announces it to the node beside it. */
 export async function startBackendServer(settings: BackendServerSettings): Promise<BackendServerStandIn> {
-	let behaviour = soundBehaviour;
-	let inWork = 0;
+	let behaviour = defaultBehaviour;
+	let inFlight = 0;
 	let highestConcurrency = 0;
 	let requests = 0;
 	let cancelled = 0;
@@ -123,14 +124,14 @@
 
 	const storeBundle = async (request: IncomingMessage, response: ServerResponse, file: string): Promise<void> => {
 		const hash = createHash('sha256');
-		const meter = new Transform({
+		const hasher = new Transform({
 			transform(chunk: Uint8Array, _encoding, done) {
 				hash.update(chunk);
 				done(undefined, chunk);
 			},
 		});
 		const partial = `${file}.${settings.id}.part`;
-		await pipeline(request, meter, createWriteStream(partial));
+		await pipeline(request, hasher, createWriteStream(partial));
 		await rename(partial, file);
 		sendText(response, 201, hash.digest('hex'));
 	};
@@ -146,8 +147,8 @@
 		await pipeline(createReadStream(file), response);
 	};
 
-	/** Waits for one of the slots, without a limit: a server that nobody guards queues whatever it is sent. */
-	const takeSlot = async (): Promise<void> => {
+	/** Waits for a free slot. The queue is unbounded, as it is in a server without admission control of its own. */
+	const acquireSlot = async (): Promise<void> => {
 		if (busySlots < settings.slots) {
 			busySlots++;
 			return;
@@ -167,9 +168,9 @@
 		}
 	};
 
-	/** Works on a request, unless its caller has gone or its deadline passes first. */
+	/** Spends the processing time of a request in a slot. Throws if the caller disconnects or the deadline passes first. */
 	const work = async (signal: AbortSignal): Promise<void> => {
-		await takeSlot();
+		await acquireSlot();
 		const isCold = requests <= behaviour.coldRequests;
 		const workMs = behaviour.workMs + (isCold ? behaviour.coldMs : 0);
 		try {
@@ -182,17 +183,17 @@
 		}
 	};
 
-	/** Fires when the caller has gone, or when the time that it gave is over. */
-	const createWorkSignal = (request: IncomingMessage, response: ServerResponse): AbortSignal => {
-		const gone = new AbortController();
+	/** Returns a signal that aborts when the caller disconnects, or after the timeout in the request's headers. */
+	const createCancelSignal = (request: IncomingMessage, response: ServerResponse): AbortSignal => {
+		const disconnect = new AbortController();
 		response.once('close', () => {
-			gone.abort();
+			disconnect.abort();
 		});
 		const timeoutMs = Number(request.headers['request-timeout-ms'] ?? 0);
-		return timeoutMs > 0 ? AbortSignal.any([gone.signal, AbortSignal.timeout(timeoutMs)]) : gone.signal;
+		return timeoutMs > 0 ? AbortSignal.any([disconnect.signal, AbortSignal.timeout(timeoutMs)]) : disconnect.signal;
 	};
 
-	const answer = async (request: IncomingMessage, response: ServerResponse): Promise<void> => {
+	const handleWork = async (request: IncomingMessage, response: ServerResponse): Promise<void> => {
 		const path = request.url ?? '/';
 		const bundle = /^\/bundles\/([\w.-]+)$/.exec(path)?.[1];
 		const file = join(settings.bundleDirectory, bundle ?? 'none');
@@ -212,7 +213,7 @@
 		}
 
 		await readBody(request);
-		await work(createWorkSignal(request, response));
+		await work(createCancelSignal(request, response));
 		if (path === behaviour.crashPath) {
 			await close();
 			return;
@@ -239,11 +240,11 @@
 		sendText(response, 200, text, {'x-served-by': settings.id});
 	};
 
-	const getLedger = (): Ledger => ({
+	const getRequestCounts = (): RequestCounts => ({
 		requests, cancelled, highestConcurrency, runs: Object.fromEntries(runs), calls: Object.fromEntries(calls),
 	});
 
-	const answerOwn = async (request: IncomingMessage, response: ServerResponse): Promise<void> => {
+	const handleControl = async (request: IncomingMessage, response: ServerResponse): Promise<void> => {
 		switch (request.url) {
 			case '/health': {
 				sendText(response, behaviour.claimedHealth === 'ok' ? 200 : 503, behaviour.claimedHealth);
@@ -256,7 +257,7 @@
 			}
 
 			case '/_ledger': {
-				sendText(response, 200, JSON.stringify(getLedger()));
+				sendText(response, 200, JSON.stringify(getRequestCounts()));
 				return;
 			}
 
@@ -270,7 +271,7 @@
 
 	const handle = async (request: IncomingMessage, response: ServerResponse): Promise<void> => {
 		if (['/health', '/load', '/_ledger', '/_behaviour'].includes(request.url ?? '')) {
-			await answerOwn(request, response);
+			await handleControl(request, response);
 			return;
 		}
 
@@ -280,20 +281,20 @@
 		}
 
 		requests++;
-		inWork++;
-		highestConcurrency = Math.max(highestConcurrency, inWork);
+		inFlight++;
+		highestConcurrency = Math.max(highestConcurrency, inFlight);
 		const call = request.headers['stonemoor-call'] as string | undefined;
 		if (call !== undefined) {
 			calls.set(call, (calls.get(call) ?? 0) + 1);
 		}
 
 		response.once('close', () => {
-			inWork--;
+			inFlight--;
 			if (!response.writableFinished) {
 				cancelled++;
 			}
 		});
-		await answer(request, response);
+		await handleWork(request, response);
 	};
 
 	const handleSafely = async (request: IncomingMessage, response: ServerResponse): Promise<void> => {
@@ -329,7 +330,7 @@
 		id: settings.id, service: settings.service, address, slots: settings.slots, connections: settings.connections,
 	});
 	await announce();
-	const timer = setInterval(announce, announceMs);
+	const timer = setInterval(announce, announcePeriodMs);
 
 	const close = async (): Promise<void> => {
 		clearInterval(timer);
@@ -343,7 +344,7 @@
 
 	return {
 		address,
-		getLedger,
+		getRequestCounts,
 		setBehaviour(changes) {
 			behaviour = {...behaviour, ...changes};
 		},
@@ -354,7 +355,7 @@
 
 			isClosing = true;
 			await callNode('POST', `/v1/announcements/${settings.id}/drain`);
-			while (inWork > 0) {
+			while (inFlight > 0) {
 				await sleep(drainPollMs);
 			}
 
--- a/stand-ins/platform-store/key-space.ts
+++ b/stand-ins/platform-store/key-space.ts
@@ -1,39 +1,42 @@
 /**
- * The keys, leases and history of the stand-in for the platform's store, in memory.
+ * The keys, leases and change history of the stand-in for the platform's store, in memory.
  *
  * @module
  */
 
-/** One key. */
+/** A key with its value. */
 export type StoredItem = {
 	readonly key: string;
 	/** Base64. */
 	readonly value: string;
+	/** The revision of the last write. */
 	readonly revision: number;
+	/** The revision at which the key was created. */
 	readonly made: number;
+	/** The id of the lease that the key is attached to; 0 for none. */
 	readonly lease: number;
 };
 
-/** One change in the history. */
+/** A change in the history: a write or a removal. */
 export type StoredEvent = StoredItem | {readonly key: string; readonly revision: number; readonly deleted: true};
 
-/** A transaction, all or nothing. */
+/** A transaction: applied as a whole if every expected revision matches (0 for a missing key), otherwise not at all. */
 export type Transaction = {
 	readonly expect: ReadonlyArray<{readonly key: string; readonly revision: number}>;
 	readonly writes: ReadonlyArray<{readonly key: string; readonly value: string; readonly lease?: number}>;
 	readonly remove: readonly string[];
 };
 
-/** How a transaction ended. */
+/** The outcome of a transaction. */
 export type TransactionResult =
 	| {readonly type: 'done'; readonly revision: number}
 	| {readonly type: 'conflict'; readonly items: readonly StoredItem[]}
 	| {readonly type: 'no-lease'};
 
-type Lease = {readonly ttlMs: number; endsAt: number};
+type Lease = {readonly ttlMs: number; expiresAt: number};
 
-/** All that a key space holds at one moment. */
-export type KeySpaceCopy = {
+/** The complete state of a key space at one moment. */
+export type KeySpaceBackup = {
 	readonly items: ReadonlyMap<string, StoredItem>;
 	readonly leases: ReadonlyMap<number, Lease>;
 	readonly history: readonly StoredEvent[];
@@ -45,40 +48,44 @@
 	readonly getRevision: () => number;
 	readonly getItem: (key: string) => StoredItem | undefined;
 	readonly listItems: (prefix: string, after: string) => readonly StoredItem[];
-	/** Changes after a revision; `undefined` if that history is gone. */
+	/** Returns the changes after a revision, or `undefined` if the history after it was compacted or the revision is in the future. */
 	readonly listEvents: (prefix: string, after: number) => readonly StoredEvent[] | undefined;
 	readonly commit: (transaction: Transaction) => TransactionResult;
 	readonly grantLease: (ttlMs: number) => number;
-	/** Yields the time it runs, or `undefined` if it has ended. */
+	/** Extends a lease by its TTL. Returns the TTL in milliseconds, or `undefined` if the lease doesn't exist. */
 	readonly renewLease: (lease: number) => number | undefined;
+	/** Ends a lease and removes its keys. Returns whether the lease existed. */
 	readonly endLease: (lease: number) => boolean;
-	/** Ends every lease whose time is over. */
-	readonly sweep: () => void;
-	/** Removes keys without a trace in anybody's answers, as a store does that revokes leases. */
-	readonly revoke: (prefix: string) => void;
-	readonly forgetHistory: () => void;
-	readonly copy: () => KeySpaceCopy;
-	/** Goes back to a copy: what came after it is gone, its revisions and leases are given out again. Leases of the copy run from now. */
-	readonly restore: (copy: KeySpaceCopy) => void;
-	/** Called after each change. */
+	/** Ends every lease that has expired. */
+	readonly endExpiredLeases: () => void;
+	/** Removes all keys with a prefix without a request from a client, as a store does when it revokes leases. */
+	readonly revokeKeys: (prefix: string) => void;
+	/** Drops the history up to the current revision. */
+	readonly compactHistory: () => void;
+	readonly createBackup: () => KeySpaceBackup;
+	/** Restores a backup: later changes are lost, and their revisions and lease ids are assigned again. The leases in the backup start anew with their full TTL. */
+	readonly restore: (backup: KeySpaceBackup) => void;
+	/** Calls a handler after each change, until the returned function is called. */
 	readonly subscribe: (handleChange: () => void) => () => void;
 };
 
 /**
- * @param readNow - Yields milliseconds.
- * @returns An empty key space.
+ * Creates an empty key space.
+ *
+ * @param readNow - Returns the current time in milliseconds.
+ * @returns The key space.
  */
 export function createKeySpace(readNow: () => number): KeySpace {
 	const items = new Map<string, StoredItem>();
 	const leases = new Map<number, Lease>();
-	const handlers = new Set<() => void>();
+	const subscribers = new Set<() => void>();
 	let history: StoredEvent[] = [];
-	let forgottenUpTo = 0;
+	let compactedRevision = 0;
 	let revision = 1;
 	let nextLease = 100;
 
 	const notify = (): void => {
-		for (const handleChange of handlers) {
+		for (const handleChange of subscribers) {
 			handleChange();
 		}
 	};
@@ -110,7 +117,7 @@
 		getRevision: () => revision,
 		getItem: key => items.get(key),
 		listItems: (prefix, after) => [...items.values()].filter(({key}) => key.startsWith(prefix) && key > after).toSorted((left, right) => left.key < right.key ? -1 : 1),
-		listEvents: (prefix, after) => after < forgottenUpTo || after > revision ? undefined : history.filter(event => event.revision > after && event.key.startsWith(prefix)),
+		listEvents: (prefix, after) => after < compactedRevision || after > revision ? undefined : history.filter(event => event.revision > after && event.key.startsWith(prefix)),
 		commit({expect, writes, remove}) {
 			const stale = expect.some(({key, revision: expected}) => (items.get(key)?.revision ?? 0) !== expected);
 			if (stale) {
@@ -137,58 +144,58 @@
 		},
 		grantLease(ttlMs) {
 			const lease = nextLease++;
-			leases.set(lease, {ttlMs, endsAt: readNow() + ttlMs});
+			leases.set(lease, {ttlMs, expiresAt: readNow() + ttlMs});
 			return lease;
 		},
 		renewLease(id) {
 			const lease = leases.get(id);
 			if (lease !== undefined) {
-				lease.endsAt = readNow() + lease.ttlMs;
+				lease.expiresAt = readNow() + lease.ttlMs;
 			}
 
 			return lease?.ttlMs;
 		},
 		endLease,
-		sweep() {
+		endExpiredLeases() {
 			const now = readNow();
 			for (const [id, lease] of leases) {
-				if (lease.endsAt <= now) {
+				if (lease.expiresAt <= now) {
 					endLease(id);
 				}
 			}
 		},
-		revoke(prefix) {
+		revokeKeys(prefix) {
 			removeKeys([...items.keys()].filter(key => key.startsWith(prefix)));
 			notify();
 		},
-		forgetHistory() {
+		compactHistory() {
 			history = [];
-			forgottenUpTo = revision;
+			compactedRevision = revision;
 			notify();
 		},
-		copy() {
+		createBackup() {
 			return {
 				items: new Map(items), leases: new Map([...leases].map(([id, lease]) => [id, {...lease}])), history: [...history], revision, nextLease,
 			};
 		},
-		restore(copy) {
+		restore(backup) {
 			items.clear();
-			for (const [key, item] of copy.items) {
+			for (const [key, item] of backup.items) {
 				items.set(key, item);
 			}
 
 			leases.clear();
-			for (const [id, {ttlMs}] of copy.leases) {
-				leases.set(id, {ttlMs, endsAt: readNow() + ttlMs});
+			for (const [id, {ttlMs}] of backup.leases) {
+				leases.set(id, {ttlMs, expiresAt: readNow() + ttlMs});
 			}
 
-			history = [...copy.history];
-			({revision, nextLease} = copy);
+			history = [...backup.history];
+			({revision, nextLease} = backup);
 		},
 		subscribe(handleChange) {
-			handlers.add(handleChange);
+			subscribers.add(handleChange);
 			return () => {
-				handlers.delete(handleChange);
+				subscribers.delete(handleChange);
 			};
 		},
 	};
--- a/stand-ins/platform-store/platform-store.ts
+++ b/stand-ins/platform-store/platform-store.ts
@@ -1,6 +1,6 @@
 /**
- * Stands in for the platform's metadata store: its calls over HTTP, and the
- * ways in which it misbehaves.
+ * A stand-in for the platform's metadata store: an HTTP server with the store's
+ * calls, and with faults that a test can switch on.
  *
  * @module
  */
@@ -10,62 +10,63 @@
 } from 'node:http';
 import {type AddressInfo, type Socket} from 'node:net';
 import {
-	createKeySpace, type KeySpace, type KeySpaceCopy, type Transaction,
+	createKeySpace, type KeySpace, type KeySpaceBackup, type Transaction,
 } from './key-space.js';
 
-/** How the store misbehaves. */
+/** A fault of the store. */
 export type StoreFault =
 	| 'none'
-	/** Answers 503 to everything. */
+	/** Rejects every request with status 503. */
 	| 'busy'
-	/** Answers 429 to everything. */
+	/** Rejects every request with status 429. */
 	| 'many'
-	/** Resets every connection. */
+	/** Resets the connection of every request. */
 	| 'reset'
-	/** Answers nothing. */
+	/** Never responds. */
 	| 'silent'
-	/** Executes writes and does not answer them. */
+	/** Executes writes without sending a response; reads work. */
 	| 'lost';
 
 export type PlatformStore = {
 	readonly address: string;
 	readonly keys: KeySpace;
+	/** Sets the fault, and a delay before each response in milliseconds. */
 	readonly setFault: (fault: StoreFault, slowMs?: number) => void;
-	/** Watches hear nothing while this is set. */
-	readonly setDeaf: (isDeaf: boolean) => void;
-	/** Connections of watches that wait now carry nothing more, without a reset; others and new ones work. */
-	readonly muteWatches: () => void;
-	/** Comes back from a copy: watches are cut, and each answer from here on says so. */
-	readonly restore: (copy: KeySpaceCopy) => void;
-	/** The operator's write of a configuration. */
+	/** While set, watches get no events: they end without events after their waiting time. */
+	readonly setWatchEventsSuppressed: (isSuppressed: boolean) => void;
+	/** Sends nothing more on the connections of the pending watches, without closing them, as on half-open connections. Other and new connections work. */
+	readonly stallWatchConnections: () => void;
+	/** Restores a backup: closes the connections of pending watches and increases the era, which each response states in its header `store-era`. */
+	readonly restore: (backup: KeySpaceBackup) => void;
+	/** Writes a configuration as the operator does: a string as it is, any other value as JSON. */
 	readonly putConfig: (value: unknown) => void;
-	/** What the operator wrote last. */
+	/** Returns the configuration that the operator wrote last. */
 	readonly getConfig: () => string | undefined;
-	/** Calls by name, refused ones included. */
+	/** Returns the number of calls by method and path, rejected transactions included. Requests that a fault stops are not counted. */
 	readonly getCounts: () => ReadonlyMap<string, number>;
 	readonly close: () => Promise<void>;
 };
 
-const pageSize = 500;
-const leaseSweepMs = 50;
+const maximumRangeItems = 500;
+const leaseExpiryPeriodMs = 50;
 
-type Body = Readonly<Record<string, unknown>>;
+type JsonBody = Readonly<Record<string, unknown>>;
 
-async function readJson(request: IncomingMessage): Promise<Body> {
+async function readJson(request: IncomingMessage): Promise<JsonBody> {
 	const chunks: Uint8Array[] = [];
 	for await (const chunk of request) {
 		chunks.push(chunk as Uint8Array);
 	}
 
 	const text = Buffer.concat(chunks).toString();
-	return text === '' ? {} : JSON.parse(text) as Body;
+	return text === '' ? {} : JSON.parse(text) as JsonBody;
 }
 
-/** Connections that have fallen silent. */
-const mutedSockets = new WeakSet<Socket>();
+/** Connections on which the store sends nothing more. */
+const stalledSockets = new WeakSet<Socket>();
 
-function answer(response: ServerResponse, status: number, body: unknown): void {
-	if (response.socket !== null && mutedSockets.has(response.socket)) {
+function sendJson(response: ServerResponse, status: number, body: unknown): void {
+	if (response.socket !== null && stalledSockets.has(response.socket)) {
 		return;
 	}
 
@@ -89,101 +90,101 @@
 	const counts = new Map<string, number>();
 	let fault: StoreFault = 'none';
 	let slowMs = 0;
-	let isDeaf = false;
-	const watches = new Set<ServerResponse>();
-	/** How often it has come back from a copy, from one on. */
+	let areWatchEventsSuppressed = false;
+	const pendingWatches = new Set<ServerResponse>();
+	/** Starts at 1 and increases with each restored backup. */
 	let era = 1;
 
 	const getKey = (query: URLSearchParams, response: ServerResponse): void => {
 		const item = keys.getItem(query.get('key') ?? '');
 		const revision = {'store-revision': keys.getRevision()};
-		answer(response, item === undefined ? 404 : 200, item === undefined ? revision : {...item, ...revision});
+		sendJson(response, item === undefined ? 404 : 200, item === undefined ? revision : {...item, ...revision});
 	};
 
 	const getRange = (query: URLSearchParams, response: ServerResponse): void => {
 		const all = keys.listItems(query.get('prefix') ?? '', query.get('after') ?? '');
-		answer(response, 200, {items: all.slice(0, pageSize), 'has-more': all.length > pageSize, 'store-revision': keys.getRevision()});
+		sendJson(response, 200, {items: all.slice(0, maximumRangeItems), 'has-more': all.length > maximumRangeItems, 'store-revision': keys.getRevision()});
 	};
 
 	const watchKeys = (query: URLSearchParams, response: ServerResponse): void => {
 		const prefix = query.get('prefix') ?? '';
 		const after = Number(query.get('after'));
-		const finish = (): boolean => {
+		const answerIfChanged = (): boolean => {
 			const events = keys.listEvents(prefix, after);
 			if (events === undefined) {
-				answer(response, 410, {error: 'this history is gone'});
+				sendJson(response, 410, {error: 'the history after this revision was compacted'});
 				return true;
 			}
 
-			if (events.length === 0 || isDeaf) {
+			if (events.length === 0 || areWatchEventsSuppressed) {
 				return false;
 			}
 
-			answer(response, 200, {events, 'store-revision': keys.getRevision()});
+			sendJson(response, 200, {events, 'store-revision': keys.getRevision()});
 			return true;
 		};
 
-		if (finish()) {
+		if (answerIfChanged()) {
 			return;
 		}
 
-		watches.add(response);
+		pendingWatches.add(response);
 		const stop = (): void => {
 			clearTimeout(timer);
 			unsubscribe();
-			watches.delete(response);
+			pendingWatches.delete(response);
 		};
 
 		const timer = setTimeout(() => {
 			stop();
-			answer(response, 200, {events: [], 'store-revision': keys.getRevision()});
+			sendJson(response, 200, {events: [], 'store-revision': keys.getRevision()});
 		}, Number(query.get('wait-ms')));
 		const unsubscribe = keys.subscribe(() => {
-			if (finish()) {
+			if (answerIfChanged()) {
 				stop();
 			}
 		});
 		response.once('close', stop);
 	};
 
-	const commit = (body: Body, response: ServerResponse): void => {
+	const commit = (body: JsonBody, response: ServerResponse): void => {
 		const {expect = [], writes = [], remove = []} = body as Partial<Transaction>;
 		const transaction: Transaction = {expect, writes, remove};
 		const keysWritten = [...transaction.writes.map(({key}) => key), ...transaction.remove];
 		if (keysWritten.some(key => key.startsWith('op/') || key.startsWith('servers/'))) {
-			answer(response, 403, {error: 'these keys are not yours'});
+			sendJson(response, 403, {error: 'keys with the prefix op/ or servers/ are read-only'});
 			return;
 		}
 
 		const result = keys.commit(transaction);
 		switch (result.type) {
 			case 'done': {
-				answer(response, 200, {revision: result.revision});
+				sendJson(response, 200, {revision: result.revision});
 				break;
 			}
 
 			case 'conflict': {
-				answer(response, 412, {items: result.items});
+				sendJson(response, 412, {items: result.items});
 				break;
 			}
 
 			case 'no-lease': {
-				answer(response, 404, {error: 'no such lease'});
+				sendJson(response, 404, {error: 'no such lease'});
 				break;
 			}
 		}
 	};
 
-	const grantLease = (body: Body, response: ServerResponse): void => {
+	const grantLease = (body: JsonBody, response: ServerResponse): void => {
 		const ttlMs = parseMilliseconds(body.ttl_time);
-		answer(response, 200, {lease: keys.grantLease(ttlMs), ttl_time: `${ttlMs}ms`});
+		sendJson(response, 200, {lease: keys.grantLease(ttlMs), ttl_time: `${ttlMs}ms`});
 	};
 
 	const changeLease = (path: string, response: ServerResponse): void => {
 		const lease = Number(path.split('/').at(-1));
 		const ttlMs = path.startsWith('/v1/kv-keep/') ? keys.renewLease(lease) : undefined;
 		const isDone = ttlMs !== undefined || (path.startsWith('/v1/kv-lease-end/') && keys.endLease(lease));
-		answer(response, isDone ? 200 : 404, ttlMs === undefined ? {} : {ttl_time: `${ttlMs}ms`});
+		sendJson(response, isDone ? 200 : 404, ttlMs === undefined ? {} : {ttl_time: `${ttlMs}ms`});
 	};
 
 	const dispatch = async (request: IncomingMessage, response: ServerResponse): Promise<void> => {
@@ -226,7 +227,7 @@
 
 	const handle = async (request: IncomingMessage, response: ServerResponse): Promise<void> => {
 		if (fault === 'busy' || fault === 'many') {
-			answer(response, fault === 'busy' ? 503 : 429, {error: fault});
+			sendJson(response, fault === 'busy' ? 503 : 429, {error: fault});
 			return;
 		}
 
@@ -240,7 +241,7 @@
 		}
 
 		if (fault === 'lost' && request.method !== 'GET') {
-			// An answer without a connection goes nowhere.
+			// This response object has no connection, so what is written to it is never sent.
 			await dispatch(request, new ServerResponse(request));
 			return;
 		}
@@ -255,7 +256,7 @@
 		try {
 			await handle(request, response);
 		} catch (error) {
-			// A connection that closes within the body ends the request; there is nobody left to answer.
+			// Reading the body fails if the client closes the connection; no response is possible then.
 			if (!request.destroyed) {
 				throw error;
 			}
@@ -268,7 +269,7 @@
 	await new Promise<void>(resolve => {
 		server.listen(0, '127.0.0.1', resolve);
 	});
-	const timer = setInterval(keys.sweep, leaseSweepMs);
+	const timer = setInterval(keys.endExpiredLeases, leaseExpiryPeriodMs);
 	return {
 		address: `127.0.0.1:${(server.address() as AddressInfo).port}`,
 		keys,
@@ -276,20 +277,20 @@
 			fault = next;
 			slowMs = nextSlowMs;
 		},
-		setDeaf(next) {
-			isDeaf = next;
+		setWatchEventsSuppressed(next) {
+			areWatchEventsSuppressed = next;
 		},
-		muteWatches() {
-			for (const {socket} of watches) {
+		stallWatchConnections() {
+			for (const {socket} of pendingWatches) {
 				if (socket !== null) {
-					mutedSockets.add(socket);
+					stalledSockets.add(socket);
 				}
 			}
 		},
-		restore(copy) {
+		restore(backup) {
 			era++;
-			keys.restore(copy);
-			for (const response of watches) {
+			keys.restore(backup);
+			for (const response of pendingWatches) {
 				response.destroy();
 			}
 		},
--- a/stand-ins/store/memory-store.ts
+++ b/stand-ins/store/memory-store.ts
@@ -1,7 +1,8 @@
 /**
- * A stand-in for the platform's key-value service, with its limits and its
- * failures: rates, value size, slowness, outages, answers that are lost after
- * the write took effect, and a return from an old backup.
+ * An in-memory stand-in for the platform's key-value store. It enforces the
+ * limits of the store (request rates, value size) and simulates its faults:
+ * latency, outages, writes that are dropped, responses that are lost after the
+ * write took effect, expired leases and a restored backup.
  *
  * @module
  */
@@ -16,60 +17,62 @@
 	maximumValueBytes, type Store, type StoredValue, type StoreError, type StoreReadError, type StoreWatch, type StoreWrite,
 } from '../../src/lib/store/store.js';
 
-/** What is wrong with the store at the moment. */
+/** The current limits and faults of the store. */
 export type StoreFaults = {
-	/** Milliseconds before each answer. */
+	/** Delay before each response, in milliseconds. */
 	readonly latencyMs: number;
 	readonly isDown: boolean;
-	/** How many of the next writes take effect but lose their answer. */
+	/** How many of the next writes take effect, but their response is lost. */
 	readonly writesToLose: number;
-	/** How many of the next writes are dropped before they take effect, with no answer. */
+	/** How many of the next writes are dropped before they take effect, without a response. */
 	readonly writesToDrop: number;
 	readonly readsPerSecond: number;
 	readonly writesPerSecond: number;
 };
 
-/** What the store was asked for; a waiting watch counts as one call. */
-export type StoreCalls = {
+/** Numbers of calls and bytes. A watch counts as one call, however long it waits. */
+export type StoreCallCounts = {
 	readonly reads: number;
 	readonly writes: number;
 	readonly watches: number;
+	/** Calls of all kinds that exceeded the rate limit. */
 	readonly refused: number;
 	readonly bytesIn: number;
 	readonly bytesOut: number;
 };
 
-/** Everything the store holds. */
-export type StoreImage = ReadonlyArray<readonly [string, StoredValue]>;
+/** All keys of the store with their values. */
+export type StoreBackup = ReadonlyArray<readonly [string, StoredValue]>;
 
 export type MemoryStore = Store & {
 	readonly setFaults: (faults: Partial<StoreFaults>) => void;
 	readonly getFaults: () => StoreFaults;
-	readonly getCalls: () => StoreCalls;
-	readonly getImage: () => StoreImage;
-	/** Ends every lease at once, as when the platform has lost track of them. */
-	readonly lapseLeases: () => void;
-	/** Goes back to an earlier image, as a restored backup does. */
-	readonly restoreImage: (image: StoreImage) => void;
+	readonly getCallCounts: () => StoreCallCounts;
+	readonly createBackup: () => StoreBackup;
+	/** Removes all leased keys at once, as if the platform had lost its leases. */
+	readonly expireLeases: () => void;
+	/** Replaces the content of the store by a backup. */
+	readonly restoreBackup: (backup: StoreBackup) => void;
 };
 
-export const soundStore: StoreFaults = {
+/** A store without faults, with its usual latency and rate limits. */
+export const defaultFaults: StoreFaults = {
 	latencyMs: 1, isDown: false, writesToLose: 0, writesToDrop: 0, readsPerSecond: 2000, writesPerSecond: 400,
 };
 
-const downError: StoreReadError = {type: 'unavailable', reason: 'the store is down'};
+const unavailableError: StoreReadError = {type: 'unavailable', reason: 'the store is down'};
 
 export function createMemoryStore(initialFaults: Partial<StoreFaults> = {}): MemoryStore {
-	let faults: StoreFaults = {...soundStore, ...initialFaults};
-	let calls: StoreCalls = {
+	let faults: StoreFaults = {...defaultFaults, ...initialFaults};
+	let calls: StoreCallCounts = {
 		reads: 0, writes: 0, watches: 0, refused: 0, bytesIn: 0, bytesOut: 0,
 	};
 	let values = new Map<string, StoredValue>();
 	let watchers: ReadonlySet<() => void> = new Set();
 	const buckets = new Map<'reads' | 'writes', TokenBucket>();
-	const leased = new Map<string, number>();
+	const leasedRevisions = new Map<string, number>();
 
-	const hasRate = (kind: 'reads' | 'writes'): boolean => {
+	const tryAcquire = (kind: 'reads' | 'writes'): boolean => {
 		const perSecond = kind === 'reads' ? faults.readsPerSecond : faults.writesPerSecond;
 		const limits = {perSecond, burst: perSecond};
 		const taken = takeToken(buckets.get(kind) ?? createTokenBucket(limits, readNow()), limits, readNow());
@@ -87,13 +90,13 @@
 		}
 	};
 
-	const wakeWatchers = (): void => {
+	const notifyWatchers = (): void => {
 		for (const wake of watchers) {
 			wake();
 		}
 	};
 
-	const countOut = (stored: StoredValue | undefined): void => {
+	const countBytesOut = (stored: StoredValue | undefined): void => {
 		calls = {...calls, bytesOut: calls.bytesOut + (stored?.value.length ?? 0)};
 	};
 
@@ -101,19 +104,19 @@
 		calls = {...calls, reads: calls.reads + 1};
 		await delay();
 		if (faults.isDown) {
-			return err(downError);
+			return err(unavailableError);
 		}
 
-		if (!hasRate('reads')) {
-			return err({type: 'unavailable', reason: 'the store sheds reads'});
+		if (!tryAcquire('reads')) {
+			return err({type: 'unavailable', reason: 'rate limit of reads exceeded'});
 		}
 
 		const stored = values.get(key);
-		countOut(stored);
+		countBytesOut(stored);
 		return ok(stored);
 	};
 
-	const put = ({key, value, expectedRevision, ttlMs: lifeMs}: StoreWrite): Result<number, StoreError> => {
+	const applyWrite = ({key, value, expectedRevision, ttlMs}: StoreWrite): Result<number, StoreError> => {
 		const revision = values.get(key)?.revision ?? 0;
 		if (revision !== expectedRevision) {
 			return err({type: 'conflict', revision});
@@ -125,16 +128,16 @@
 			values.set(key, {value, revision: revision + 1});
 		}
 
-		if (lifeMs !== undefined) {
-			leased.set(key, revision + 1);
+		if (ttlMs !== undefined) {
+			leasedRevisions.set(key, revision + 1);
 			setTimeout(() => {
 				if (values.get(key)?.revision === revision + 1) {
 					values.delete(key);
 				}
-			}, lifeMs).unref();
+			}, ttlMs).unref();
 		}
 
-		wakeWatchers();
+		notifyWatchers();
 		return ok(revision + 1);
 	};
 
@@ -142,11 +145,11 @@
 		calls = {...calls, writes: calls.writes + 1, bytesIn: calls.bytesIn + (request.value?.length ?? 0)};
 		await delay();
 		if (faults.isDown) {
-			return err(downError);
+			return err(unavailableError);
 		}
 
-		if (!hasRate('writes')) {
-			return err({type: 'not-applied', reason: 'the store sheds writes'});
+		if (!tryAcquire('writes')) {
+			return err({type: 'not-applied', reason: 'rate limit of writes exceeded'});
 		}
 
 		if (Buffer.byteLength(request.value ?? '') > maximumValueBytes) {
@@ -158,7 +161,7 @@
 			return err({type: 'unknown', reason: 'the answer was lost'});
 		}
 
-		const result = put(request);
+		const result = applyWrite(request);
 		if (faults.writesToLose > 0) {
 			faults = {...faults, writesToLose: faults.writesToLose - 1};
 			return err({type: 'unknown', reason: 'the answer was lost'});
@@ -196,16 +199,16 @@
 		calls = {...calls, watches: calls.watches + 1};
 		await delay();
 		if (faults.isDown) {
-			return err(downError);
+			return err(unavailableError);
 		}
 
-		if (!hasRate('reads')) {
-			return err({type: 'unavailable', reason: 'the store sheds watches'});
+		if (!tryAcquire('reads')) {
+			return err({type: 'unavailable', reason: 'rate limit of reads exceeded (watch)'});
 		}
 
 		await waitForChange(request);
 		if (faults.isDown) {
-			return err(downError);
+			return err(unavailableError);
 		}
 
 		const stored = values.get(request.key);
@@ -213,7 +216,7 @@
 			return ok(undefined);
 		}
 
-		countOut(stored);
+		countBytesOut(stored);
 		return ok(stored);
 	};
 
@@ -223,24 +226,24 @@
 		watch: request => new ResultAsync(watch(request)),
 		setFaults(changes) {
 			faults = {...faults, ...changes};
-			wakeWatchers();
+			notifyWatchers();
 		},
 		getFaults: () => faults,
-		getCalls: () => calls,
-		lapseLeases() {
-			for (const [key, revision] of leased) {
+		getCallCounts: () => calls,
+		expireLeases() {
+			for (const [key, revision] of leasedRevisions) {
 				if (values.get(key)?.revision === revision) {
 					values.delete(key);
 				}
 			}
 
-			leased.clear();
-			wakeWatchers();
+			leasedRevisions.clear();
+			notifyWatchers();
 		},
-		getImage: () => [...values],
-		restoreImage(image) {
-			values = new Map(image);
-			wakeWatchers();
+		createBackup: () => [...values],
+		restoreBackup(backup) {
+			values = new Map(backup);
+			notifyWatchers();
 		},
 	};
 }
