--- a/bench/calls/call-fleet.ts
+++ b/bench/calls/call-fleet.ts
@@ -15,7 +15,7 @@
 export type CallWorker = {
 	readonly address: string;
 	readonly send: (message: ToCallWorker) => void;
-	readonly report: () => Promise<Extract<FromCallWorker, {readonly type: 'report'}>>;
+	readonly fetchReport: () => Promise<Extract<FromCallWorker, {readonly type: 'report'}>>;
 	readonly dispose: () => Promise<void>;
 };
 
@@ -26,8 +26,8 @@
 };
 
 export type CallFleetOptions = {
-	readonly size: number;
-	readonly slots: number;
+	readonly nodeCount: number;
+	readonly slotsPerServer: number;
 	readonly workMs: number;
 };
 
@@ -45,7 +45,7 @@
 }
 
 /** Starts one node or one backend server in a process of its own. */
-export async function startWorker(message: ToCallWorker): Promise<CallWorker> {
+export async function startCallWorker(message: ToCallWorker): Promise<CallWorker> {
 	const child = fork(fileURLToPath(new URL('call-worker.js', import.meta.url)));
 	const started = waitForMessage(child, 'started');
 	child.send(message);
@@ -55,7 +55,7 @@
 		send(next) {
 			child.send(next);
 		},
-		async report() {
+		async fetchReport() {
 			const reply = waitForMessage(child, 'report');
 			child.send({type: 'report'} satisfies ToCallWorker);
 			return reply;
@@ -84,9 +84,9 @@
 	].map(item => itemSchema.parse(item));
 }
 
-async function startNodes(store: StoreServer, size: number): Promise<readonly CallWorker[]> {
+async function startNodes(store: StoreServer, nodeCount: number): Promise<readonly CallWorker[]> {
 	const nodes: CallWorker[] = [];
-	for (let index = 0; index < size; index++) {
+	for (let index = 0; index < nodeCount; index++) {
 		const host = `127.4.0.${index + 1}`;
 		const settings = settingsSchema.parse({
 			node: `node-${index + 1}`,
@@ -95,7 +95,7 @@
 			store: {address: store.address},
 			seeds: ['127.4.0.1:7003'],
 		});
-		nodes.push(await startWorker({type: 'node', settings}));
+		nodes.push(await startCallWorker({type: 'node', settings}));
 	}
 
 	return nodes;
@@ -104,12 +104,12 @@
 /** Starts the fleet and waits until every node knows every server. */
 export async function startCallFleet(options: CallFleetOptions): Promise<CallFleet> {
 	const store = await startStoreServer('127.0.0.1', 0);
-	const nodes = await startNodes(store, options.size);
+	const nodes = await startNodes(store, options.nodeCount);
 	await sleep(1500);
-	const servers = await Promise.all(nodes.map(async (_, index) => startWorker({
+	const servers = await Promise.all(nodes.map(async (_, index) => startCallWorker({
 		type: 'server',
 		settings: {
-			id: `server-${index + 1}`, service: 'pages', host: '127.0.0.1', port: 0, slots: options.slots, connections: 130, announcements: `127.4.0.${index + 1}:7006`,
+			id: `server-${index + 1}`, service: 'pages', host: '127.0.0.1', port: 0, slots: options.slotsPerServer, connections: 130, announcements: `127.4.0.${index + 1}:7006`,
 		},
 	})));
 	for (const server of servers) {
--- a/bench/calls/call-worker.ts
+++ b/bench/calls/call-worker.ts
@@ -21,21 +21,21 @@
 /** From a worker to the bench. */
 export type FromCallWorker =
 	| {readonly type: 'started'; readonly address: string}
-	| {readonly type: 'report'; readonly cpuMicroseconds: number; readonly ledger: Ledger | undefined; readonly added: {readonly p50: number; readonly p99: number} | undefined};
+	| {readonly type: 'report'; readonly cpuMicroseconds: number; readonly ledger: Ledger | undefined; readonly addedMicroseconds: {readonly p50: number; readonly p99: number} | undefined};
 
 let server: BackendServerStandIn | undefined;
-let getAdded: (() => {readonly p50: number; readonly p99: number}) | undefined;
-let cpu = process.cpuUsage();
+let getAddedMicroseconds: (() => {readonly p50: number; readonly p99: number}) | undefined;
+let lastCpuUsage = process.cpuUsage();
 
-function tell(message: FromCallWorker): void {
+function sendToBench(message: FromCallWorker): void {
 	process.send?.(message);
 }
 
 async function startNode(settings: Settings): Promise<void> {
 	const node = createNode(settings, {store: createHttpStore(settings.store), random: Math.random});
 	await node.start();
-	getAdded = () => node.getStatus().addedMicroseconds;
-	tell({type: 'started', address: settings.listen.callers});
+	getAddedMicroseconds = () => node.getStatus().addedMicroseconds;
+	sendToBench({type: 'started', address: settings.listen.callers});
 }
 
 async function handleMessage(message: ToCallWorker): Promise<void> {
@@ -47,7 +47,7 @@
 
 		case 'server': {
 			server = await startBackendServer({...message.settings, bundleDirectory: tmpdir()});
-			tell({type: 'started', address: server.address});
+			sendToBench({type: 'started', address: server.address});
 			return;
 		}
 
@@ -62,10 +62,10 @@
 		}
 
 		case 'report': {
-			const used = process.cpuUsage(cpu);
-			cpu = process.cpuUsage();
-			tell({
-				type: 'report', cpuMicroseconds: used.user + used.system, ledger: server?.getLedger(), added: getAdded?.(),
+			const used = process.cpuUsage(lastCpuUsage);
+			lastCpuUsage = process.cpuUsage();
+			sendToBench({
+				type: 'report', cpuMicroseconds: used.user + used.system, ledger: server?.getLedger(), addedMicroseconds: getAddedMicroseconds?.(),
 			});
 		}
 	}
--- a/bench/calls/calls.ts
+++ b/bench/calls/calls.ts
@@ -8,10 +8,10 @@
 import {setTimeout as sleep} from 'node:timers/promises';
 import {Agent} from 'undici';
 import {formatMarkdown, getPercentile} from '../statistics.js';
-import {measureOneProcess} from './one-process.js';
+import {measureInProcessCalls} from './in-process-calls.js';
 import {startCallFleet, type CallFleet} from './call-fleet.js';
 import {
-	countKind, createSender, listWholeTimes, runLoad, type CallOutcome, type LoadResult, type Send,
+	countOutcomes, createSender, listCorrectLatencies, runLoad, type CallOutcome, type LoadResult, type SendCall,
 } from './load.js';
 
 export type CallsOptions = {
@@ -22,22 +22,22 @@
 
 type Design = 'mesh' | 'random, no gate' | 'round robin, naive retries';
 
-const size = 3;
-const slots = 12;
+const nodeCount = 3;
+const slotsPerServer = 12;
 /** Long enough that the load of three times the capacity is one that a single load process can send. */
 const workMs = 120;
 /** Calls a second that the servers' slots can work on. */
-const capacity = size * slots * 1000 / workMs;
-const naiveTries = 3;
+const capacityPerSecond = nodeCount * slotsPerServer * 1000 / workMs;
+const naiveAttemptCount = 3;
 const designs: readonly Design[] = ['mesh', 'random, no gate', 'round robin, naive retries'];
 
 /** The baselines send to the servers themselves; the mesh is entered through any node. */
-function createDesignSend(design: Design, fleet: CallFleet, agent: Agent): Send {
+function createDesignSender(design: Design, fleet: CallFleet, agent: Agent): SendCall {
 	const sendOnce = createSender(agent);
-	let turn = 0;
+	let nextIndex = 0;
 	const pickNext = (list: ReadonlyArray<{readonly address: string}>): string => {
-		turn++;
-		return list[turn % list.length]?.address ?? '';
+		nextIndex++;
+		return list[nextIndex % list.length]?.address ?? '';
 	};
 
 	switch (design) {
@@ -46,25 +46,25 @@
 		}
 
 		case 'random, no gate': {
-			return async path => sendOnce(fleet.servers[Math.floor(Math.random() * size)]?.address ?? '', path);
+			return async path => sendOnce(fleet.servers[Math.floor(Math.random() * nodeCount)]?.address ?? '', path);
 		}
 
 		case 'round robin, naive retries': {
 			return async path => {
 				const startedAt = performance.now();
-				let outcome: CallOutcome = {kind: 'late', milliseconds: 0};
-				for (let tries = 0; tries < naiveTries && outcome.kind !== 'whole'; tries++) {
+				let outcome: CallOutcome = {kind: 'late', latencyMs: 0};
+				for (let attempts = 0; attempts < naiveAttemptCount && outcome.kind !== 'correct'; attempts++) {
 					outcome = await sendOnce(pickNext(fleet.servers), path);
 				}
 
-				return {...outcome, milliseconds: performance.now() - startedAt};
+				return {...outcome, latencyMs: performance.now() - startedAt};
 			};
 		}
 	}
 }
 
 async function countServerRequests(fleet: CallFleet): Promise<number> {
-	const reports = await Promise.all(fleet.servers.map(async server => server.report()));
+	const reports = await Promise.all(fleet.servers.map(async server => server.fetchReport()));
 	let total = 0;
 	for (const {ledger} of reports) {
 		total += ledger?.requests ?? 0;
@@ -82,49 +82,49 @@
 };
 
 function formatRow({design, name, result, amplification}: Row): readonly string[] {
-	const times = listWholeTimes(result);
+	const latenciesMs = listCorrectLatencies(result);
 	return [
 		design,
 		name,
-		(countKind(result, 'whole') / result.seconds).toFixed(0),
-		getPercentile(times, 0.5).toFixed(1),
-		getPercentile(times, 0.99).toFixed(1),
-		String(countKind(result, 'not-run')),
-		String(countKind(result, 'late') + countKind(result, 'may-have-run')),
-		String(countKind(result, 'wrong')),
+		(countOutcomes(result, 'correct') / result.seconds).toFixed(0),
+		getPercentile(latenciesMs, 0.5).toFixed(1),
+		getPercentile(latenciesMs, 0.99).toFixed(1),
+		String(countOutcomes(result, 'not-run')),
+		String(countOutcomes(result, 'late') + countOutcomes(result, 'may-have-run')),
+		String(countOutcomes(result, 'wrong')),
 		amplification.toFixed(2),
 	];
 }
 
 type Condition = {
 	readonly name: string;
-	readonly load: number;
+	readonly capacityShare: number;
 	readonly before?: (fleet: CallFleet) => void;
 	readonly during?: (fleet: CallFleet) => Promise<void>;
 };
 
 const conditions: readonly Condition[] = [
-	{name: '0.5 of capacity', load: 0.5},
-	{name: '0.9 of capacity', load: 0.9},
-	{name: '1.5 of capacity', load: 1.5},
-	{name: '3 times capacity', load: 3},
+	{name: '0.5 of capacity', capacityShare: 0.5},
+	{name: '0.9 of capacity', capacityShare: 0.9},
+	{name: '1.5 of capacity', capacityShare: 1.5},
+	{name: '3 times capacity', capacityShare: 3},
 	{
 		name: 'one server 10 times slower, 0.5',
-		load: 0.5,
+		capacityShare: 0.5,
 		before(fleet) {
 			fleet.servers[0]?.send({type: 'behave', behaviour: {workMs: workMs * 10}});
 		},
 	},
 	{
 		name: 'one sheds all but claims health, 0.5',
-		load: 0.5,
+		capacityShare: 0.5,
 		before(fleet) {
 			fleet.servers[0]?.send({type: 'behave', behaviour: {isShedding: true, claimedHealth: 'ok', claimedLoad: 0}});
 		},
 	},
 	{
 		name: 'one server dies, 0.5',
-		load: 0.5,
+		capacityShare: 0.5,
 		async during(fleet) {
 			await sleep(1000);
 			fleet.servers[0]?.send({type: 'kill'});
@@ -134,11 +134,11 @@
 
 async function measureCondition(design: Design, fleet: CallFleet, condition: Condition, seconds: number): Promise<Row> {
 	const agent = new Agent({connections: 400, pipelining: 1});
-	const send = createDesignSend(design, fleet, agent);
+	const send = createDesignSender(design, fleet, agent);
 	condition.before?.(fleet);
 	await sleep(1000);
 	const before = await countServerRequests(fleet);
-	const [result] = await Promise.all([runLoad(send, capacity * condition.load, seconds), condition.during?.(fleet)]);
+	const [result] = await Promise.all([runLoad(send, capacityPerSecond * condition.capacityShare, seconds), condition.during?.(fleet)]);
 	const after = await countServerRequests(fleet);
 	await agent.destroy();
 	return {
@@ -150,7 +150,7 @@
 	const rows: Row[] = [];
 	for (const condition of conditions.filter(({name}) => name.includes(only))) {
 		// Each condition has a fleet of its own: servers that nobody guards would carry the backlog of one into the next.
-		const fleet = await startCallFleet({size, slots, workMs});
+		const fleet = await startCallFleet({nodeCount, slotsPerServer, workMs});
 		const row = await measureCondition(design, fleet, condition, seconds);
 		process.stdout.write(`${formatRow(row).join('  ')}\n`);
 		rows.push(row);
@@ -160,42 +160,42 @@
 	return rows;
 }
 
-function formatAdded(direct: number, through: number): readonly string[] {
-	return [direct, through, through - direct].map(milliseconds => milliseconds.toFixed(2));
+function formatAddedLatency(directMs: number, meshMs: number): readonly string[] {
+	return [directMs, meshMs, meshMs - directMs].map(milliseconds => milliseconds.toFixed(2));
 }
 
 /** What the mesh adds, at the rate of one node in the fleet of the letter. */
-async function measureAdded(seconds: number): Promise<void> {
-	const perNode = 100;
-	const fleet = await startCallFleet({size, slots, workMs: 0});
+async function measureAddedLatency(seconds: number): Promise<void> {
+	const callsPerSecondAndNode = 100;
+	const fleet = await startCallFleet({nodeCount, slotsPerServer, workMs: 0});
 	const agent = new Agent({connections: 100, pipelining: 1});
 	const sendOnce = createSender(agent);
 	const pickAddress = (list: ReadonlyArray<{readonly address: string}>): string => list[Math.floor(Math.random() * list.length)]?.address ?? '';
-	await runLoad(async path => sendOnce(pickAddress(fleet.nodes), path), perNode * size, 2);
+	await runLoad(async path => sendOnce(pickAddress(fleet.nodes), path), callsPerSecondAndNode * nodeCount, 2);
 	const rows: Array<readonly string[]> = [];
 	for (let round = 1; round <= 3; round++) {
-		const direct = listWholeTimes(await runLoad(async path => sendOnce(pickAddress(fleet.servers), path), perNode * size, seconds));
-		const through = listWholeTimes(await runLoad(async path => sendOnce(pickAddress(fleet.nodes), path), perNode * size, seconds));
-		rows.push([String(round), ...[0.5, 0.99].flatMap(share => formatAdded(getPercentile(direct, share), getPercentile(through, share)))]);
+		const directMs = listCorrectLatencies(await runLoad(async path => sendOnce(pickAddress(fleet.servers), path), callsPerSecondAndNode * nodeCount, seconds));
+		const meshMs = listCorrectLatencies(await runLoad(async path => sendOnce(pickAddress(fleet.nodes), path), callsPerSecondAndNode * nodeCount, seconds));
+		rows.push([String(round), ...[0.5, 0.99].flatMap(share => formatAddedLatency(getPercentile(directMs, share), getPercentile(meshMs, share)))]);
 	}
 
-	const reports = await Promise.all(fleet.nodes.map(async node => node.report()));
+	const reports = await Promise.all(fleet.nodes.map(async node => node.fetchReport()));
 	process.stdout.write(`\n${formatMarkdown(['round', 'direct p50 ms', 'mesh p50', 'added', 'direct p99 ms', 'mesh p99', 'added'], rows)}\n`);
-	process.stdout.write(`The nodes' own histograms of added time: p50 ${reports.map(({added}) => added?.p50).join(', ')} µs, p99 ${reports.map(({added}) => added?.p99).join(', ')} µs\n\n`);
+	process.stdout.write(`The nodes' own histograms of added time: p50 ${reports.map(({addedMicroseconds}) => addedMicroseconds?.p50).join(', ')} µs, p99 ${reports.map(({addedMicroseconds}) => addedMicroseconds?.p99).join(', ')} µs\n\n`);
 	await agent.destroy();
 	await fleet.dispose();
 }
 
-async function printAdded(seconds: number): Promise<void> {
-	const ways = await measureOneProcess();
-	process.stdout.write(`\n${formatMarkdown(['one process, one call after another', 'p50 ms', 'p99 ms'], ways.map(({way, p50, p99}) => [way, p50.toFixed(2), p99.toFixed(2)]))}\n`);
-	await measureAdded(seconds);
+async function printAddedLatency(seconds: number): Promise<void> {
+	const paths = await measureInProcessCalls();
+	process.stdout.write(`\n${formatMarkdown(['one process, one call after another', 'p50 ms', 'p99 ms'], paths.map(({path, p50Ms, p99Ms}) => [path, p50Ms.toFixed(2), p99Ms.toFixed(2)]))}\n`);
+	await measureAddedLatency(seconds);
 }
 
 /** Runs the bench and prints its tables. */
 export async function runCalls(options: CallsOptions): Promise<void> {
 	if (options.only === '') {
-		await printAdded(options.seconds);
+		await printAddedLatency(options.seconds);
 	}
 
 	const rows: Row[] = [];
@@ -204,5 +204,5 @@
 	}
 
 	const header = ['design', 'condition', 'whole answers/s', 'p50 ms', 'p99 ms', 'told not run', 'late or lost', 'wrong', 'requests at servers per call'];
-	process.stdout.write(`\nCapacity: ${capacity} calls/s\n\n${formatMarkdown(header, rows.map(row => formatRow(row)))}\n`);
+	process.stdout.write(`\nCapacity: ${capacityPerSecond} calls/s\n\n${formatMarkdown(header, rows.map(row => formatRow(row)))}\n`);
 }
--- a/bench/calls/one-process.ts
+++ b/bench/calls/in-process-calls.ts
@@ -18,14 +18,14 @@
 import {createSender} from './load.js';
 
 /** Milliseconds of one call, by the way it takes. */
-export type OneProcessRow = {
-	readonly way: 'direct' | 'through the node beside the server' | 'through another node';
-	readonly p50: number;
-	readonly p99: number;
+export type PathLatency = {
+	readonly path: 'direct' | 'through the node beside the server' | 'through another node';
+	readonly p50Ms: number;
+	readonly p99Ms: number;
 };
 
-const warmUpCalls = 500;
-const measuredCalls = 3000;
+const warmUpCallCount = 500;
+const measuredCallCount = 3000;
 
 async function startNode(index: number, store: MemoryStore): Promise<Node> {
 	const host = `127.6.0.${index}`;
@@ -40,23 +40,23 @@
 	return node;
 }
 
-async function measureWay(way: OneProcessRow['way'], address: string): Promise<OneProcessRow> {
+async function measurePath(path: PathLatency['path'], address: string): Promise<PathLatency> {
 	const agent = new Agent({connections: 4, pipelining: 1});
 	const send = createSender(agent);
-	const times: number[] = [];
-	for (let call = 0; call < warmUpCalls + measuredCalls; call++) {
-		const {milliseconds} = await send(address, `/logs/${call}`);
-		if (call >= warmUpCalls) {
-			times.push(milliseconds);
+	const latenciesMs: number[] = [];
+	for (let call = 0; call < warmUpCallCount + measuredCallCount; call++) {
+		const {latencyMs} = await send(address, `/logs/${call}`);
+		if (call >= warmUpCallCount) {
+			latenciesMs.push(latencyMs);
 		}
 	}
 
 	await agent.destroy();
-	return {way, p50: getPercentile(times, 0.5), p99: getPercentile(times, 0.99)};
+	return {path, p50Ms: getPercentile(latenciesMs, 0.5), p99Ms: getPercentile(latenciesMs, 0.99)};
 }
 
 /** Measures the three ways, one after another. */
-export async function measureOneProcess(): Promise<readonly OneProcessRow[]> {
+export async function measureInProcessCalls(): Promise<readonly PathLatency[]> {
 	const store = createMemoryStore();
 	const nodes = [await startNode(1, store), await startNode(2, store)];
 	const server = await startBackendServer({
@@ -66,9 +66,9 @@
 	await submitItems('127.6.0.1:7005', createCallItems(), 0);
 	await sleep(3000);
 	const rows = [
-		await measureWay('direct', server.address),
-		await measureWay('through the node beside the server', '127.6.0.1:7001'),
-		await measureWay('through another node', '127.6.0.2:7001'),
+		await measurePath('direct', server.address),
+		await measurePath('through the node beside the server', '127.6.0.1:7001'),
+		await measurePath('through another node', '127.6.0.2:7001'),
 	];
 	await server.kill();
 	await Promise.all(nodes.map(async node => node.dispose()));
--- a/bench/calls/load.ts
+++ b/bench/calls/load.ts
@@ -10,12 +10,12 @@
 
 /** How one call ended. */
 export type CallOutcome = {
-	readonly kind: 'whole' | 'wrong' | 'not-run' | 'may-have-run' | 'late';
-	readonly milliseconds: number;
+	readonly kind: 'correct' | 'wrong' | 'not-run' | 'may-have-run' | 'late';
+	readonly latencyMs: number;
 };
 
 /** Sends one call and says how it ended. */
-export type Send = (path: string) => Promise<CallOutcome>;
+export type SendCall = (path: string) => Promise<CallOutcome>;
 
 export type LoadResult = {
 	readonly outcomes: readonly CallOutcome[];
@@ -23,18 +23,18 @@
 };
 
 const callerTimeoutMs = 1000;
-const tickMs = 5;
+const pollIntervalMs = 5;
 
 /** A caller that sends to one address and waits a second at the most. */
 export function createSender(agent: Agent): (address: string, path: string) => Promise<CallOutcome> {
 	return async (address, path) => {
 		const startedAt = performance.now();
-		const finish = (kind: CallOutcome['kind']): CallOutcome => ({kind, milliseconds: performance.now() - startedAt});
+		const finish = (kind: CallOutcome['kind']): CallOutcome => ({kind, latencyMs: performance.now() - startedAt});
 		try {
 			const reply = await sendRequest(`http://${address}${path}`, {dispatcher: agent, signal: AbortSignal.timeout(callerTimeoutMs)});
 			const body = await reply.body.text();
 			if (reply.statusCode === 200) {
-				return finish(body === createPage(path) ? 'whole' : 'wrong');
+				return finish(body === createPage(path) ? 'correct' : 'wrong');
 			}
 
 			return finish(reply.headers['stonemoor-verdict'] === 'not-run' ? 'not-run' : 'may-have-run');
@@ -45,26 +45,26 @@
 }
 
 /** Sends calls at a rate for a time. */
-export async function runLoad(send: Send, perSecond: number, seconds: number): Promise<LoadResult> {
-	const running: Array<Promise<CallOutcome>> = [];
+export async function runLoad(send: SendCall, callsPerSecond: number, seconds: number): Promise<LoadResult> {
+	const pending: Array<Promise<CallOutcome>> = [];
 	const startedAt = performance.now();
 	while (performance.now() - startedAt < seconds * 1000) {
-		const due = Math.floor((performance.now() - startedAt) / 1000 * perSecond);
-		while (running.length < due) {
-			running.push(send(`/logs/${running.length}?at=${startedAt}`));
+		const dueCount = Math.floor((performance.now() - startedAt) / 1000 * callsPerSecond);
+		while (pending.length < dueCount) {
+			pending.push(send(`/logs/${pending.length}?at=${startedAt}`));
 		}
 
-		await sleep(tickMs);
+		await sleep(pollIntervalMs);
 	}
 
-	const outcomes = await Promise.all(running);
+	const outcomes = await Promise.all(pending);
 	return {outcomes, seconds};
 }
 
-export function countKind(result: LoadResult, kind: CallOutcome['kind']): number {
+export function countOutcomes(result: LoadResult, kind: CallOutcome['kind']): number {
 	return result.outcomes.filter(outcome => outcome.kind === kind).length;
 }
 
-export function listWholeTimes(result: LoadResult): readonly number[] {
-	return result.outcomes.filter(outcome => outcome.kind === 'whole').map(outcome => outcome.milliseconds);
+export function listCorrectLatencies(result: LoadResult): readonly number[] {
+	return result.outcomes.filter(outcome => outcome.kind === 'correct').map(outcome => outcome.latencyMs);
 }
--- a/bench/capacity/capacity.ts
+++ b/bench/capacity/capacity.ts
@@ -11,22 +11,22 @@
 import {createLamportClock} from '../../src/lib/timeline/lamport-clock.js';
 import {createTimeline} from '../../src/lib/timeline/timeline.js';
 import {toCallId, toNodeId} from '../../src/lib/common/ids.js';
-import {measureCalls} from './call-slopes.js';
+import {measureCallCosts} from './call-slopes.js';
 import {
-	measureChanges, measureEmptyProcess, measureFleetSizes, measureLevels,
+	measureChangeRates, measureEmptyProcess, measureFleetSizes, measureTreeLevels,
 } from './fleet-slopes.js';
 import {type CapacityMeasurements} from './model.js';
 import {replaceTables} from './page.js';
 import {
-	measureDirectory, measureHead, measureItems, measureMembers, measureMessages, measureTree, type Slope,
+	measureDirectory, measureHeadRecord, measureItems, measureMembers, measureMessages, measureDigestTree, type Slope,
 } from './slopes.js';
 
 export const measurementsFile = 'docs/measurements/capacity.json';
 export const pageFile = 'docs/CAPACITY.md';
 
-const fullTimeline = 5000;
+const timelineCallCount = 5000;
 
-function measureDatagram(hasSummary: boolean): number {
+function measureDatagramBytes(hasSummary: boolean): number {
 	const laggard = {node: 'node-12345', version: 123_456, reason: ''};
 	const message = create(GossipSchema, {
 		eventTime: 1_234_567n,
@@ -47,11 +47,11 @@
 	return toBinary(GossipSchema, message).length;
 }
 
-function measureTimeline(): number {
+function measureTimelineBytes(): number {
 	globalThis.gc?.();
 	const before = process.memoryUsage().heapUsed;
 	const timeline = createTimeline(toNodeId('node'), createLamportClock());
-	for (let index = 0; index < fullTimeline; index++) {
+	for (let index = 0; index < timelineCallCount; index++) {
 		timeline.record({kind: 'configuration-applied', version: index, from: `node-${index}`});
 		timeline.record({
 			kind: 'call-finished', call: toCallId(`00000000-0000-0000-0000-${String(index).padStart(12, '0')}`), route: 'route', status: 200, verdict: 'ran', version: index, attempts: 1,
@@ -72,25 +72,25 @@
 		}
 	};
 
-	const timelineBytes = measureTimeline();
+	const timelineBytes = measureTimelineBytes();
 	add(measureItems());
-	add(measureTree());
+	add(measureDigestTree());
 	add(measureDirectory());
 	add(measureMembers());
-	add(measureHead());
+	add(measureHeadRecord());
 	add(await measureMessages());
-	add(await measureChanges());
+	add(await measureChangeRates());
 	add(await measureFleetSizes());
-	add(await measureLevels());
-	const calls = await measureCalls();
+	add(await measureTreeLevels());
+	const calls = await measureCallCosts();
 	add(calls.slopes);
 	return {
 		date: new Date().toISOString().slice(0, 10),
 		slopes,
 		emptyProcess: await measureEmptyProcess(),
 		addedP99Ms: calls.addedP99Ms,
-		heartbeatBytes: measureDatagram(false),
-		summaryBytes: measureDatagram(true),
+		heartbeatBytes: measureDatagramBytes(false),
+		summaryBytes: measureDatagramBytes(true),
 		timelineBytes,
 	};
 }
--- a/bench/capacity/fleet-slopes.ts
+++ b/bench/capacity/fleet-slopes.ts
@@ -14,39 +14,39 @@
 import {createItems, createRevisedPool} from '../sample-configuration.js';
 import {getPercentile} from '../statistics.js';
 import {
-	measureConvergence, submitItems, type Submitted,
+	measureConvergence, submitItems, type SubmittedVersion,
 } from '../submitter.js';
 import {waitUntil} from '../../stand-ins/wait-until.js';
 import {createSlope, type Slope} from './slopes.js';
 
-const rates = [0, 2, 5, 10] as const;
-const fleetSizes = [10, 20, 40, 80] as const;
+const changeRatesPerSecond = [0, 2, 5, 10] as const;
+const nodeCounts = [10, 20, 40, 80] as const;
 const fanOuts = [20, 4, 2, 1] as const;
 const measureSeconds = 8;
 const settleMs = 4000;
-const workers = 4;
+const workerCount = 4;
 
 type RunningFleet = {
 	readonly fleet: Fleet;
-	readonly submit: (revision: number) => Promise<Submitted | undefined>;
+	readonly submit: (revision: number) => Promise<SubmittedVersion | undefined>;
 	readonly dispose: () => Promise<void>;
 };
 
-async function openFleet(options: Partial<FleetOptions> & Pick<FleetOptions, 'nodes'>): Promise<RunningFleet> {
+async function startRunningFleet(options: Partial<FleetOptions> & Pick<FleetOptions, 'nodes'>): Promise<RunningFleet> {
 	const store = await startStoreServer('127.0.0.1', 0);
 	const fleet = startFleet({
-		mode: 'mesh', storeAddress: store.address, workers, domains: 1, ...options,
+		mode: 'mesh', storeAddress: store.address, workers: workerCount, domains: 1, ...options,
 	});
 	await waitUntil(() => fleet.countReady() >= options.nodes, 60_000);
-	const operators = fleet.settings[0]?.listen.operators ?? '';
-	await submitItems(operators, createItems(100), 0);
+	const operatorAddress = fleet.settings[0]?.listen.operators ?? '';
+	await submitItems(operatorAddress, createItems(100), 0);
 	await sleep(settleMs);
 	let version = 1;
 	return {
 		fleet,
 		async submit(revision) {
 			const sentAt = Date.now();
-			const outcome = await submitItems(operators, [createRevisedPool(revision % 100, revision)], version);
+			const outcome = await submitItems(operatorAddress, [createRevisedPool(revision % 100, revision)], version);
 			version = outcome.type === 'accepted' ? outcome.version : version;
 			return outcome.type === 'accepted' ? {version, sentAt} : undefined;
 		},
@@ -65,22 +65,22 @@
 	return {usage: await fleet.getUsage(), seconds};
 }
 
-async function submitAtRate(running: RunningFleet, rate: number): Promise<void> {
-	const due = Date.now() + (measureSeconds * 1000);
-	while (Date.now() < due) {
-		await sleep(rate === 0 ? measureSeconds * 1000 : 1000 / rate);
-		if (rate > 0) {
+async function submitAtRate(running: RunningFleet, changesPerSecond: number): Promise<void> {
+	const endsAt = Date.now() + (measureSeconds * 1000);
+	while (Date.now() < endsAt) {
+		await sleep(changesPerSecond === 0 ? measureSeconds * 1000 : 1000 / changesPerSecond);
+		if (changesPerSecond > 0) {
 			await running.submit(Date.now());
 		}
 	}
 }
 
 /** Bytes and processor time of a node by the rate of changes; the intercept is what heartbeats cost. */
-export async function measureChanges(): Promise<readonly Slope[]> {
-	const running = await openFleet({nodes: 20});
+export async function measureChangeRates(): Promise<readonly Slope[]> {
+	const running = await startRunningFleet({nodes: 20});
 	const bytes: Array<[number, number]> = [];
 	const times: Array<[number, number]> = [];
-	for (const rate of rates) {
+	for (const rate of changeRatesPerSecond) {
 		const {usage, seconds} = await measureUsage(running.fleet, async () => submitAtRate(running, rate));
 		bytes.push([rate, usage.controlBytes / usage.nodes / seconds]);
 		times.push([rate, usage.cpuMicroseconds / usage.nodes / seconds]);
@@ -101,8 +101,8 @@
 	const bytes: Array<[number, number]> = [];
 	const times: Array<[number, number]> = [];
 	const heap: Array<[number, number]> = [];
-	for (const nodes of fleetSizes) {
-		const running = await openFleet({nodes});
+	for (const nodes of nodeCounts) {
+		const running = await startRunningFleet({nodes});
 		const {usage, seconds} = await measureUsage(running.fleet, async () => {
 			await sleep(measureSeconds * 1000);
 		});
@@ -134,12 +134,12 @@
 }
 
 /** What one more level of the tree adds to the time until a change is in force everywhere. */
-export async function measureLevels(): Promise<readonly Slope[]> {
+export async function measureTreeLevels(): Promise<readonly Slope[]> {
 	const nodes = 20;
 	const points: Array<[number, number]> = [];
 	for (const fanOut of fanOuts) {
-		const running = await openFleet({nodes, fanOut, batchWindowMs: 0});
-		const submitted: Submitted[] = [];
+		const running = await startRunningFleet({nodes, fanOut, batchWindowMs: 0});
+		const submitted: SubmittedVersion[] = [];
 		for (let revision = 1; revision <= 20; revision++) {
 			const entry = await running.submit(revision);
 			submitted.push(...entry === undefined ? [] : [entry]);
@@ -148,8 +148,8 @@
 
 		await sleep(1000);
 		const names = running.fleet.settings.map(settings => settings.node);
-		const slowest = submitted.map(entry => Math.max(...measureConvergence(running.fleet, names, [entry])));
-		points.push([countLevels(nodes, fanOut), getPercentile(slowest, 0.5)]);
+		const slowestNodeMs = submitted.map(entry => Math.max(...measureConvergence(running.fleet, names, [entry])));
+		points.push([countLevels(nodes, fanOut), getPercentile(slowestNodeMs, 0.5)]);
 		await running.dispose();
 	}
 
--- a/bench/capacity/model.ts
+++ b/bench/capacity/model.ts
@@ -35,16 +35,16 @@
 const recordsPerRestart = 4;
 
 /** Bytes of the UDP and IP headers of one datagram. */
-const headerBytes = 28;
+const datagramHeaderBytes = 28;
 
 /** Steps of the failure detector. */
-const ticksPerSecond = 5;
+const detectorTicksPerSecond = 5;
 
 /** Seconds that a watch waits before it is asked again. */
-const watchSeconds = 25;
+const watchTimeoutSeconds = 25;
 
 /** The size of letter 1. */
-export const letterSize: FleetSize = {
+export const largeFleetSize: FleetSize = {
 	nodes: 16_000,
 	items: 3200 * 3,
 	domains: 36,
@@ -58,7 +58,7 @@
 	readonly role: string;
 	readonly bytesPerSecond: number;
 	/** Processor time in microseconds a second. */
-	readonly microseconds: number;
+	readonly cpuMicrosecondsPerSecond: number;
 	readonly memoryBytes: number;
 	readonly mechanism: string;
 };
@@ -74,11 +74,11 @@
 }
 
 /** Below this fit a line says nothing of what lies beyond its points. */
-const trustedFit = 0.7;
+const minimumFitQuality = 0.7;
 
 /** Follows a line to x. Where the points show no line, the highest of them is taken. */
-export function followLine(slope: Slope, x: number): number {
-	return slope.rSquared < trustedFit
+export function estimateAt(slope: Slope, x: number): number {
+	return slope.rSquared < minimumFitQuality
 		? Math.max(...slope.points.map(([, y]) => y))
 		: Math.max(0, slope.intercept + (slope.slope * x));
 }
@@ -93,7 +93,7 @@
 	return levels;
 }
 
-type Costs = {
+type UnitCosts = {
 	readonly domainSize: number;
 	readonly idleBytes: number;
 	readonly idleMicroseconds: number;
@@ -109,76 +109,76 @@
 	readonly stateBytes: number;
 };
 
-function computeCosts(measurements: CapacityMeasurements, size: FleetSize): Costs {
+function computeUnitCosts(measurements: CapacityMeasurements, size: FleetSize): UnitCosts {
 	const find = (name: string): Slope => findSlope(measurements, name);
 	const domainSize = size.nodes / size.domains;
 	return {
 		domainSize,
 		// Heartbeats do not grow with the domain: each node sends one a second and answers one. UDP and IP headers are 28 bytes more on each of four.
-		idleBytes: find('control bytes of idle nodes a second, together').slope + (4 * headerBytes),
-		idleMicroseconds: find('processor time of idle nodes a second, together').slope + (ticksPerSecond * followLine(find('one step of the failure detector'), domainSize)),
+		idleBytes: find('control bytes of idle nodes a second, together').slope + (4 * datagramHeaderBytes),
+		idleMicroseconds: find('processor time of idle nodes a second, together').slope + (detectorTicksPerSecond * estimateAt(find('one step of the failure detector'), domainSize)),
 		pushBytes: find('pushing one change, bytes').slope,
 		sendMicroseconds: find('pushing one change, processor of the sender').slope,
 		receiveMicroseconds: find('pushing one change, processor of the receiver').slope,
 		recordBytes: find('pushing one record, bytes').slope,
 		sendRecordMicroseconds: find('pushing one record, processor of the sender').slope,
 		receiveRecordMicroseconds: find('pushing one record, processor of the receiver').slope,
-		applyMicroseconds: followLine(find('applying one change'), size.items) + followLine(find('updating the routing table'), size.items),
-		mergeMicroseconds: followLine(find('merging one record'), size.nodes),
+		applyMicroseconds: estimateAt(find('applying one change'), size.items) + estimateAt(find('updating the routing table'), size.items),
+		mergeMicroseconds: estimateAt(find('merging one record'), size.nodes),
 		headBytes: find('head record that a watch answers').slope,
-		stateBytes: followLine(find('memory of the configuration'), size.items) + followLine(find('memory of the directory'), size.nodes)
+		stateBytes: estimateAt(find('memory of the configuration'), size.items) + estimateAt(find('memory of the directory'), size.nodes)
 			+ find('heap of the processes that host the nodes').slope + measurements.timelineBytes,
 	};
 }
 
 /** What each role costs at a size. */
-export function computeRoles(measurements: CapacityMeasurements, size: FleetSize): readonly RoleCost[] {
-	const costs = computeCosts(measurements, size);
+export function computeRoleCosts(measurements: CapacityMeasurements, size: FleetSize): readonly RoleCost[] {
+	const costs = computeUnitCosts(measurements, size);
 	const {changesPerSecond: changes, recordChangesPerSecond: records} = size;
 	const otherRelays = size.domains - 1;
-	const received = (changes * costs.pushBytes) + (records * costs.recordBytes);
-	const handled = (changes * (costs.applyMicroseconds + costs.receiveMicroseconds)) + (records * (costs.mergeMicroseconds + costs.receiveRecordMicroseconds));
-	const leafBytes = costs.idleBytes + received;
-	const leafMicroseconds = costs.idleMicroseconds + handled;
-	const sentOn = fanOut * received;
-	const sentOnMicroseconds = fanOut * ((changes * costs.sendMicroseconds) + (records * costs.sendRecordMicroseconds));
-	const watched = changes * costs.headBytes;
-	const summaries = fanOut * measurements.summaryBytes / 2;
-	const betweenRelays = (2 * otherRelays * measurements.summaryBytes / 2) + (4 * (measurements.heartbeatBytes + headerBytes)) + (records / size.domains * otherRelays * costs.recordBytes);
-	const acceptance = changes * followLine(findSlope(measurements, 'accepting one change'), size.items);
+	const receivedBytes = (changes * costs.pushBytes) + (records * costs.recordBytes);
+	const handlingMicroseconds = (changes * (costs.applyMicroseconds + costs.receiveMicroseconds)) + (records * (costs.mergeMicroseconds + costs.receiveRecordMicroseconds));
+	const leafBytes = costs.idleBytes + receivedBytes;
+	const leafMicroseconds = costs.idleMicroseconds + handlingMicroseconds;
+	const forwardedBytes = fanOut * receivedBytes;
+	const forwardingMicroseconds = fanOut * ((changes * costs.sendMicroseconds) + (records * costs.sendRecordMicroseconds));
+	const watchBytes = changes * costs.headBytes;
+	const summaryBytes = fanOut * measurements.summaryBytes / 2;
+	const relayBytes = (2 * otherRelays * measurements.summaryBytes / 2) + (4 * (measurements.heartbeatBytes + datagramHeaderBytes)) + (records / size.domains * otherRelays * costs.recordBytes);
+	const acceptanceMicroseconds = changes * estimateAt(findSlope(measurements, 'accepting one change'), size.items);
 	return [
 		{
 			role: 'node (leaf of the tree)',
 			bytesPerSecond: leafBytes,
-			microseconds: leafMicroseconds,
+			cpuMicrosecondsPerSecond: leafMicroseconds,
 			memoryBytes: costs.stateBytes,
 			mechanism: 'heartbeats with the random check, `membership/gossip.ts`; push, `distribution/distributor.ts`',
 		},
 		{
 			role: 'inner parent',
-			bytesPerSecond: leafBytes + sentOn + summaries,
-			microseconds: leafMicroseconds + sentOnMicroseconds,
+			bytesPerSecond: leafBytes + forwardedBytes + summaryBytes,
+			cpuMicrosecondsPerSecond: leafMicroseconds + forwardingMicroseconds,
 			memoryBytes: costs.stateBytes,
 			mechanism: 'tree of fan-out 8, `distribution/distribution-tree.ts`; summaries, `distribution/status-collector.ts`',
 		},
 		{
 			role: 'standby',
-			bytesPerSecond: leafBytes + sentOn + summaries + watched,
-			microseconds: leafMicroseconds + sentOnMicroseconds,
+			bytesPerSecond: leafBytes + forwardedBytes + summaryBytes + watchBytes,
+			cpuMicrosecondsPerSecond: leafMicroseconds + forwardingMicroseconds,
 			memoryBytes: costs.stateBytes,
 			mechanism: 'watch of the head, `distribution/relay-watch.ts`',
 		},
 		{
 			role: 'relay',
-			bytesPerSecond: leafBytes + sentOn + summaries + watched + betweenRelays,
-			microseconds: leafMicroseconds + sentOnMicroseconds,
+			bytesPerSecond: leafBytes + forwardedBytes + summaryBytes + watchBytes + relayBytes,
+			cpuMicrosecondsPerSecond: leafMicroseconds + forwardingMicroseconds,
 			memoryBytes: costs.stateBytes,
 			mechanism: 'as the standby, and summaries and records between relays, `distribution/distributor.ts`',
 		},
 		{
 			role: 'relay that accepts every submission too',
-			bytesPerSecond: leafBytes + sentOn + summaries + (2 * watched) + betweenRelays,
-			microseconds: leafMicroseconds + sentOnMicroseconds + acceptance,
+			bytesPerSecond: leafBytes + forwardedBytes + summaryBytes + (2 * watchBytes) + relayBytes,
+			cpuMicrosecondsPerSecond: leafMicroseconds + forwardingMicroseconds + acceptanceMicroseconds,
 			memoryBytes: costs.stateBytes,
 			mechanism: 'one compare-and-swap a batch, `distribution/accept-submissions.ts`',
 		},
@@ -186,18 +186,18 @@
 }
 
 /** Calls on the platform's store. */
-export type StoreCost = {
+export type StoreLoad = {
 	readonly waitingWatches: number;
 	readonly readsPerSecond: number;
 	readonly writesPerSecond: number;
 };
 
-export function computeStore(measurements: CapacityMeasurements, size: FleetSize): StoreCost {
+export function computeStoreLoad(measurements: CapacityMeasurements, size: FleetSize): StoreLoad {
 	const waitingWatches = 2 * size.domains;
 	const changesPerPage = 4096 / (findSlope(measurements, 'head record that a watch answers').slope / 2);
 	return {
 		waitingWatches,
-		readsPerSecond: (waitingWatches / watchSeconds) + (size.changesPerSecond * (waitingWatches + 1)),
+		readsPerSecond: (waitingWatches / watchTimeoutSeconds) + (size.changesPerSecond * (waitingWatches + 1)),
 		writesPerSecond: size.changesPerSecond * (1 + (1 / Math.max(1, changesPerPage))),
 	};
 }
@@ -207,18 +207,18 @@
 	const levels = countLevels(size.nodes / size.domains);
 	const line = findSlope(measurements, 'time until a change is in force everywhere');
 	const batchWindowMs = 50;
-	return {levels, milliseconds: followLine(line, levels) + batchWindowMs};
+	return {levels, milliseconds: estimateAt(line, levels) + batchWindowMs};
 }
 
 /** What calls cost a node of an even fleet. */
-export function computeCalls(measurements: CapacityMeasurements, size: FleetSize): {readonly perNode: number; readonly microseconds: number} {
+export function computeCallCost(measurements: CapacityMeasurements, size: FleetSize): {readonly perNode: number; readonly microseconds: number} {
 	const perNode = size.callsPerSecond / size.nodes;
 	return {perNode, microseconds: perNode * findSlope(measurements, 'processor time of a node a second, calls').slope};
 }
 
 /** What a failure domain that comes back at once asks for. */
-export type ReturnCost = {
-	readonly joiners: number;
+export type RejoinCost = {
+	readonly joiningNodes: number;
 	/** What each of them fetches: the directory and the configuration. */
 	readonly stateBytes: number;
 	/** Seconds until the nodes of the other domains have sent it all. */
@@ -226,19 +226,19 @@
 };
 
 /** Whole states that a node sends a second at the most, as in `distribution/image-limit.ts`. */
-const imagesPerSecond = 4;
+const fullStatesPerSecond = 4;
 
 /** Helpers are drawn at random, so some are asked more often than others and some in vain. */
-const helperUse = 0.25;
+const helperUtilization = 0.25;
 
-export function computeReturn(measurements: CapacityMeasurements, size: FleetSize): ReturnCost {
-	const joiners = size.nodes / size.domains;
-	const helpers = size.nodes - joiners;
+export function computeRejoinCost(measurements: CapacityMeasurements, size: FleetSize): RejoinCost {
+	const joiningNodes = size.nodes / size.domains;
+	const helpers = size.nodes - joiningNodes;
 	const recordBytes = findSlope(measurements, 'pushing one record, bytes').slope;
 	const itemBytes = findSlope(measurements, 'memory of the configuration').slope;
 	return {
-		joiners,
+		joiningNodes,
 		stateBytes: (size.nodes * recordBytes) + (size.items * itemBytes),
-		seconds: joiners * 2 / (helpers * imagesPerSecond * helperUse),
+		seconds: joiningNodes * 2 / (helpers * fullStatesPerSecond * helperUtilization),
 	};
 }
--- a/bench/capacity/page.ts
+++ b/bench/capacity/page.ts
@@ -6,7 +6,7 @@
  */
 import {formatMarkdown} from '../statistics.js';
 import {
-	computeCalls, computeConvergence, computeReturn, computeRoles, computeStore, letterSize,
+	computeCallCost, computeConvergence, computeRejoinCost, computeRoleCosts, computeStoreLoad, largeFleetSize,
 	type CapacityMeasurements, type FleetSize, type RoleCost,
 } from './model.js';
 
@@ -14,19 +14,19 @@
 	bytesPerSecond: 19_000, microseconds: 11_000, memoryBytes: 32_000_000, convergenceMs: 16_000, addedMs: 1.1, reads: 2000, writes: 300,
 } as const;
 
-const begin = '<!-- tables: npm run bench -- capacity -->';
-const end = '<!-- /tables -->';
+const tablesBegin = '<!-- tables: npm run bench -- capacity -->';
+const tablesEnd = '<!-- /tables -->';
 
 function formatMargin(value: number, limit: number): string {
 	const share = value / limit;
 	return share <= 1 ? `${(share * 100).toFixed(0)} %` : `**missed, ${(share * 100).toFixed(0)} %**`;
 }
 
-function formatRole({role, bytesPerSecond, microseconds, memoryBytes, mechanism}: RoleCost): readonly string[] {
+function formatRole({role, bytesPerSecond, cpuMicrosecondsPerSecond, memoryBytes, mechanism}: RoleCost): readonly string[] {
 	return [
 		role,
 		`${(bytesPerSecond / 1000).toFixed(2)} KB/s (${formatMargin(bytesPerSecond, limits.bytesPerSecond)})`,
-		`${(microseconds / 10_000).toFixed(2)} % (${formatMargin(microseconds, limits.microseconds)})`,
+		`${(cpuMicrosecondsPerSecond / 10_000).toFixed(2)} % (${formatMargin(cpuMicrosecondsPerSecond, limits.microseconds)})`,
 		`${(memoryBytes / 1e6).toFixed(1)} MB (${formatMargin(memoryBytes, limits.memoryBytes)})`,
 		mechanism,
 	];
@@ -35,7 +35,7 @@
 function formatRoles(measurements: CapacityMeasurements, size: FleetSize): string {
 	return formatMarkdown(
 		['role', 'bytes, of 19 KB/s', 'processor, of 1.1 % of a core', 'state, of 32 MB', 'carried by'],
-		computeRoles(measurements, size).map(role => formatRole(role)),
+		computeRoleCosts(measurements, size).map(role => formatRole(role)),
 	);
 }
 
@@ -43,11 +43,11 @@
 	return `heap ${(heapBytes / 1e6).toFixed(1)} MB, resident ${(residentBytes / 1e6).toFixed(0)} MB`;
 }
 
-function formatWhole(measurements: CapacityMeasurements, size: FleetSize): string {
-	const store = computeStore(measurements, size);
+function formatTotals(measurements: CapacityMeasurements, size: FleetSize): string {
+	const store = computeStoreLoad(measurements, size);
 	const {levels, milliseconds} = computeConvergence(measurements, size);
-	const calls = computeCalls(measurements, size);
-	const rejoin = computeReturn(measurements, size);
+	const calls = computeCallCost(measurements, size);
+	const rejoin = computeRejoinCost(measurements, size);
 	const {emptyProcess, addedP99Ms} = measurements;
 	return formatMarkdown(['figure', 'value', 'limit', 'used'], [
 		[`in force everywhere, no fault (${levels} levels, window 50 ms)`, `${milliseconds.toFixed(0)} ms`, '16 s', formatMargin(milliseconds, limits.convergenceMs)],
@@ -60,7 +60,7 @@
 		['a process that has loaded the library and runs nothing', formatProcess(emptyProcess), 'stated apart', '–'],
 		['whole state that a node without memory fetches, at the most', `${(rejoin.stateBytes / 1e6).toFixed(1)} MB`, '–', '–'],
 		[
-			`a failure domain of ${rejoin.joiners.toFixed(0)} comes back at once: the others send it, 4 whole states a second each`,
+			`a failure domain of ${rejoin.joiningNodes.toFixed(0)} comes back at once: the others send it, 4 whole states a second each`,
 			`${rejoin.seconds.toFixed(2)} s`,
 			'16 s',
 			formatMargin(rejoin.seconds, 16),
@@ -79,13 +79,13 @@
 }
 
 /** Ten times the nodes, services, changes and calls, in as many failure domains. */
-const tenfold: FleetSize = {
-	...letterSize,
-	nodes: letterSize.nodes * 10,
-	items: letterSize.items * 10,
-	changesPerSecond: letterSize.changesPerSecond * 10,
-	recordChangesPerSecond: letterSize.recordChangesPerSecond * 10,
-	callsPerSecond: letterSize.callsPerSecond * 10,
+const tenfoldFleetSize: FleetSize = {
+	...largeFleetSize,
+	nodes: largeFleetSize.nodes * 10,
+	items: largeFleetSize.items * 10,
+	changesPerSecond: largeFleetSize.changesPerSecond * 10,
+	recordChangesPerSecond: largeFleetSize.recordChangesPerSecond * 10,
+	callsPerSecond: largeFleetSize.callsPerSecond * 10,
 };
 
 function formatDatagrams({heartbeatBytes, summaryBytes, timelineBytes}: CapacityMeasurements): string {
@@ -98,11 +98,11 @@
 	return [
 		`Measured on ${measurements.date}.`,
 		'## Roles at 16,000 nodes',
-		formatRoles(measurements, letterSize),
+		formatRoles(measurements, largeFleetSize),
 		'## The whole',
-		formatWhole(measurements, letterSize),
+		formatTotals(measurements, largeFleetSize),
 		'## At ten times the size',
-		formatRoles(measurements, tenfold),
+		formatRoles(measurements, tenfoldFleetSize),
 		'## Slopes',
 		formatSlopes(measurements),
 		formatDatagrams(measurements),
@@ -111,11 +111,11 @@
 
 /** Puts the tables in their place on the page. */
 export function replaceTables(page: string, measurements: CapacityMeasurements): string {
-	const from = page.indexOf(begin);
-	const to = page.indexOf(end);
+	const from = page.indexOf(tablesBegin);
+	const to = page.indexOf(tablesEnd);
 	if (from === -1 || to === -1) {
-		throw new Error(`the page lacks the marks ${begin} and ${end}`);
+		throw new Error(`the page lacks the marks ${tablesBegin} and ${tablesEnd}`);
 	}
 
-	return `${page.slice(0, from + begin.length)}\n\n${formatTables(measurements)}\n\n${page.slice(to)}`;
+	return `${page.slice(0, from + tablesBegin.length)}\n\n${formatTables(measurements)}\n\n${page.slice(to)}`;
 }
--- a/bench/capacity/peer-node.ts
+++ b/bench/capacity/peer-node.ts
@@ -4,7 +4,7 @@
  * @module
  */
 import {settingsSchema, type Address} from '../../src/index.js';
-import {startWorker, type CallWorker} from '../calls/call-fleet.js';
+import {startCallWorker, type CallWorker} from '../calls/call-fleet.js';
 import {createListenAddresses} from '../../stand-ins/loopback-addresses.js';
 
 export type PeerNode = CallWorker & {readonly controlAddress: Address};
@@ -16,7 +16,7 @@
 		listen: createListenAddresses(`127.3.0.${index + 1}`),
 		store: {address: '127.0.0.1:9'},
 	});
-	const worker = await startWorker({type: 'node', settings});
+	const worker = await startCallWorker({type: 'node', settings});
 	return {...worker, controlAddress: settings.listen.control};
 }
 
--- a/bench/capacity/slopes.ts
+++ b/bench/capacity/slopes.ts
@@ -25,11 +25,11 @@
 import {createDetectorState, defaultDetectorSettings, stepDetector} from '../../src/lib/membership/failure-detector.js';
 import {buildRoutingTable, updateRoutingTable} from '../../src/lib/routing/routing-table.js';
 import {createItems, createRevisedPool} from '../sample-configuration.js';
-import {fitLine, measureMedian, type Fit} from '../statistics.js';
+import {fitLine, measureMedianMicroseconds, type LinearFit} from '../statistics.js';
 import {startPeerNodes, type PeerNode} from './peer-node.js';
 
 /** One measured slope, with its points. */
-export type Slope = Fit & {
+export type Slope = LinearFit & {
 	readonly name: string;
 	/** What one step along x is. */
 	readonly per: string;
@@ -37,10 +37,10 @@
 	readonly points: ReadonlyArray<readonly [number, number]>;
 };
 
-const itemSizes = [600, 2400, 4800, 9600] as const;
-const directorySizes = [2000, 4000, 8000, 16_000] as const;
-const memberSizes = [50, 100, 200, 444] as const;
-const pushRounds = [25, 50, 100, 200] as const;
+const itemCounts = [600, 2400, 4800, 9600] as const;
+const directoryNodeCounts = [2000, 4000, 8000, 16_000] as const;
+const memberCounts = [50, 100, 200, 444] as const;
+const pushRoundCounts = [25, 50, 100, 200] as const;
 const childCount = 8;
 const itemsPerService = 3;
 
@@ -50,7 +50,7 @@
 	};
 }
 
-function measureHeap<T>(build: () => T): {readonly value: T; readonly bytes: number} {
+function measureHeapBytes<T>(build: () => T): {readonly value: T; readonly bytes: number} {
 	globalThis.gc?.();
 	const before = process.memoryUsage().heapUsed;
 	const value = build();
@@ -69,19 +69,19 @@
 
 /** What the items of a configuration cost. */
 export function measureItems(): readonly Slope[] {
-	const heap: Array<[number, number]> = [];
-	const applied: Array<[number, number]> = [];
-	const accepted: Array<[number, number]> = [];
-	const routed: Array<[number, number]> = [];
-	for (const size of itemSizes) {
-		const {value: configuration, bytes} = measureHeap(() => createSizedConfiguration(size));
+	const heapPoints: Array<[number, number]> = [];
+	const applyPoints: Array<[number, number]> = [];
+	const acceptPoints: Array<[number, number]> = [];
+	const routePoints: Array<[number, number]> = [];
+	for (const size of itemCounts) {
+		const {value: configuration, bytes} = measureHeapBytes(() => createSizedConfiguration(size));
 		const delta = createSampleDelta(configuration, 7);
 		const table = buildRoutingTable(configuration);
 		const route: ItemChange = {type: 'put', item: createItems(8).at(-1)!};
-		heap.push([size, bytes]);
-		applied.push([size, measureMedian(400, () => applyDelta(configuration, delta))]);
-		routed.push([size, measureMedian(200, () => updateRoutingTable(table, configuration, [route]))]);
-		accepted.push([size, measureMedian(200, () => {
+		heapPoints.push([size, bytes]);
+		applyPoints.push([size, measureMedianMicroseconds(400, () => applyDelta(configuration, delta))]);
+		routePoints.push([size, measureMedianMicroseconds(200, () => updateRoutingTable(table, configuration, [route]))]);
+		acceptPoints.push([size, measureMedianMicroseconds(200, () => {
 			findItemProblems(delta.changes);
 			evaluateSubmission(configuration, configuration.tree, {
 				id: toSubmissionId('s'), seenVersion: 0, bases: {}, changes: delta.changes,
@@ -91,10 +91,10 @@
 	}
 
 	return [
-		createSlope('memory of the configuration', 'item', 'bytes', heap),
-		createSlope('applying one change', 'item held', 'microseconds', applied),
-		createSlope('accepting one change', 'item held', 'microseconds', accepted),
-		createSlope('updating the routing table', 'item held', 'microseconds', routed),
+		createSlope('memory of the configuration', 'item', 'bytes', heapPoints),
+		createSlope('applying one change', 'item held', 'microseconds', applyPoints),
+		createSlope('accepting one change', 'item held', 'microseconds', acceptPoints),
+		createSlope('updating the routing table', 'item held', 'microseconds', routePoints),
 	];
 }
 
@@ -128,33 +128,33 @@
 
 /** What the nodes in the directory cost. */
 export function measureDirectory(): readonly Slope[] {
-	const heap: Array<[number, number]> = [];
-	const merged: Array<[number, number]> = [];
-	for (const size of directorySizes) {
-		const {value: directory, bytes} = measureHeap(() => createSizedDirectory(size));
+	const heapPoints: Array<[number, number]> = [];
+	const mergePoints: Array<[number, number]> = [];
+	for (const size of directoryNodeCounts) {
+		const {value: directory, bytes} = measureHeapBytes(() => createSizedDirectory(size));
 		let sequence = 2;
-		heap.push([size, bytes]);
-		merged.push([size, measureMedian(300, () => {
+		heapPoints.push([size, bytes]);
+		mergePoints.push([size, measureMedianMicroseconds(300, () => {
 			sequence++;
 			mergeRecords(directory, [createSampleRecord(sequence % size, sequence)]);
 		})]);
 	}
 
 	return [
-		createSlope('memory of the directory', 'node', 'bytes', heap),
-		createSlope('merging one record', 'node held', 'microseconds', merged),
+		createSlope('memory of the directory', 'node', 'bytes', heapPoints),
+		createSlope('merging one record', 'node held', 'microseconds', mergePoints),
 	];
 }
 
 /** What the members of a failure domain cost. */
 export function measureMembers(): readonly Slope[] {
-	const ticks: Array<[number, number]> = [];
-	const orders: Array<[number, number]> = [];
-	for (const size of memberSizes) {
+	const tickPoints: Array<[number, number]> = [];
+	const orderPoints: Array<[number, number]> = [];
+	for (const size of memberCounts) {
 		const members = Array.from({length: size}, (_, index) => toNodeId(`node-${index}`));
 		let state = createDetectorState(0);
 		let now = 0;
-		ticks.push([size, measureMedian(1000, () => {
+		tickPoints.push([size, measureMedianMicroseconds(1000, () => {
 			now += 200;
 			const step = stepDetector(state, {type: 'tick', now, members}, defaultDetectorSettings, Math.random);
 			state = step.state;
@@ -164,17 +164,17 @@
 				}
 			}
 		})]);
-		orders.push([size, measureMedian(200, () => sortMembers(members))]);
+		orderPoints.push([size, measureMedianMicroseconds(200, () => sortMembers(members))]);
 	}
 
 	return [
-		createSlope('one step of the failure detector', 'member', 'microseconds', ticks),
-		createSlope('computing the tree\'s order', 'member', 'microseconds', orders),
+		createSlope('one step of the failure detector', 'member', 'microseconds', tickPoints),
+		createSlope('computing the tree\'s order', 'member', 'microseconds', orderPoints),
 	];
 }
 
-async function reportAll(nodes: readonly PeerNode[]): Promise<number> {
-	const reports = await Promise.all(nodes.map(async node => node.report()));
+async function sumCpuMicroseconds(nodes: readonly PeerNode[]): Promise<number> {
+	const reports = await Promise.all(nodes.map(async node => node.fetchReport()));
 	let total = 0;
 	for (const {cpuMicroseconds} of reports) {
 		total += cpuMicroseconds;
@@ -183,19 +183,19 @@
 	return total;
 }
 
-type Push = {readonly name: string; readonly send: (client: PeerClient, node: PeerNode) => Promise<unknown>};
+type PushKind = {readonly name: string; readonly send: (client: PeerClient, node: PeerNode) => Promise<unknown>};
 
-async function measurePush(push: Push, nodes: readonly PeerNode[]): Promise<readonly Slope[]> {
+async function measurePush(push: PushKind, nodes: readonly PeerNode[]): Promise<readonly Slope[]> {
 	const meter = createByteMeter();
 	const peers = createPeers(meter, createSystemNetwork());
-	const bytes: Array<[number, number]> = [];
-	const sending: Array<[number, number]> = [];
-	const receiving: Array<[number, number]> = [];
+	const bytePoints: Array<[number, number]> = [];
+	const sendPoints: Array<[number, number]> = [];
+	const receivePoints: Array<[number, number]> = [];
 	const pushToAll = async (): Promise<unknown> => Promise.all(nodes.map(async node => push.send(peers.getClient(node.controlAddress), node)));
 	await pushToAll();
-	for (const rounds of pushRounds) {
+	for (const rounds of pushRoundCounts) {
 		const before = meter.getCounts();
-		await reportAll(nodes);
+		await sumCpuMicroseconds(nodes);
 		const cpu = process.cpuUsage();
 		for (let round = 0; round < rounds; round++) {
 			await pushToAll();
@@ -204,16 +204,16 @@
 		const used = process.cpuUsage(cpu);
 		const after = meter.getCounts();
 		const messages = rounds * nodes.length;
-		bytes.push([messages, after.sent + after.received - before.sent - before.received]);
-		sending.push([messages, used.user + used.system]);
-		receiving.push([messages, await reportAll(nodes)]);
+		bytePoints.push([messages, after.sent + after.received - before.sent - before.received]);
+		sendPoints.push([messages, used.user + used.system]);
+		receivePoints.push([messages, await sumCpuMicroseconds(nodes)]);
 	}
 
 	peers.dispose();
 	return [
-		createSlope(`${push.name}, bytes`, 'message', 'bytes', bytes),
-		createSlope(`${push.name}, processor of the sender`, 'message', 'microseconds', sending),
-		createSlope(`${push.name}, processor of the receiver`, 'message', 'microseconds', receiving),
+		createSlope(`${push.name}, bytes`, 'message', 'bytes', bytePoints),
+		createSlope(`${push.name}, processor of the sender`, 'message', 'microseconds', sendPoints),
+		createSlope(`${push.name}, processor of the receiver`, 'message', 'microseconds', receivePoints),
 	];
 }
 
@@ -239,7 +239,7 @@
 }
 
 /** How large the head record is on average, as every relay receives it with every change. */
-export function measureHead(): readonly Slope[] {
+export function measureHeadRecord(): readonly Slope[] {
 	let configuration = createSizedConfiguration(600);
 	let record: HeadRecord | undefined;
 	let total = 0;
@@ -258,11 +258,11 @@
 }
 
 /** A tree of 256 buckets that changes one entry: the part of every change that does not depend on its kind. */
-export function measureTree(): readonly Slope[] {
-	const points = itemSizes.map((size): [number, number] => {
+export function measureDigestTree(): readonly Slope[] {
+	const points = itemCounts.map((size): [number, number] => {
 		const {tree} = createSizedConfiguration(size);
 		let round = 0;
-		return [size, measureMedian(400, () => {
+		return [size, measureMedianMicroseconds(400, () => {
 			round++;
 			applyTreeChanges(tree, [{key: `pool/service-${round % 100}`, entry: undefined}]);
 		})];
--- a/bench/distribution.ts
+++ b/bench/distribution.ts
@@ -14,7 +14,7 @@
 import {createItems, createRevisedPool} from './sample-configuration.js';
 import {formatMarkdown, getPercentile} from './statistics.js';
 import {
-	measureConvergence, submitItems, type Submitted,
+	measureConvergence, submitItems, type SubmittedVersion,
 } from './submitter.js';
 
 export type DistributionOptions = {
@@ -33,23 +33,23 @@
 	readonly mode: FleetMode;
 	readonly nodes: number;
 	readonly phase: string;
-	readonly convergence: readonly number[];
+	readonly convergenceMs: readonly number[];
 	readonly bytesPerNodeSecond: number;
 	readonly storeCallsPerSecond: number;
 	readonly cpuPercent: number;
-	readonly heapPerNode: number;
+	readonly heapBytesPerNode: number;
 };
 
-const services = 100;
+const serviceCount = 100;
 const readyTimeoutMs = 60_000;
 const settleMs = 3000;
-const normalRate = 0.75;
-const burstRate = 20;
+const normalChangesPerSecond = 0.75;
+const burstChangesPerSecond = 20;
 
-type Bench = {
+type DistributionBench = {
 	readonly fleet: Fleet;
 	readonly store: StoreServer;
-	readonly acceptor: string;
+	readonly acceptorAddress: string;
 	readonly mode: FleetMode;
 	readonly dispose: (() => Promise<void>) | undefined;
 	revision: number;
@@ -79,7 +79,7 @@
 	};
 }
 
-async function startBench(mode: FleetMode, nodes: number, options: DistributionOptions): Promise<Bench> {
+async function startBench(mode: FleetMode, nodes: number, options: DistributionOptions): Promise<DistributionBench> {
 	const store = await startStoreServer('127.0.0.1', 0);
 	store.store.setFaults({readsPerSecond: 100_000, writesPerSecond: 100_000});
 	const acceptor = mode === 'mesh' ? undefined : await startAcceptor(store.address);
@@ -94,14 +94,14 @@
 
 	await sleep(settleMs);
 	return {
-		fleet, store, mode, acceptor: acceptor?.address ?? first.listen.operators, revision: 0, version: 0, dispose: acceptor?.dispose,
+		fleet, store, mode, acceptorAddress: acceptor?.address ?? first.listen.operators, revision: 0, version: 0, dispose: acceptor?.dispose,
 	};
 }
 
-async function submitChange(bench: Bench): Promise<Submitted | undefined> {
+async function submitChange(bench: DistributionBench): Promise<SubmittedVersion | undefined> {
 	bench.revision++;
 	const sentAt = Date.now();
-	const outcome = await submitItems(bench.acceptor, [createRevisedPool(bench.revision % services, bench.revision)], bench.version);
+	const outcome = await submitItems(bench.acceptorAddress, [createRevisedPool(bench.revision % serviceCount, bench.revision)], bench.version);
 	if (outcome.type !== 'accepted') {
 		return undefined;
 	}
@@ -110,31 +110,31 @@
 	return {version: outcome.version, sentAt};
 }
 
-async function submitAtRate(bench: Bench, rate: number, seconds: number): Promise<readonly Submitted[]> {
-	const waiting: Array<Promise<Submitted | undefined>> = [];
-	const due = Date.now() + (seconds * 1000);
-	while (Date.now() < due) {
-		waiting.push(submitChange(bench));
-		await sleep(1000 / rate);
+async function submitAtRate(bench: DistributionBench, changesPerSecond: number, seconds: number): Promise<readonly SubmittedVersion[]> {
+	const pending: Array<Promise<SubmittedVersion | undefined>> = [];
+	const endsAt = Date.now() + (seconds * 1000);
+	while (Date.now() < endsAt) {
+		pending.push(submitChange(bench));
+		await sleep(1000 / changesPerSecond);
 	}
 
-	const submitted = await Promise.all(waiting);
+	const submitted = await Promise.all(pending);
 	return submitted.flatMap(entry => entry ?? []);
 }
 
 type Phase = {
 	readonly name: string;
-	readonly run: (bench: Bench) => Promise<readonly Submitted[]>;
+	readonly run: (bench: DistributionBench) => Promise<readonly SubmittedVersion[]>;
 	/** Nodes that are expected to follow. */
-	readonly listFollowers?: (bench: Bench) => readonly string[];
+	readonly listExpectedNodes?: (bench: DistributionBench) => readonly string[];
 };
 
-async function measurePhase(bench: Bench, nodes: number, phase: Phase): Promise<Row> {
+async function measurePhase(bench: DistributionBench, nodes: number, phase: Phase): Promise<Row> {
 	await bench.fleet.getUsage();
 	const before = bench.store.store.getCalls();
 	const startedAt = Date.now();
 	const submitted = await phase.run(bench);
-	const names = phase.listFollowers?.(bench) ?? bench.fleet.settings.map(settings => settings.node);
+	const names = phase.listExpectedNodes?.(bench) ?? bench.fleet.settings.map(settings => settings.node);
 	await waitUntil(() => measureConvergence(bench.fleet, names, submitted.slice(-1)).every(ms => Number.isFinite(ms)), 20_000);
 	const seconds = (Date.now() - startedAt) / 1000;
 	const usage = await bench.fleet.getUsage();
@@ -146,11 +146,11 @@
 		mode: bench.mode,
 		nodes,
 		phase: phase.name,
-		convergence: measureConvergence(bench.fleet, names, submitted),
+		convergenceMs: measureConvergence(bench.fleet, names, submitted),
 		bytesPerNodeSecond: controlBytes / nodes / seconds,
 		storeCallsPerSecond: storeCalls / seconds,
 		cpuPercent: usage.cpuMicroseconds / nodes / seconds / 10_000,
-		heapPerNode: usage.heapBytes / nodes,
+		heapBytesPerNode: usage.heapBytes / nodes,
 	};
 }
 
@@ -163,20 +163,20 @@
 				return [];
 			},
 		},
-		{name: `${normalRate} changes/s`, run: async bench => submitAtRate(bench, normalRate, seconds)},
-		{name: `burst of ${burstRate}/s`, run: async bench => submitAtRate(bench, burstRate, Math.min(5, seconds))},
+		{name: `${normalChangesPerSecond} changes/s`, run: async bench => submitAtRate(bench, normalChangesPerSecond, seconds)},
+		{name: `burst of ${burstChangesPerSecond}/s`, run: async bench => submitAtRate(bench, burstChangesPerSecond, Math.min(5, seconds))},
 	];
 }
 
-type OwnStatus = {readonly isRelay: boolean; readonly node: string; readonly children: readonly string[]; readonly failureDomain: string};
+type NodeStatus = {readonly isRelay: boolean; readonly node: string; readonly children: readonly string[]; readonly failureDomain: string};
 
-async function fetchStatus(operators: string): Promise<OwnStatus> {
-	const reply = await fetch(`http://${operators}/v1/status`);
-	return await reply.json() as OwnStatus;
+async function fetchStatus(operatorAddress: string): Promise<NodeStatus> {
+	const reply = await fetch(`http://${operatorAddress}/v1/status`);
+	return await reply.json() as NodeStatus;
 }
 
 /** Finds a relay, or an inner parent, that is not the node that accepts. */
-async function findVictim(bench: Bench, wantsRelay: boolean): Promise<string> {
+async function findNodeToStop(bench: DistributionBench, wantsRelay: boolean): Promise<string> {
 	for (const settings of bench.fleet.settings.slice(1)) {
 		const status = await fetchStatus(settings.listen.operators);
 		if (status.isRelay === wantsRelay && (wantsRelay || status.children.length > 0)) {
@@ -187,29 +187,29 @@
 	return bench.fleet.settings.at(-1)?.node ?? '';
 }
 
-function createKillPhase(name: string, wantsRelay: boolean): Phase {
-	let victim = '';
+function createStopPhase(name: string, wantsRelay: boolean): Phase {
+	let stoppedNode = '';
 	return {
 		name,
 		async run(bench) {
-			victim = await findVictim(bench, wantsRelay);
-			bench.fleet.sendTo(victim, {type: 'stop', node: victim});
+			stoppedNode = await findNodeToStop(bench, wantsRelay);
+			bench.fleet.sendTo(stoppedNode, {type: 'stop', node: stoppedNode});
 			const submitted = await submitAtRate(bench, 2, 8);
-			bench.fleet.sendTo(victim, {type: 'restart', node: victim});
+			bench.fleet.sendTo(stoppedNode, {type: 'restart', node: stoppedNode});
 			return submitted;
 		},
-		listFollowers: bench => bench.fleet.settings.map(settings => settings.node).filter(node => node !== victim),
+		listExpectedNodes: bench => bench.fleet.settings.map(settings => settings.node).filter(node => node !== stoppedNode),
 	};
 }
 
-const storeDownPhase: Phase = {
+const storeOutagePhase: Phase = {
 	name: 'store down 30 s, then back',
 	async run(bench) {
 		bench.store.store.setFaults({isDown: true});
 		await sleep(30_000);
 		bench.store.store.setFaults({isDown: false});
-		const due = Date.now() + 15_000;
-		while (Date.now() < due) {
+		const giveUpAt = Date.now() + 15_000;
+		while (Date.now() < giveUpAt) {
 			const submitted = await submitChange(bench);
 			if (submitted !== undefined) {
 				return [submitted];
@@ -222,11 +222,11 @@
 	},
 };
 
-const herdPhase: Phase = {
+const massRestartPhase: Phase = {
 	name: 'a third restarts at once',
 	async run(bench) {
-		const third = bench.fleet.settings.filter((_, index) => index % 3 === 1);
-		for (const {node} of third) {
+		const restarting = bench.fleet.settings.filter((_, index) => index % 3 === 1);
+		for (const {node} of restarting) {
 			bench.fleet.sendTo(node, {type: 'restart', node});
 		}
 
@@ -235,16 +235,16 @@
 };
 
 const faultPhases: readonly Phase[] = [
-	createKillPhase('an inner parent dies', false),
-	createKillPhase('a relay dies', true),
-	herdPhase,
-	storeDownPhase,
+	createStopPhase('an inner parent dies', false),
+	createStopPhase('a relay dies', true),
+	massRestartPhase,
+	storeOutagePhase,
 ];
 
 async function measureFleet(mode: FleetMode, nodes: number, options: DistributionOptions): Promise<readonly Row[]> {
 	const bench = await startBench(mode, nodes, options);
 	try {
-		const outcome = await submitItems(bench.acceptor, createItems(services), 0);
+		const outcome = await submitItems(bench.acceptorAddress, createItems(serviceCount), 0);
 		bench.version = outcome.type === 'accepted' ? outcome.version : 0;
 		await sleep(settleMs);
 		const rows: Row[] = [];
@@ -264,8 +264,8 @@
 }
 
 function formatRow(row: Row): readonly string[] {
-	const {convergence} = row;
-	const format = (share: number): string => convergence.length === 0 ? '–' : getPercentile(convergence, share).toFixed(0);
+	const {convergenceMs} = row;
+	const format = (share: number): string => convergenceMs.length === 0 ? '–' : getPercentile(convergenceMs, share).toFixed(0);
 	return [
 		row.mode,
 		String(row.nodes),
@@ -276,7 +276,7 @@
 		row.bytesPerNodeSecond.toFixed(0),
 		row.storeCallsPerSecond.toFixed(1),
 		row.cpuPercent.toFixed(2),
-		(row.heapPerNode / 1e6).toFixed(1),
+		(row.heapBytesPerNode / 1e6).toFixed(1),
 	];
 }
 
--- a/bench/experiment/entry.ts
+++ b/bench/experiment/entry.ts
@@ -14,29 +14,29 @@
 import {type RetryReason} from '../../src/lib/decisions/mesh-retry-budget.js';
 import {type ModelServer} from './model-server.js';
 import {type RequestKind} from './pattern.js';
-import {type World} from './world.js';
+import {type Simulation} from './simulation.js';
 
 /** How a try ended for whoever made it. */
-export type TryEnd =
+export type EntryResult =
 	| {readonly type: 'answered'}
-	| {readonly type: 'refused'; readonly comeBackMs: number}
+	| {readonly type: 'refused'; readonly retryAfterMs: number}
 	| {readonly type: 'failed'};
 
 /** One try of a caller, or a call of a server. */
-export type Try = {
+export type EntryRequest = {
 	readonly kind: RequestKind;
 	readonly node: number;
 	readonly leftMs: number;
-	readonly handleEnd: (end: TryEnd) => void;
-	isOver: boolean;
+	readonly handleResult: (result: EntryResult) => void;
+	isFinished: boolean;
 };
 
 /** Runs a request that holds a slot; calls back with whether it was answered. */
-export type RunAtServer = (one: Try, server: ModelServer, handleRun: (isAnswered: boolean) => void) => void;
+export type RunAtServer = (request: EntryRequest, server: ModelServer, handleRun: (isAnswered: boolean) => void) => void;
 
-function listCandidates({servers, nodes, policy, events, findDisturbances, isMet}: World, node: number, kind: RequestKind): readonly Candidate[] {
-	const gone = findDisturbances('gone');
-	return servers.filter(server => server.service === kind.service && !gone.some(one => isMet(one, server))).map(server => {
+function listCandidates({servers, nodes, policy, events, listActiveDisturbances, isAffected}: Simulation, node: number, kind: RequestKind): readonly Candidate[] {
+	const goneDisturbances = listActiveDisturbances('gone');
+	return servers.filter(server => server.service === kind.service && !goneDisturbances.some(disturbance => isAffected(disturbance, server))).map(server => {
 		const id = toBackendServerId(server.id);
 		const lifetime = toLifetimeKey({id, startedAt: 0});
 		const view = nodes[node]!.loads.get(lifetime, kind.name);
@@ -45,7 +45,7 @@
 			id, lifetime, node: toNodeId(`n${server.node}`), gate: toAddress('10.0.0.1:1'), domain: toFailureDomain(nodes[server.node]!.domain), isLocal, slots: server.slots, isCold: false,
 			view: isLocal
 				? {
-					...view, ...server.describe(), ownInFlight: 0, ownInFlightAtReport: 0, reportedAt: events.getNow(),
+					...view, ...server.getLoad(), ownInFlight: 0, ownInFlightAtReport: 0, reportedAt: events.getNow(),
 				}
 				: view,
 		};
@@ -55,41 +55,41 @@
 /**
  * Sends a try.
  *
- * @param world - Where it is sent.
- * @param one - The try.
+ * @param simulation - Where it is sent.
+ * @param request - The try.
  * @param runAtServer - Runs it once it has a slot.
  */
-export function sendTry(world: World, one: Try, runAtServer: RunAtServer): void {
-	const {policy, events, random, servers, findDisturbances} = world;
-	const {kind} = one;
-	const node = world.nodes[one.node]!;
-	const route = world.getRoute(kind.name);
+export function sendEntryRequest(simulation: Simulation, request: EntryRequest, runAtServer: RunAtServer): void {
+	const {policy, events, random, servers, listActiveDisturbances} = simulation;
+	const {kind} = request;
+	const node = simulation.nodes[request.node]!;
+	const route = simulation.getRoute(kind.name);
 	const receivedAt = events.getNow();
-	const isAwaited = policy.areCallsKnown && node.awaited.recordCall(kind.service, kind.name, kind.targetLatencyMs);
-	const ageMs = isAwaited ? 0 : node.returning.recordCall(kind.name, one.leftMs);
+	const isNestedCall = policy.areCallsKnown && node.nestedCalls.recordCall(kind.service, kind.name, kind.targetLatencyMs);
+	const ageMs = isNestedCall ? 0 : node.callerRetries.recordCall(kind.name, request.leftMs);
 	const history = {tried: new Set<Candidate['lifetime']>(), full: new Set<Candidate['lifetime']>(), refusals: 0};
-	let arrivals = 0;
-	let soonestMs = Number.POSITIVE_INFINITY;
-	node.allowance.recordRequest(kind.service, isAwaited, receivedAt);
+	let serverAttempts = 0;
+	let minimumWaitMs = Number.POSITIVE_INFINITY;
+	node.retryBudget.recordRequest(kind.service, isNestedCall, receivedAt);
 
-	const measureLeft = (): number => Math.min(one.leftMs, kind.timeoutMs) - (events.getNow() - receivedAt);
+	const getLeftMs = (): number => Math.min(request.leftMs, kind.timeoutMs) - (events.getNow() - receivedAt);
 
-	const refuse = (waitMs: number, isFull: boolean): void => {
-		one.handleEnd({type: 'refused', comeBackMs: policy.computeComeBack({waitMs: Math.min(soonestMs, waitMs), targetLatencyMs: kind.targetLatencyMs, isOverloaded: isFull}, random)});
+	const refuse = (waitMs: number, isOverloaded: boolean): void => {
+		request.handleResult({type: 'refused', retryAfterMs: policy.computeRetryDelayMs({waitMs: Math.min(minimumWaitMs, waitMs), targetLatencyMs: kind.targetLatencyMs, isOverloaded}, random)});
 	};
 
-	const describeFacts = (): CallState => ({
-		targetLatencyMs: kind.targetLatencyMs, ageMs: ageMs + events.getNow() - receivedAt, leftMs: measureLeft(), isNestedCall: isAwaited, isBulk: false,
+	const getCallState = (): CallState => ({
+		targetLatencyMs: kind.targetLatencyMs, ageMs: ageMs + events.getNow() - receivedAt, leftMs: getLeftMs(), isNestedCall, isBulk: false,
 	});
 
-	const step = (): void => {
-		if (one.isOver) {
+	const tryNextGate = (): void => {
+		if (request.isFinished) {
 			return;
 		}
 
-		const facts = describeFacts();
-		const ranked = rankServers(listCandidates(world, one.node, kind), {domain: toFailureDomain(node.domain), random, ...policy.computeDistances(route, isAwaited, facts.ageMs)});
-		const plan = planAttempt(facts, history, ranked, policy, events.getNow());
+		const callState = getCallState();
+		const ranked = rankServers(listCandidates(simulation, request.node, kind), {domain: toFailureDomain(node.domain), random, ...policy.computeThresholds(route, isNestedCall, callState.ageMs)});
+		const plan = planAttempt(callState, history, ranked, policy, events.getNow());
 		if (plan.type !== 'send') {
 			refuse(plan.type === 'refuse' ? plan.waitMs : 0, plan.type === 'refuse');
 			return;
@@ -99,72 +99,72 @@
 	};
 
 	/** Brings an answer of a gate back, with how busy the server is. */
-	const answer = (server: ModelServer, target: Candidate, handle: () => void): void => {
-		const wayMs = world.getWayMs(server.node, one.node);
-		events.schedule(wayMs, () => {
+	const sendAnswer = (server: ModelServer, target: Candidate, handle: () => void): void => {
+		const oneWayMs = simulation.getOneWayMs(server.node, request.node);
+		events.schedule(oneWayMs, () => {
 			node.loads.recordEnd(target.lifetime);
-			node.loads.recordReport(target.lifetime, server.describe(), events.getNow());
-			node.loads.recordRoundTrip(target.lifetime, kind.name, wayMs * 2);
+			node.loads.recordReport(target.lifetime, server.getLoad(), events.getNow());
+			node.loads.recordRoundTrip(target.lifetime, kind.name, oneWayMs * 2);
 			handle();
 		});
 	};
 
 	const handleFull = (target: Candidate, mayWaitMs: number, retryAfterMs: number): void => {
-		soonestMs = Math.min(soonestMs, retryAfterMs);
+		minimumWaitMs = Math.min(minimumWaitMs, retryAfterMs);
 		history.refusals++;
 		(mayWaitMs === 0 ? history.full : history.tried).add(target.lifetime);
 		if (mayTryAnotherGate({isBulk: false}, history.refusals)) {
-			step();
+			tryNextGate();
 		} else {
 			refuse(retryAfterMs, true);
 		}
 	};
 
 	/** A server that was reached turned it away, or failed. */
-	const handleArrival = (target: Candidate, reason: Exclude<RetryReason, 'call-turned-away'>): void => {
-		arrivals++;
+	const handleServerFailure = (target: Candidate, reason: Exclude<RetryReason, 'call-turned-away'>): void => {
+		serverAttempts++;
 		history.tried.add(target.lifetime);
-		const mayRepeat = kind.mayRepeat || reason === 'turned-away';
-		const repeatReason = reason === 'turned-away' && isAwaited ? 'call-turned-away' : reason;
-		if (mayRepeat && arrivals < route.maxAttempts && node.allowance.tryAcquire(kind.service, repeatReason, events.getNow())) {
-			step();
+		const isRetryable = kind.isRetryable || reason === 'turned-away';
+		const retryReason = reason === 'turned-away' && isNestedCall ? 'call-turned-away' : reason;
+		if (isRetryable && serverAttempts < route.maxAttempts && node.retryBudget.tryAcquire(kind.service, retryReason, events.getNow())) {
+			tryNextGate();
 		} else if (reason === 'turned-away') {
 			refuse(0, false);
 		} else {
-			one.handleEnd({type: 'failed'});
+			request.handleResult({type: 'failed'});
 		}
 	};
 
-	const run = (server: ModelServer, target: Candidate, handleEnd: (isAnswered: boolean) => void): void => {
-		runAtServer(one, server, isAnswered => {
-			handleEnd(isAnswered);
-			answer(server, target, () => {
+	const run = (server: ModelServer, target: Candidate, handleFinish: (isAnswered: boolean) => void): void => {
+		runAtServer(request, server, isAnswered => {
+			handleFinish(isAnswered);
+			sendAnswer(server, target, () => {
 				if (isAnswered) {
-					one.handleEnd({type: 'answered'});
+					request.handleResult({type: 'answered'});
 				} else {
-					handleArrival(target, 'may-have-run');
+					handleServerFailure(target, 'may-have-run');
 				}
 			});
 		});
 	};
 
-	const askServer = (server: ModelServer, target: Candidate, mayWaitMs: number): void => {
-		if (findDisturbances('shedding').some(shedding => shedding.service === kind.service && random() < shedding.share)) {
-			answer(server, target, () => {
-				handleArrival(target, 'turned-away');
+	const requestSlot = (server: ModelServer, target: Candidate, mayWaitMs: number): void => {
+		if (listActiveDisturbances('shedding').some(shedding => shedding.service === kind.service && random() < shedding.share)) {
+			sendAnswer(server, target, () => {
+				handleServerFailure(target, 'turned-away');
 			});
 			return;
 		}
 
-		server.ask({
+		server.requestSlot({
 			rank: computeRank(route),
 			mayWaitMs,
-			lastAt: events.getNow() + measureLeft(),
-			run(handleEnd) {
-				run(server, target, handleEnd);
+			deadlineAt: events.getNow() + getLeftMs(),
+			run(handleFinish) {
+				run(server, target, handleFinish);
 			},
 			handleFull(retryAfterMs) {
-				answer(server, target, () => {
+				sendAnswer(server, target, () => {
 					handleFull(target, mayWaitMs, retryAfterMs);
 				});
 			},
@@ -174,10 +174,10 @@
 	const send = (target: Candidate, mayWaitMs: number): void => {
 		const server = servers.find(({id}) => id === target.id)!;
 		node.loads.recordStart(target.lifetime);
-		events.schedule(world.getWayMs(one.node, server.node), () => {
-			askServer(server, target, mayWaitMs);
+		events.schedule(simulation.getOneWayMs(request.node, server.node), () => {
+			requestSlot(server, target, mayWaitMs);
 		});
 	};
 
-	events.schedule(world.pattern.passMs, step);
+	events.schedule(simulation.pattern.forwardingMs, tryNextGate);
 }
--- a/bench/experiment/experiment.ts
+++ b/bench/experiment/experiment.ts
@@ -12,7 +12,7 @@
 import {patterns, type Pattern} from './pattern.js';
 import {policies, type Policy} from './policy.js';
 import {renderPlot} from './plot.js';
-import {type KindTally, type Tally} from './tally.js';
+import {type KindCounts, type OutcomeCounts} from './outcome-counts.js';
 
 /** Options of the command line. */
 export type ExperimentOptions = {
@@ -28,59 +28,59 @@
 };
 
 /** One set of rules under one pattern. */
-export type Result = {
+export type ExperimentResult = {
 	readonly pattern: Pattern;
 	readonly policy: Policy;
 	/** One for each seed. */
-	readonly tallies: readonly Tally[];
+	readonly countsBySeed: readonly OutcomeCounts[];
 };
 
 /** Share of what callers' requests could be worth that was earned. */
-export function computeCredit(pattern: Pattern, tally: Tally): number {
-	let owed = 0;
+export function computeCredit(pattern: Pattern, counts: OutcomeCounts): number {
+	let possible = 0;
 	let earned = 0;
 	for (const {name, worth, lateWorth} of pattern.kinds) {
-		const {asked, inTime, late} = tally.get(name)!;
-		owed += asked * worth;
+		const {requests, inTime, late} = counts.get(name)!;
+		possible += requests * worth;
 		earned += (inTime * worth) + (late * lateWorth);
 	}
 
-	return owed === 0 ? 0 : earned / owed;
+	return possible === 0 ? 0 : earned / possible;
 }
 
 /** Student's t for 95 in 100, two-sided, by degrees of freedom from 1 on; beyond the list nearly the last. */
-const studentT = [12.71, 4.3, 3.18, 2.78, 2.57, 2.45, 2.36, 2.31, 2.26, 2.23, 2.2, 2.18, 2.16, 2.14, 2.13];
+const tDistributionQuantiles = [12.71, 4.3, 3.18, 2.78, 2.57, 2.45, 2.36, 2.31, 2.26, 2.23, 2.2, 2.18, 2.16, 2.14, 2.13];
 
 /** Half of the interval in which the mean lies with 95 in 100. */
-function computeInterval(values: readonly number[]): number {
-	const t = studentT[Math.min(values.length - 2, studentT.length - 1)];
+function computeConfidenceHalfWidth(values: readonly number[]): number {
+	const t = tDistributionQuantiles[Math.min(values.length - 2, tDistributionQuantiles.length - 1)];
 	return t === undefined ? Number.NaN : t * sampleStandardDeviation([...values]) / Math.sqrt(values.length);
 }
 
-function pick<Item extends {readonly name: string}>(items: readonly Item[], parts: readonly string[]): readonly Item[] {
+function filterByName<Item extends {readonly name: string}>(items: readonly Item[], parts: readonly string[]): readonly Item[] {
 	return parts.length === 0 ? items : items.filter(({name}) => parts.some(part => name.includes(part)));
 }
 
-function sumKind(tallies: readonly Tally[], name: string, field: keyof KindTally): number {
-	return tallies.reduce((sum, tally) => sum + tally.get(name)![field], 0);
+function sumKind(countsBySeed: readonly OutcomeCounts[], name: string, field: keyof KindCounts): number {
+	return countsBySeed.reduce((sum, counts) => sum + counts.get(name)![field], 0);
 }
 
 const formatShare = (part: number, whole: number): string => whole === 0 ? '–' : (part / whole).toFixed(3);
 
-function formatKinds({pattern, policy, tallies}: Result): ReadonlyArray<readonly string[]> {
+function formatKinds({pattern, policy, countsBySeed}: ExperimentResult): ReadonlyArray<readonly string[]> {
 	return pattern.kinds.map(({name}) => {
-		const sum = (field: keyof KindTally): number => sumKind(tallies, name, field);
-		const asked = sum('asked');
+		const sum = (field: keyof KindCounts): number => sumKind(countsBySeed, name, field);
+		const requests = sum('requests');
 		return [
 			pattern.name,
 			policy.name,
 			name,
-			String(asked),
-			formatShare(sum('inTime'), asked),
-			formatShare(sum('late'), asked),
-			formatShare(sum('refusedAtOnce'), asked),
-			formatShare(sum('refusedLate'), asked),
-			formatShare(sum('failed'), asked),
+			String(requests),
+			formatShare(sum('inTime'), requests),
+			formatShare(sum('late'), requests),
+			formatShare(sum('refusedAtOnce'), requests),
+			formatShare(sum('refusedLate'), requests),
+			formatShare(sum('failed'), requests),
 			formatShare(sum('wastedSlotMs'), sum('slotMs')),
 		];
 	});
@@ -89,9 +89,9 @@
 const kindHeader = ['pattern', 'rules', 'kind', 'asked', 'in time', 'late', 'refused at once', 'refused later', 'failed', 'slot time nobody got'];
 
 /** Each set of rules beside the first one, seed by seed. */
-function formatComparison(results: readonly Result[]): ReadonlyArray<readonly string[]> {
+function formatComparison(results: readonly ExperimentResult[]): ReadonlyArray<readonly string[]> {
 	const [first] = results;
-	const listCredits = ({pattern, tallies}: Result): readonly number[] => tallies.map(tally => computeCredit(pattern, tally));
+	const listCredits = ({pattern, countsBySeed}: ExperimentResult): readonly number[] => countsBySeed.map(counts => computeCredit(pattern, counts));
 	const base = first === undefined ? [] : listCredits(first);
 	return results.map(result => {
 		const own = listCredits(result);
@@ -100,26 +100,26 @@
 			result.pattern.name,
 			result.policy.name,
 			mean([...own]).toFixed(3),
-			result === first ? '' : `${mean(differences).toFixed(3)} ± ${computeInterval(differences).toFixed(3)}`,
+			result === first ? '' : `${mean(differences).toFixed(3)} ± ${computeConfidenceHalfWidth(differences).toFixed(3)}`,
 		];
 	});
 }
 
 /** Plays and prints. */
 export function runExperiment(options: ExperimentOptions): void {
-	const chosenPolicies = pick(policies, options.policies);
-	const results: Result[] = [];
+	const chosenPolicies = filterByName(policies, options.policies);
+	const results: ExperimentResult[] = [];
 	process.stdout.write(`${formatMarkdown(options.kinds ? kindHeader : ['pattern', 'rules', 'credit', 'against the first rules'], [])}\n`);
-	for (const pattern of pick(patterns, options.patterns)) {
-		const ofPattern = chosenPolicies.map((policy): Result => ({
-			pattern, policy, tallies: Array.from({length: options.seeds}, (_, seed) => runPattern(pattern, policy, seed + 1)),
+	for (const pattern of filterByName(patterns, options.patterns)) {
+		const patternResults = chosenPolicies.map((policy): ExperimentResult => ({
+			pattern, policy, countsBySeed: Array.from({length: options.seeds}, (_, seed) => runPattern(pattern, policy, seed + 1)),
 		}));
-		const rows = options.kinds ? ofPattern.flatMap(result => formatKinds(result)) : formatComparison(ofPattern);
+		const rows = options.kinds ? patternResults.flatMap(result => formatKinds(result)) : formatComparison(patternResults);
 		for (const row of rows) {
 			process.stdout.write(`| ${row.join(' | ')} |\n`);
 		}
 
-		results.push(...ofPattern);
+		results.push(...patternResults);
 	}
 
 	if (options.csv !== undefined) {
--- a/bench/experiment/mesh-model.test.ts
+++ b/bench/experiment/mesh-model.test.ts
@@ -9,38 +9,38 @@
 const getPolicy = (name: string): Policy => policies.find(policy => policy.name === name)!;
 
 test('the same seed yields the same figures, another one others', () => {
-	const run = (seed: number): string => JSON.stringify([...runPattern({...getPattern('calm'), lengthMs: 4000}, getPolicy('standard'), seed)]);
+	const run = (seed: number): string => JSON.stringify([...runPattern({...getPattern('calm'), durationMs: 4000}, getPolicy('standard'), seed)]);
 	assert.equal(run(1), run(1));
 	assert.notEqual(run(1), run(2));
 });
 
 test('nobody is counted twice', () => {
 	for (const pattern of ['burst', 'shedding']) {
-		const tally = runPattern({...getPattern(pattern), lengthMs: 6000}, getPolicy('standard'), 1);
-		for (const [kind, {asked, inTime, late, refusedAtOnce, refusedLate, failed}] of tally) {
-			assert.ok(asked > 0 && inTime + late + refusedAtOnce + refusedLate + failed <= asked, `${pattern}: ${kind}`);
+		const counts = runPattern({...getPattern(pattern), durationMs: 6000}, getPolicy('standard'), 1);
+		for (const [kind, {requests, inTime, late, refusedAtOnce, refusedLate, failed}] of counts) {
+			assert.ok(requests > 0 && inTime + late + refusedAtOnce + refusedLate + failed <= requests, `${pattern}: ${kind}`);
 		}
 	}
 });
 
 test('overload of one service: most of what is served is in time, and what is refused is refused at once', () => {
 	const pattern = getPattern('overload');
-	const tally = runPattern(pattern, getPolicy('standard'), 1);
-	const {asked, inTime, late, refusedAtOnce, refusedLate} = tally.get('page')!;
-	assert.ok(inTime / asked > 0.6, `in time ${inTime / asked}`);
-	assert.ok(late < inTime / 4, `late ${late / asked}`);
-	assert.ok(refusedLate < refusedAtOnce / 5, `refused later ${refusedLate / asked}`);
+	const counts = runPattern(pattern, getPolicy('standard'), 1);
+	const {requests, inTime, late, refusedAtOnce, refusedLate} = counts.get('page')!;
+	assert.ok(inTime / requests > 0.6, `in time ${inTime / requests}`);
+	assert.ok(late < inTime / 4, `late ${late / requests}`);
+	assert.ok(refusedLate < refusedAtOnce / 5, `refused later ${refusedLate / requests}`);
 	const before = runPattern(pattern, getPolicy('waits by share of the time left'), 1);
-	assert.ok(computeCredit(pattern, tally) > computeCredit(pattern, before) + 0.1);
+	assert.ok(computeCredit(pattern, counts) > computeCredit(pattern, before) + 0.1);
 });
 
 test('with room for all, everybody is served, nearly all in time', () => {
-	const {asked, inTime, late, refusedAtOnce, refusedLate} = runPattern(getPattern('calm'), getPolicy('standard'), 1).get('page')!;
-	assert.ok(inTime / asked > 0.85 && (inTime + late) / asked > 0.97, `${inTime} and ${late} of ${asked}`);
-	assert.ok(refusedAtOnce + refusedLate < asked * 0.005);
+	const {requests, inTime, late, refusedAtOnce, refusedLate} = runPattern(getPattern('calm'), getPolicy('standard'), 1).get('page')!;
+	assert.ok(inTime / requests > 0.85 && (inTime + late) / requests > 0.97, `${inTime} and ${late} of ${requests}`);
+	assert.ok(refusedAtOnce + refusedLate < requests * 0.005);
 });
 
 test('calls of servers are served while their service is short', () => {
-	const {asked, inTime, late} = runPattern(getPattern('overload'), getPolicy('standard'), 1).get('look-up')!;
-	assert.ok((inTime + late) / asked > 0.95, `${inTime + late} of ${asked}`);
+	const {requests, inTime, late} = runPattern(getPattern('overload'), getPolicy('standard'), 1).get('look-up')!;
+	assert.ok((inTime + late) / requests > 0.95, `${inTime + late} of ${requests}`);
 });
--- a/bench/experiment/model-server.ts
+++ b/bench/experiment/model-server.ts
@@ -13,9 +13,9 @@
 export type GateRequest = {
 	readonly rank: number;
 	readonly mayWaitMs: number;
-	readonly lastAt: number;
+	readonly deadlineAt: number;
 	/** Runs it; calls back when its slot is free again, and whether that tells of the server's speed. */
-	readonly run: (handleEnd: (isAnswered: boolean) => void) => void;
+	readonly run: (handleFinish: (isAnswered: boolean) => void) => void;
 	readonly handleFull: (retryAfterMs: number) => void;
 };
 
@@ -26,20 +26,20 @@
 	readonly node: number;
 	readonly slots: number;
 	readonly speed: number;
-	readonly ask: (request: GateRequest) => () => void;
-	readonly describe: () => {readonly running: number; readonly waiting: number; readonly serviceMs: number};
+	readonly requestSlot: (request: GateRequest) => () => void;
+	readonly getLoad: () => {readonly running: number; readonly waiting: number; readonly serviceMs: number};
 };
 
-type Place = Pick<ModelServer, 'id' | 'service' | 'node' | 'slots' | 'speed'>;
+type ModelServerOptions = Pick<ModelServer, 'id' | 'service' | 'node' | 'slots' | 'speed'>;
 
 /**
- * @param place - What it is and where it stands.
+ * @param options - What it is and where it stands.
  * @param events - Simulated time.
- * @param patience - A request that waits is put out after so many times the wait that was expected.
+ * @param maximumWaitFactor - A request that waits is put out after so many times the wait that was expected.
  * @returns The server, idle.
  */
-export function createModelServer(place: Place, events: EventQueue, patience: number): ModelServer {
-	let queue: SlotQueue = createSlotQueue(place.slots);
+export function createModelServer(options: ModelServerOptions, events: EventQueue, maximumWaitFactor: number): ModelServer {
+	let queue: SlotQueue = createSlotQueue(options.slots);
 	let nextId = 1;
 	const waiting = new Map<number, GateRequest>();
 
@@ -58,7 +58,7 @@
 		});
 	};
 
-	const putOut = (id: number): void => {
+	const evict = (id: number): void => {
 		const request = waiting.get(id);
 		if (request !== undefined) {
 			waiting.delete(id);
@@ -68,11 +68,11 @@
 	};
 
 	return {
-		...place,
-		ask(request) {
+		...options,
+		requestSlot(request) {
 			const now = events.getNow();
 			const id = nextId++;
-			const waitUntil = Math.min(now + (request.mayWaitMs * patience), request.lastAt);
+			const waitUntil = Math.min(now + (request.mayWaitMs * maximumWaitFactor), request.deadlineAt);
 			const step = admitToQueue(queue, {
 				id, rank: request.rank, startBy: now + request.mayWaitMs, waitUntil,
 			}, now);
@@ -91,11 +91,11 @@
 				case 'wait': {
 					waiting.set(id, request);
 					if (step.decision.evicted !== undefined) {
-						putOut(step.decision.evicted.id);
+						evict(step.decision.evicted.id);
 					}
 
 					events.schedule(waitUntil - now, () => {
-						putOut(id);
+						evict(id);
 					});
 					break;
 				}
@@ -107,6 +107,6 @@
 				}
 			};
 		},
-		describe: () => ({running: queue.running, waiting: queue.waiting.length, serviceMs: queue.serviceMs}),
+		getLoad: () => ({running: queue.running, waiting: queue.waiting.length, serviceMs: queue.serviceMs}),
 	};
 }
--- a/bench/experiment/tally.ts
+++ b/bench/experiment/outcome-counts.ts
@@ -5,8 +5,8 @@
  */
 
 /** What became of the requests of one kind, each counted once over all of its tries. */
-export type KindTally = {
-	asked: number;
+export type KindCounts = {
+	requests: number;
 	inTime: number;
 	late: number;
 	/** Refused for good, each time at once: held for less than an eighth of the objective. */
@@ -20,17 +20,17 @@
 };
 
 /** By kind of request. */
-export type Tally = ReadonlyMap<string, KindTally>;
+export type OutcomeCounts = ReadonlyMap<string, KindCounts>;
 
 /** Share of the objective up to which a refusal counts as one at once. */
-export const atOnceShare = 0.125;
+export const refusedAtOnceShare = 0.125;
 
 /**
  * @param names - Kinds of request.
  * @returns Counts of nothing.
  */
-export function createTally(names: readonly string[]): Tally {
+export function createOutcomeCounts(names: readonly string[]): OutcomeCounts {
 	return new Map(names.map(name => [name, {
-		asked: 0, inTime: 0, late: 0, refusedAtOnce: 0, refusedLate: 0, failed: 0, slotMs: 0, wastedSlotMs: 0,
+		requests: 0, inTime: 0, late: 0, refusedAtOnce: 0, refusedLate: 0, failed: 0, slotMs: 0, wastedSlotMs: 0,
 	}]));
 }
--- a/bench/experiment/pattern.ts
+++ b/bench/experiment/pattern.ts
@@ -12,7 +12,7 @@
 	/** Share of the runs that make them. */
 	readonly share: number;
 	/** All at once, or one after the other. */
-	readonly isTogether: boolean;
+	readonly isConcurrent: boolean;
 };
 
 /** One kind of request. Times are milliseconds. */
@@ -33,7 +33,7 @@
 	readonly lateWorth: number;
 	/** How often its callers come back. */
 	readonly retries: number;
-	readonly mayRepeat: boolean;
+	readonly isRetryable: boolean;
 	readonly calls: readonly CallPlan[];
 };
 
@@ -61,14 +61,14 @@
 /** A pattern of load. */
 export type Pattern = {
 	readonly name: string;
-	readonly lengthMs: number;
+	readonly durationMs: number;
 	readonly domains: number;
 	/** One way between failure domains. */
-	readonly betweenDomainsMs: number;
+	readonly crossDomainOneWayMs: number;
 	/** One way between callers and their node. */
-	readonly callerWayMs: number;
+	readonly callerOneWayMs: number;
 	/** What a node takes to pass a request on. */
-	readonly passMs: number;
+	readonly forwardingMs: number;
 	readonly services: readonly ServicePlan[];
 	readonly kinds: readonly RequestKind[];
 	readonly disturbances: readonly Disturbance[];
@@ -76,40 +76,40 @@
 
 const fillSpeeds = (speeds: readonly number[], count: number): readonly number[] => Array.from({length: count}, (_, index) => speeds[index % speeds.length] ?? 1);
 
-const common = {
-	priority: 2, worth: 1, lateWorth: 0.3, retries: 2, mayRepeat: true, calls: [] as readonly CallPlan[],
+const commonKindFields = {
+	priority: 2, worth: 1, lateWorth: 0.3, retries: 2, isRetryable: true, calls: [] as readonly CallPlan[],
 } as const;
 
 /** Pages that need look-ups at another service, publications and small orders: the first service is the one that is short. */
 function createTieredKinds(load: number): readonly RequestKind[] {
 	return [
 		{
-			...common, name: 'page', service: 'pages', perSecond: 560 * load, workMs: 63, workSpread: 0.8, targetLatencyMs: 200, deadlineMs: 1200, timeoutMs: 1200,
+			...commonKindFields, name: 'page', service: 'pages', perSecond: 560 * load, workMs: 63, workSpread: 0.8, targetLatencyMs: 200, deadlineMs: 1200, timeoutMs: 1200,
 			calls: [{
-				kind: 'look-up', times: 2, share: 0.7, isTogether: false,
+				kind: 'look-up', times: 2, share: 0.7, isConcurrent: false,
 			}],
 		},
 		{
-			...common, name: 'publish', service: 'publishing', perSecond: 190 * load, workMs: 82, workSpread: 0.5, targetLatencyMs: 250, deadlineMs: 1500, timeoutMs: 800,
-			priority: 1, worth: 2, lateWorth: 0.6, mayRepeat: false, calls: [{
-				kind: 'tags', times: 2, share: 0.7, isTogether: true,
+			...commonKindFields, name: 'publish', service: 'publishing', perSecond: 190 * load, workMs: 82, workSpread: 0.5, targetLatencyMs: 250, deadlineMs: 1500, timeoutMs: 800,
+			priority: 1, worth: 2, lateWorth: 0.6, isRetryable: false, calls: [{
+				kind: 'tags', times: 2, share: 0.7, isConcurrent: true,
 			}],
 		},
 		{
-			...common, name: 'order', service: 'archive', perSecond: 150 * load, workMs: 50, workSpread: 0.4, targetLatencyMs: 150, deadlineMs: 1000, timeoutMs: 1000, mayRepeat: false,
+			...commonKindFields, name: 'order', service: 'archive', perSecond: 150 * load, workMs: 50, workSpread: 0.4, targetLatencyMs: 150, deadlineMs: 1000, timeoutMs: 1000, isRetryable: false,
 		},
 		{
-			...common, name: 'look-up', service: 'publishing', perSecond: 0, workMs: 16, workSpread: 0.5, targetLatencyMs: 60, deadlineMs: 200, timeoutMs: 200, priority: 1, worth: 0, retries: 0,
+			...commonKindFields, name: 'look-up', service: 'publishing', perSecond: 0, workMs: 16, workSpread: 0.5, targetLatencyMs: 60, deadlineMs: 200, timeoutMs: 200, priority: 1, worth: 0, retries: 0,
 		},
 		{
-			...common, name: 'tags', service: 'archive', perSecond: 0, workMs: 16, workSpread: 0.5, targetLatencyMs: 60, deadlineMs: 200, timeoutMs: 200, priority: 1, worth: 0, retries: 0,
+			...commonKindFields, name: 'tags', service: 'archive', perSecond: 0, workMs: 16, workSpread: 0.5, targetLatencyMs: 60, deadlineMs: 200, timeoutMs: 200, priority: 1, worth: 0, retries: 0,
 		},
 	];
 }
 
-function createTiered(name: string, load: number, disturbances: readonly Disturbance[]): Pattern {
+function createTieredPattern(name: string, load: number, disturbances: readonly Disturbance[]): Pattern {
 	return {
-		name, lengthMs: 16_000, domains: 4, betweenDomainsMs: 1.4, callerWayMs: 3, passMs: 1.2, disturbances,
+		name, durationMs: 16_000, domains: 4, crossDomainOneWayMs: 1.4, callerOneWayMs: 3, forwardingMs: 1.2, disturbances,
 		services: [
 			{name: 'pages', slots: 13, speeds: fillSpeeds([0.6, 1, 1.4], 5)},
 			{name: 'publishing', slots: 13, speeds: fillSpeeds([0.7, 0.7, 1.6], 4)},
@@ -120,36 +120,36 @@
 }
 
 /** Few slots, long work: a service at which a single slot is a tenth of what there is. */
-function createSlowPages(load: number): Pattern {
+function createLongWorkPattern(load: number): Pattern {
 	return {
-		name: 'long work', lengthMs: 30_000, domains: 3, betweenDomainsMs: 1.4, callerWayMs: 2, passMs: 1.2, disturbances: [],
+		name: 'long work', durationMs: 30_000, domains: 3, crossDomainOneWayMs: 1.4, callerOneWayMs: 2, forwardingMs: 1.2, disturbances: [],
 		services: [{name: 'pages', slots: 4, speeds: fillSpeeds([0.6, 1, 1.4], 6)}],
 		kinds: [{
-			...common, name: 'page', service: 'pages', perSecond: 60 * load, workMs: 400, workSpread: 0.7, targetLatencyMs: 1200, deadlineMs: 5000, timeoutMs: 5000,
+			...commonKindFields, name: 'page', service: 'pages', perSecond: 60 * load, workMs: 400, workSpread: 0.7, targetLatencyMs: 1200, deadlineMs: 5000, timeoutMs: 5000,
 		}],
 	};
 }
 
 /** The patterns that `npm run experiment` plays, by name. */
 export const patterns: readonly Pattern[] = [
-	createTiered('calm', 0.7, []),
-	createTiered('full', 1, []),
-	createTiered('overload', 1.35, []),
-	createTiered('burst', 0.95, [{
+	createTieredPattern('calm', 0.7, []),
+	createTieredPattern('full', 1, []),
+	createTieredPattern('overload', 1.35, []),
+	createTieredPattern('burst', 0.95, [{
 		type: 'burst', fromMs: 6000, toMs: 9000, factor: 1.8,
 	}]),
-	createTiered('slow servers', 0.95, [{
+	createTieredPattern('slow servers', 0.95, [{
 		type: 'slow', fromMs: 4000, toMs: 12_000, service: 'pages', share: 0.4, factor: 5,
 	}]),
-	createTiered('shedding', 0.95, [{
+	createTieredPattern('shedding', 0.95, [{
 		type: 'shedding', fromMs: 4000, toMs: 12_000, service: 'publishing', share: 0.5,
 	}]),
-	createTiered('servers gone', 0.95, [{
+	createTieredPattern('servers gone', 0.95, [{
 		type: 'gone', fromMs: 4000, toMs: 12_000, service: 'pages', share: 0.4,
 	}]),
-	createTiered('impatient callers', 1.1, [{
+	createTieredPattern('impatient callers', 1.1, [{
 		type: 'impatient', fromMs: 2000, toMs: 14_000, share: 0.3,
 	}]),
-	createSlowPages(1),
-	{...createSlowPages(1.3), name: 'long work, overload'},
+	createLongWorkPattern(1),
+	{...createLongWorkPattern(1.3), name: 'long work, overload'},
 ];
--- a/bench/experiment/plot.ts
+++ b/bench/experiment/plot.ts
@@ -6,8 +6,8 @@
  */
 import {scaleBand, scaleLinear} from 'd3-scale';
 import {stack} from 'd3-shape';
-import {type Result} from './experiment.js';
-import {type KindTally} from './tally.js';
+import {type ExperimentResult} from './experiment.js';
+import {type KindCounts} from './outcome-counts.js';
 
 const outcomes = ['inTime', 'late', 'refusedAtOnce', 'refusedLate', 'failed'] as const;
 const colours: Readonly<Record<typeof outcomes[number], string>> = {
@@ -18,43 +18,43 @@
 };
 
 /** Pixels. */
-const size = {
+const layout = {
 	row: 18, left: 380, width: 1000, top: 40,
 } as const;
 
 type Bar = Readonly<Record<typeof outcomes[number], number>> & {readonly name: string};
 
-function createBar({pattern, policy, tallies}: Result): Bar {
+function createBar({pattern, policy, countsBySeed}: ExperimentResult): Bar {
 	const callers = pattern.kinds.filter(({perSecond}) => perSecond > 0);
-	const sum = (field: keyof KindTally): number => tallies.reduce((total, tally) => total + callers.reduce((kinds, {name}) => kinds + tally.get(name)![field], 0), 0);
-	const asked = Math.max(1, sum('asked'));
+	const sum = (field: keyof KindCounts): number => countsBySeed.reduce((total, counts) => total + callers.reduce((kinds, {name}) => kinds + counts.get(name)![field], 0), 0);
+	const requests = Math.max(1, sum('requests'));
 	return {
-		name: `${pattern.name}: ${policy.name}`, inTime: sum('inTime') / asked, late: sum('late') / asked, refusedAtOnce: sum('refusedAtOnce') / asked,
-		refusedLate: sum('refusedLate') / asked, failed: sum('failed') / asked,
+		name: `${pattern.name}: ${policy.name}`, inTime: sum('inTime') / requests, late: sum('late') / requests, refusedAtOnce: sum('refusedAtOnce') / requests,
+		refusedLate: sum('refusedLate') / requests, failed: sum('failed') / requests,
 	};
 }
 
-const formatText = (text: string): string => text.replaceAll('&', '&amp;').replaceAll('<', '&lt;');
+const escapeText = (text: string): string => text.replaceAll('&', '&amp;').replaceAll('<', '&lt;');
 
 /**
  * @param results - What was played.
  * @returns An SVG document.
  */
-export function renderPlot(results: readonly Result[]): string {
+export function renderPlot(results: readonly ExperimentResult[]): string {
 	const bars = results.map(result => createBar(result));
-	const height = size.top + (bars.length * size.row) + 10;
-	const x = scaleLinear([0, 1], [size.left, size.width - 20]);
-	const y = scaleBand(bars.map(({name}) => name), [size.top, height - 10]).padding(0.15);
+	const height = layout.top + (bars.length * layout.row) + 10;
+	const x = scaleLinear([0, 1], [layout.left, layout.width - 20]);
+	const y = scaleBand(bars.map(({name}) => name), [layout.top, height - 10]).padding(0.15);
 	const layers = stack<Bar, typeof outcomes[number]>().keys(outcomes)(bars);
 	const rectangles = layers.flatMap(layer => layer.map(point => {
 		const [from, to] = point;
-		const place = `x="${x(from).toFixed(1)}" y="${(y(point.data.name) ?? 0).toFixed(1)}"`;
-		return `<rect ${place} width="${(x(to) - x(from)).toFixed(1)}" height="${y.bandwidth().toFixed(1)}" fill="${colours[layer.key]}"/>`;
+		const position = `x="${x(from).toFixed(1)}" y="${(y(point.data.name) ?? 0).toFixed(1)}"`;
+		return `<rect ${position} width="${(x(to) - x(from)).toFixed(1)}" height="${y.bandwidth().toFixed(1)}" fill="${colours[layer.key]}"/>`;
 	}));
-	const names = bars.map(({name}) => `<text x="${size.left - 6}" y="${((y(name) ?? 0) + (y.bandwidth() * 0.75)).toFixed(1)}" text-anchor="end">${formatText(name)}</text>`);
-	const legend = outcomes.map((outcome, index) => `<text x="${size.left + (index * 120)}" y="20" fill="${colours[outcome]}">${labels[outcome]}</text>`);
+	const names = bars.map(({name}) => `<text x="${layout.left - 6}" y="${((y(name) ?? 0) + (y.bandwidth() * 0.75)).toFixed(1)}" text-anchor="end">${escapeText(name)}</text>`);
+	const legend = outcomes.map((outcome, index) => `<text x="${layout.left + (index * 120)}" y="20" fill="${colours[outcome]}">${labels[outcome]}</text>`);
 	return [
-		`<svg xmlns="http://www.w3.org/2000/svg" width="${size.width}" height="${height}" font-family="sans-serif" font-size="11">`,
+		`<svg xmlns="http://www.w3.org/2000/svg" width="${layout.width}" height="${height}" font-family="sans-serif" font-size="11">`,
 		'<rect width="100%" height="100%" fill="white"/>',
 		...legend,
 		...rectangles,
--- a/bench/experiment/world.ts
+++ b/bench/experiment/simulation.ts
@@ -15,44 +15,44 @@
 import {createModelServer, type ModelServer} from './model-server.js';
 import {type Disturbance, type Pattern, type RequestKind} from './pattern.js';
 import {type Policy} from './policy.js';
-import {createTally, type Tally} from './tally.js';
+import {createOutcomeCounts, type OutcomeCounts} from './outcome-counts.js';
 
 /** One node, beside the server of the same place in the list. */
 export type ModelNode = {
 	readonly domain: string;
 	readonly loads: LoadView;
-	readonly awaited: NestedCallDetector;
-	readonly returning: CallerRetryDetector;
-	readonly allowance: MeshRetryBudget;
+	readonly nestedCalls: NestedCallDetector;
+	readonly callerRetries: CallerRetryDetector;
+	readonly retryBudget: MeshRetryBudget;
 };
 
 /** Disturbances of one type. */
 export type DisturbanceOf<Type extends Disturbance['type']> = Extract<Disturbance, {readonly type: Type}>;
 
 /** @internal */
-export type World = {
+export type Simulation = {
 	readonly pattern: Pattern;
 	readonly policy: Policy;
 	readonly events: EventQueue;
 	readonly random: () => number;
-	readonly tally: Tally;
+	readonly counts: OutcomeCounts;
 	readonly nodes: readonly ModelNode[];
 	readonly servers: readonly ModelServer[];
 	readonly getKind: (name: string) => RequestKind;
 	readonly getRoute: (name: string) => RouteRule;
 	/** Those that go on now. */
-	readonly findDisturbances: <Type extends Disturbance['type']>(type: Type) => ReadonlyArray<DisturbanceOf<Type>>;
-	/** Whether a disturbance of a share of a service's servers meets this one: the first ones in their order. */
-	readonly isMet: (disturbance: {readonly service: string; readonly share: number}, server: ModelServer) => boolean;
+	readonly listActiveDisturbances: <Type extends Disturbance['type']>(type: Type) => ReadonlyArray<DisturbanceOf<Type>>;
+	/** Whether a disturbance of a share of a service's servers meets this disturbance: the first ones in their order. */
+	readonly isAffected: (disturbance: {readonly service: string; readonly share: number}, server: ModelServer) => boolean;
 	/** One way between two nodes, in milliseconds. */
-	readonly getWayMs: (from: number, to: number) => number;
+	readonly getOneWayMs: (from: number, to: number) => number;
 };
 
 /** What operators allow to be sent again, of the order of what users have. */
-const retryLimits = {ratio: 0.2, slack: 60, windowMs: 10_000} as const;
+const retryBudgetLimits = {ratio: 0.2, slack: 60, windowMs: 10_000} as const;
 
 /** One way on one VM, and within a failure domain, in milliseconds. */
-const shortWayMs = 0.1;
+const localOneWayMs = 0.1;
 
 function createRoute(kind: RequestKind): RouteRule {
 	return createSampleRoute({
@@ -61,7 +61,7 @@
 }
 
 /** Seeds are whole numbers; the generator takes numbers from 0 to 1. */
-const seedUnit = 1000;
+const seedDivisor = 1000;
 
 /**
  * @param pattern - What comes.
@@ -69,39 +69,39 @@
  * @param seed - Of everything random.
  * @returns A world in which nothing has happened yet.
  */
-export function createWorld(pattern: Pattern, policy: Policy, seed: number): World {
+export function createSimulation(pattern: Pattern, policy: Policy, seed: number): Simulation {
 	const events = createEventQueue();
 	const kinds = new Map(pattern.kinds.map(kind => [kind.name, kind]));
 	const routes = new Map(pattern.kinds.map(kind => [kind.name, createRoute(kind)]));
-	const places = pattern.services.flatMap(service => service.speeds.map(speed => ({service, speed})));
-	const nodes: readonly ModelNode[] = places.map((_, index) => ({
-		domain: `d${index % pattern.domains}`, loads: createLoadView(), awaited: createNestedCallDetector(), returning: createCallerRetryDetector(),
-		allowance: createMeshRetryBudget(() => retryLimits, () => places.length),
+	const serverPlans = pattern.services.flatMap(service => service.speeds.map(speed => ({service, speed})));
+	const nodes: readonly ModelNode[] = serverPlans.map((_, index) => ({
+		domain: `d${index % pattern.domains}`, loads: createLoadView(), nestedCalls: createNestedCallDetector(), callerRetries: createCallerRetryDetector(),
+		retryBudget: createMeshRetryBudget(() => retryBudgetLimits, () => serverPlans.length),
 	}));
-	const servers = places.map(({service, speed}, node) => createModelServer({
+	const servers = serverPlans.map(({service, speed}, node) => createModelServer({
 		id: `s${node}`, service: service.name, node, slots: service.slots, speed,
-	}, events, policy.patience));
+	}, events, policy.maximumWaitFactor));
 
 	return {
 		pattern, policy, events, nodes, servers,
-		random: randomLcg(seed / seedUnit),
-		tally: createTally(pattern.kinds.map(({name}) => name)),
+		random: randomLcg(seed / seedDivisor),
+		counts: createOutcomeCounts(pattern.kinds.map(({name}) => name)),
 		getKind: name => kinds.get(name)!,
 		getRoute: name => routes.get(name)!,
-		findDisturbances<Type extends Disturbance['type']>(type: Type): ReadonlyArray<DisturbanceOf<Type>> {
+		listActiveDisturbances<Type extends Disturbance['type']>(type: Type): ReadonlyArray<DisturbanceOf<Type>> {
 			const now = events.getNow();
-			return pattern.disturbances.filter((one): one is DisturbanceOf<Type> => one.type === type && now >= one.fromMs && now < one.toMs);
+			return pattern.disturbances.filter((disturbance): disturbance is DisturbanceOf<Type> => disturbance.type === type && now >= disturbance.fromMs && now < disturbance.toMs);
 		},
-		isMet({service, share}, server) {
-			const ofService = servers.filter(other => other.service === service);
-			return server.service === service && ofService.indexOf(server) < ofService.length * share;
+		isAffected({service, share}, server) {
+			const serviceServers = servers.filter(other => other.service === service);
+			return server.service === service && serviceServers.indexOf(server) < serviceServers.length * share;
 		},
-		getWayMs(from, to) {
+		getOneWayMs(from, to) {
 			if (from === to) {
-				return shortWayMs;
+				return localOneWayMs;
 			}
 
-			return pattern.passMs + (nodes[from]!.domain === nodes[to]!.domain ? shortWayMs : pattern.betweenDomainsMs);
+			return pattern.forwardingMs + (nodes[from]!.domain === nodes[to]!.domain ? localOneWayMs : pattern.crossDomainOneWayMs);
 		},
 	};
 }
--- a/bench/fleet.ts
+++ b/bench/fleet.ts
@@ -13,7 +13,7 @@
 export type FleetMode = 'mesh' | 'watch' | 'poll';
 
 /** A version that came into force on a node. */
-export type Applied = {readonly node: string; readonly version: number; readonly at: number};
+export type AppliedVersion = {readonly node: string; readonly version: number; readonly at: number};
 
 /** What a worker process used since it was last asked, all its nodes together. */
 export type Usage = {
@@ -36,12 +36,12 @@
 /** From a worker to the bench. */
 export type FromWorker =
 	| {readonly type: 'ready'; readonly node: string}
-	| {readonly type: 'applied'; readonly applied: Applied}
+	| {readonly type: 'applied'; readonly applied: AppliedVersion}
 	| {readonly type: 'usage'; readonly usage: Usage};
 
 export type Fleet = {
 	readonly settings: readonly Settings[];
-	readonly getApplied: () => readonly Applied[];
+	readonly getApplied: () => readonly AppliedVersion[];
 	readonly countReady: () => number;
 	readonly sendTo: (node: string, message: ToWorker) => void;
 	readonly getUsage: () => Promise<Usage>;
@@ -102,10 +102,10 @@
 /** Starts a fleet; its nodes become ready in the background. */
 export function startFleet(options: FleetOptions): Fleet {
 	const settings = createFleetSettings(options);
-	const applied: Applied[] = [];
+	const applied: AppliedVersion[] = [];
 	const ready = new Set<string>();
 	const workers = Array.from({length: options.workers}, () => fork(fileURLToPath(new URL('worker.js', import.meta.url)), {execArgv: ['--expose-gc']}));
-	const waiting: Array<(usage: Usage) => void> = [];
+	const usageResolvers: Array<(usage: Usage) => void> = [];
 	const getWorker = (index: number): ChildProcess | undefined => workers[index % workers.length];
 
 	for (const [index, worker] of workers.entries()) {
@@ -115,7 +115,7 @@
 			} else if (message.type === 'ready') {
 				ready.add(message.node);
 			} else {
-				waiting.shift()?.(message.usage);
+				usageResolvers.shift()?.(message.usage);
 			}
 		});
 		worker.send({
@@ -137,7 +137,7 @@
 		},
 		async getUsage() {
 			const usages = await Promise.all(workers.map(async worker => new Promise<Usage>(resolve => {
-				waiting.push(resolve);
+				usageResolvers.push(resolve);
 				worker.send({type: 'usage'} satisfies ToWorker);
 			})));
 			let total = emptyUsage;
--- a/bench/large.ts
+++ b/bench/large-submission.ts
@@ -12,26 +12,26 @@
 import {formatMarkdown} from './statistics.js';
 import {measureConvergence, submitItems} from './submitter.js';
 
-const nodes = 13;
-const services = 3200;
+const nodeCount = 13;
+const serviceCount = 3200;
 const settleMs = 4000;
 
 /** Submits it, and then a change of one item, and prints what both took. */
-export async function runLarge(): Promise<void> {
+export async function runLargeSubmission(): Promise<void> {
 	const store = await startStoreServer('127.0.0.1', 0);
 	const fleet = startFleet({
-		nodes, mode: 'mesh', storeAddress: store.address, workers: nodes, domains: 3,
+		nodes: nodeCount, mode: 'mesh', storeAddress: store.address, workers: nodeCount, domains: 3,
 	});
-	await waitUntil(() => fleet.countReady() >= nodes, 60_000);
+	await waitUntil(() => fleet.countReady() >= nodeCount, 60_000);
 	await sleep(settleMs);
 	const names = fleet.settings.map(settings => settings.node);
-	const operators = fleet.settings[0]?.listen.operators ?? '';
-	const items = createItems(services);
+	const operatorAddress = fleet.settings[0]?.listen.operators ?? '';
+	const items = createItems(serviceCount);
 	const before = await fleet.getUsage();
 	const rows: Array<readonly string[]> = [];
 	for (const [name, changed, version] of [['3,200 services at once', items, 1], ['then one pool', [createRevisedPool(7, 1)], 2]] as const) {
 		const sentAt = Date.now();
-		const outcome = await submitItems(operators, changed, version - 1);
+		const outcome = await submitItems(operatorAddress, changed, version - 1);
 		const acceptedMs = Date.now() - sentAt;
 		await waitUntil(() => measureConvergence(fleet, names, [{version, sentAt}]).every(ms => Number.isFinite(ms)), 60_000);
 		const everywhereMs = Math.max(...measureConvergence(fleet, names, [{version, sentAt}]));
@@ -43,7 +43,7 @@
 	const image = store.store.getImage();
 	const largest = Math.max(...image.map(([, {value}]) => value.length));
 	process.stdout.write(`${formatMarkdown(['submission', 'size', 'outcome', 'accepted after ms', 'in force on 13 nodes after ms'], rows)}\n`);
-	const [heapBefore, heapAfter] = [before, after].map(usage => (usage.heapBytes / nodes / 1e6).toFixed(1));
+	const [heapBefore, heapAfter] = [before, after].map(usage => (usage.heapBytes / nodeCount / 1e6).toFixed(1));
 	process.stdout.write(`Heap of a node: ${heapBefore} MB before, ${heapAfter} MB after, process included. `);
 	process.stdout.write(`The store holds ${image.length} values, the largest of ${(largest / 1e6).toFixed(2)} MB.\n`);
 	await fleet.dispose();
--- a/bench/log-lines.ts
+++ b/bench/log-lines.ts
@@ -38,25 +38,25 @@
 ];
 
 /** Lines of one batch: fewer than what may be held while nobody reads. */
-const batch = 300;
-const batches = 200;
+const linesPerBatch = 300;
+const batchCount = 200;
 
-async function measure(log: LineLog, {level, event}: Row): Promise<number> {
-	let spentMicros = 0;
-	for (let round = 0; round < batches; round++) {
+async function measureLineMicroseconds(log: LineLog, {level, event}: Row): Promise<number> {
+	let spentMicroseconds = 0;
+	for (let round = 0; round < batchCount; round++) {
 		const before = process.cpuUsage();
-		for (let line = 0; line < batch; line++) {
+		for (let line = 0; line < linesPerBatch; line++) {
 			log.record(level, event);
 		}
 
 		const {user, system} = process.cpuUsage(before);
-		spentMicros += user + system;
+		spentMicroseconds += user + system;
 		await new Promise(resolve => {
 			setImmediate(resolve);
 		});
 	}
 
-	return spentMicros / (batch * batches);
+	return spentMicroseconds / (linesPerBatch * batchCount);
 }
 
 /** Measures and prints the table. */
@@ -64,9 +64,9 @@
 	const log = createLineLog('bench', 'info', createDescriptorSink(openSync('/dev/null', 'w')));
 	process.stdout.write('| line | microseconds of processor time |\n| --- | --- |\n');
 	for (const row of rows) {
-		await measure(log, row);
-		const micros = await measure(log, row);
-		process.stdout.write(`| ${row.name} | ${micros.toFixed(2)} |\n`);
+		await measureLineMicroseconds(log, row);
+		const microseconds = await measureLineMicroseconds(log, row);
+		process.stdout.write(`| ${row.name} | ${microseconds.toFixed(2)} |\n`);
 	}
 
 	await log.flush();
--- a/bench/main.ts
+++ b/bench/main.ts
@@ -10,14 +10,14 @@
 import {runCalls} from './calls/calls.js';
 import {runExperiment} from './experiment/experiment.js';
 import {runQuarantineCurve} from './experiment/quarantine-curve.js';
-import {runLarge} from './large.js';
+import {runLargeSubmission} from './large-submission.js';
 import {runDistribution} from './distribution.js';
 import {runLogLines} from './log-lines.js';
 import {runPeerSlopes} from './peer-slopes.js';
 import {runNodeCost} from './node-cost/node-cost.js';
 import {runQuarantine} from './quarantine.js';
-import {runServerReturn} from './server-return.js';
-import {runStoreDrill} from './store-drill.js';
+import {runServerRestart} from './server-restart.js';
+import {runStoreRestore} from './store-restore.js';
 
 await yargs(hideBin(process.argv))
 	.scriptName('bench')
@@ -37,7 +37,7 @@
 		.option('only', {type: 'string', default: '', describe: 'only the conditions whose names contain this, without the added time'}), async options => runCalls(options))
 	.command('capacity', 'measure the slopes and write the tables of docs/CAPACITY.md', builder => builder, async () => runCapacity())
 	.command('capacity-page', 'write the tables again from the measurements on file', builder => builder, async () => renderCapacityPage())
-	.command('large', 'a configuration of 3,200 services as one submission', builder => builder, async () => runLarge())
+	.command('large', 'a configuration of 3,200 services as one submission', builder => builder, async () => runLargeSubmission())
 	.command('experiment', 'who waits, who is refused and where work goes, in a model under patterns of load', builder => builder
 		.option('seeds', {type: 'number', default: 5, describe: 'plays of each'})
 		.option('patterns', {
@@ -73,10 +73,10 @@
 	.command('server-return', 'how long a backend server that starts again under its id waits for work', builder => builder
 		.option('rounds', {type: 'number', default: 20, describe: 'returns of each kind'})
 		.option('limit-ms', {type: 'number', default: 10_000, describe: 'after which a return is given up'})
-		.option('only', {type: 'string', default: '', describe: 'only the kinds whose names contain this'}), async options => runServerReturn(options))
+		.option('only', {type: 'string', default: '', describe: 'only the kinds whose names contain this'}), async options => runServerRestart(options))
 	.command('store-drill', 'a store that comes back from a copy, beside one that was only away', builder => builder
 		.option('seeds', {type: 'number', default: 50, describe: 'returns of each kind'})
-		.option('nodes', {type: 'number', default: 13, describe: 'nodes'}), async options => runStoreDrill(options))
+		.option('nodes', {type: 'number', default: 13, describe: 'nodes'}), async options => runStoreRestore(options))
 	.command('quarantine', 'requests that crash backend servers, and crashes of other causes', builder => builder
 		.option('first-seed', {type: 'number', default: 1, describe: 'seed of the first play'})
 		.option('seeds', {type: 'number', default: 50, describe: 'plays'})
--- a/bench/node-cost/node-cost.ts
+++ b/bench/node-cost/node-cost.ts
@@ -49,35 +49,35 @@
 type Phase = {
 	readonly cpuMsPerSecond: number;
 	/** Times that the process went to sleep and was woken again, a second. */
-	readonly wakesPerSecond: number;
-	readonly peakMb: number;
-	readonly calls: number;
-	readonly failed: number;
+	readonly wakeUpsPerSecond: number;
+	readonly peakMegabytes: number;
+	readonly callCount: number;
+	readonly failedCount: number;
 };
 
-const domains = 5;
+const domainCount = 5;
 /** Nodes of each failure domain that watch the store, so that the measured one need not. */
 const watchersPerDomain = 4;
 const services = ['reader', 'writer', 'storage'] as const;
 const settleMs = 4000;
 /** Two runs may stand beside one another, so that what else the machine does is the same for both. */
-const place = process.pid % 120;
-const host = `127.${place}.79.1`;
+const addressOffset = process.pid % 120;
+const host = `127.${addressOffset}.79.1`;
 
 /** Clock ticks of `/proc` are hundredths of a second on Linux. */
-const tickMs = 10;
+const clockTickMs = 10;
 
 function readCpuMs(pid: number): number {
 	const fields = readFileSync(`/proc/${pid}/stat`, 'utf8').split(') ')[1]!.split(' ');
-	return (Number(fields[11]) + Number(fields[12])) * tickMs;
+	return (Number(fields[11]) + Number(fields[12])) * clockTickMs;
 }
 
-function readPeakMb(pid: number): number {
+function readPeakMegabytes(pid: number): number {
 	const status = readFileSync(`/proc/${pid}/status`, 'utf8');
 	return Number(/VmHWM:\s+(\d+)/.exec(status)?.[1] ?? 0) / 1024;
 }
 
-function readWakes(pid: number): number {
+function readWakeUps(pid: number): number {
 	return Number(/^voluntary_ctxt_switches:\s+(\d+)/m.exec(readFileSync(`/proc/${pid}/status`, 'utf8'))?.[1] ?? 0);
 }
 
@@ -95,51 +95,51 @@
 }
 
 function createPeers(nodes: number, {clocksApartMs, workMs}: NodeCostOptions): readonly SimulatedPeer[] {
-	const nodesOfDomain = Math.ceil(nodes / domains);
+	const nodesOfDomain = Math.ceil(nodes / domainCount);
 	return Array.from({length: nodes - 1}, (_, index) => {
-		const address = `127.${place + 120}.${Math.floor((index + 1) / 250)}.${((index + 1) % 250) + 1}`;
+		const address = `127.${addressOffset + 120}.${Math.floor((index + 1) / 250)}.${((index + 1) % 250) + 1}`;
 		return createSimulatedPeer({
-			name: `p${index + 1}`, failureDomain: `d${(index + 1) % domains}`, service: services[(index + 1) % 9 < 5 ? 0 : ((index + 1) % 9 < 8 ? 1 : 2)],
-			gate: toAddress(`${address}:7002`), gossip: toAddress(`${address}:7004`), nodesOfDomain, nodes, workMs, clockMs: Math.floor(Math.random() * clocksApartMs), isFollowing: index + 1 <= domains * watchersPerDomain, version: 1,
+			name: `p${index + 1}`, failureDomain: `d${(index + 1) % domainCount}`, service: services[(index + 1) % 9 < 5 ? 0 : ((index + 1) % 9 < 8 ? 1 : 2)],
+			gate: toAddress(`${address}:7002`), gossip: toAddress(`${address}:7004`), nodesOfDomain, nodes, workMs, clockOffsetMs: Math.floor(Math.random() * clocksApartMs), isFollowing: index + 1 <= domainCount * watchersPerDomain, version: 1,
 		});
 	});
 }
 
 /** Runs a load at an even pace; yields how many calls there were and how many failed. */
-async function applyLoad(rate: number, seconds: number, call: () => Promise<boolean>): Promise<{readonly calls: number; readonly failed: number}> {
-	const running: Array<Promise<boolean>> = [];
+async function sendAtRate(callsPerSecond: number, seconds: number, call: () => Promise<boolean>): Promise<{readonly calls: number; readonly failed: number}> {
+	const pending: Array<Promise<boolean>> = [];
 	const startedAt = performance.now();
-	for (let count = 0; count < rate * seconds; count++) {
-		await sleep(Math.max(0, startedAt + (count * 1000 / rate) - performance.now()));
-		running.push(call());
+	for (let count = 0; count < callsPerSecond * seconds; count++) {
+		await sleep(Math.max(0, startedAt + (count * 1000 / callsPerSecond) - performance.now()));
+		pending.push(call());
 	}
 
-	const results = await Promise.all(running);
+	const results = await Promise.all(pending);
 	return {calls: results.length, failed: results.filter(isAnswered => !isAnswered).length};
 }
 
 async function measurePhase(pid: number, seconds: number, run: () => Promise<{readonly calls: number; readonly failed: number}>): Promise<Phase> {
 	const before = readCpuMs(pid);
-	const wakesBefore = readWakes(pid);
+	const wakeUpsBefore = readWakeUps(pid);
 	const startedAt = performance.now();
 	const {calls, failed} = await run();
 	await sleep(Math.max(0, (seconds * 1000) - (performance.now() - startedAt)));
 	const tookMs = performance.now() - startedAt;
 	return {
-		cpuMsPerSecond: (readCpuMs(pid) - before) * 1000 / tookMs, wakesPerSecond: (readWakes(pid) - wakesBefore) * 1000 / tookMs, peakMb: readPeakMb(pid), calls, failed,
+		cpuMsPerSecond: (readCpuMs(pid) - before) * 1000 / tookMs, wakeUpsPerSecond: (readWakeUps(pid) - wakeUpsBefore) * 1000 / tookMs, peakMegabytes: readPeakMegabytes(pid), callCount: calls, failedCount: failed,
 	};
 }
 
-type Measured = {
+type SizeMeasurement = {
 	readonly start: Phase;
 	readonly idle: Phase;
 	readonly load: Phase;
-	readonly warm: Phase;
+	readonly warmLoad: Phase;
 	/** Datagrams that the node sent in the idle phase, a second. */
 	readonly sentPerSecond: number;
 };
 
-async function endProcess(child: ChildProcess): Promise<void> {
+async function stopProcess(child: ChildProcess): Promise<void> {
 	if (child.exitCode !== null) {
 		throw new Error(`the node ended by itself with code ${child.exitCode}: is another run under way at the same addresses?`);
 	}
@@ -151,14 +151,14 @@
 	await ended;
 }
 
-async function measureSize(nodes: number, options: NodeCostOptions): Promise<Measured> {
+async function measureSize(nodes: number, options: NodeCostOptions): Promise<SizeMeasurement> {
 	const {seconds, rate} = options;
 	const folder = mkdtempSync(join(tmpdir(), 'stonemoor-node-'));
 	const store = await startPlatformStore();
 	const routes = Array.from({length: options.routes}, (_, index) => ({prefix: `/r${index}/`, service: services[index % 3]!}));
 	store.putConfig(createTestConfig(1, routes));
-	const worker = await startWireServer('i-measured');
-	worker.setWorkMs(options.workMs);
+	const server = await startWireServer('i-measured');
+	server.setWorkMs(options.workMs);
 	const {callers, gate, gossip, announcements} = createListenAddresses(host);
 	const peers = createPeers(nodes, options);
 	const profile = options.profile === undefined ? [] : ['--cpu-prof', '--cpu-prof-dir', options.profile, '--cpu-prof-name', `node-${nodes}.cpuprofile`];
@@ -169,18 +169,18 @@
 		const start = await measurePhase(pid, settleMs / 1000, async () => {
 			await sleep(1000);
 			await announceTestServer(announcements, {
-				id: worker.id, address: worker.address, service: services[0], failureDomain: 'd0', slots: 8, sequence: 1, born: Date.now(),
+				id: server.id, address: server.address, service: services[0], failureDomain: 'd0', slots: 8, sequence: 1, born: Date.now(),
 			});
-			await Promise.all(peers.map(async (peer, index) => peer.start(toAddress(gossip), (index + 1) % domains === 0)));
+			await Promise.all(peers.map(async (peer, index) => peer.start(toAddress(gossip), (index + 1) % domainCount === 0)));
 			return {calls: 0, failed: 0};
 		});
-		const countHeard = (): number => peers.reduce((sum, peer) => sum + peer.countHeard(), 0);
-		const heardBefore = countHeard();
+		const countReceived = (): number => peers.reduce((sum, peer) => sum + peer.countReceived(), 0);
+		const receivedBefore = countReceived();
 		const idle = await measurePhase(pid, seconds, async () => ({calls: 0, failed: 0}));
-		const sentPerSecond = (countHeard() - heardBefore) / seconds;
+		const sentPerSecond = (countReceived() - receivedBefore) / seconds;
 		if (!options.load) {
 			return {
-				start, idle, load: idle, warm: idle, sentPerSecond,
+				start, idle, load: idle, warmLoad: idle, sentPerSecond,
 			};
 		}
 
@@ -195,31 +195,31 @@
 
 		const callGate = async (): Promise<boolean> => {
 			const peer = peers[Math.floor(Math.random() * peers.length)]!;
-			return peer.call(toAddress(gate), worker.id, '/r0/x');
+			return peer.call(toAddress(gate), server.id, '/r0/x');
 		};
 
 		const runLoad = async (): Promise<{readonly calls: number; readonly failed: number}> => {
-			const [entry, own] = await Promise.all([applyLoad(rate, seconds, callEntry), applyLoad(rate, seconds, callGate)]);
+			const [entry, own] = await Promise.all([sendAtRate(rate, seconds, callEntry), sendAtRate(rate, seconds, callGate)]);
 			return {calls: entry.calls + own.calls, failed: entry.failed + own.failed};
 		};
 
 		const load = await measurePhase(pid, seconds, runLoad);
-		const warm = await measurePhase(pid, seconds, runLoad);
+		const warmLoad = await measurePhase(pid, seconds, runLoad);
 		return {
-			start, idle, load, warm, sentPerSecond,
+			start, idle, load, warmLoad, sentPerSecond,
 		};
 	} finally {
 		agent.destroy();
-		await endProcess(child);
+		await stopProcess(child);
 		await Promise.all(peers.map(async peer => peer.close()));
-		await worker.close();
+		await server.close();
 		await store.close();
 		rmSync(folder, {recursive: true});
 	}
 }
 
 /** Milliseconds of processor time for one call, beside those of being there. */
-const computeCallMs = (phase: Phase, idle: Phase, seconds: number): number => (phase.cpuMsPerSecond - idle.cpuMsPerSecond) * seconds / phase.calls;
+const computeCallMs = (phase: Phase, idle: Phase, seconds: number): number => (phase.cpuMsPerSecond - idle.cpuMsPerSecond) * seconds / phase.callCount;
 
 /**
  * Measures and prints a row for each size.
@@ -229,17 +229,17 @@
 export async function runNodeCost(options: NodeCostOptions): Promise<void> {
 	const rows: string[][] = [];
 	for (const nodes of options.sizes) {
-		const {start, idle, load, warm, sentPerSecond} = await measureSize(nodes, options);
+		const {start, idle, load, warmLoad, sentPerSecond} = await measureSize(nodes, options);
 		const cells = [
 			(start.cpuMsPerSecond * settleMs / 1000).toFixed(0),
 			idle.cpuMsPerSecond.toFixed(1),
-			idle.wakesPerSecond.toFixed(0),
+			idle.wakeUpsPerSecond.toFixed(0),
 			sentPerSecond.toFixed(0),
 			options.load ? computeCallMs(load, idle, options.seconds).toFixed(2) : '-',
-			options.load ? computeCallMs(warm, idle, options.seconds).toFixed(2) : '-',
-			options.load ? ((warm.wakesPerSecond - idle.wakesPerSecond) * options.seconds / warm.calls).toFixed(1) : '-',
-			String(load.failed + warm.failed),
-			warm.peakMb.toFixed(0),
+			options.load ? computeCallMs(warmLoad, idle, options.seconds).toFixed(2) : '-',
+			options.load ? ((warmLoad.wakeUpsPerSecond - idle.wakeUpsPerSecond) * options.seconds / warmLoad.callCount).toFixed(1) : '-',
+			String(load.failedCount + warmLoad.failedCount),
+			warmLoad.peakMegabytes.toFixed(0),
 		];
 		rows.push([String(nodes), ...cells]);
 	}
--- a/bench/node-cost/simulated-peer.ts
+++ b/bench/node-cost/simulated-peer.ts
@@ -34,7 +34,7 @@
 	/** Milliseconds that a request takes there. */
 	readonly workMs: number;
 	/** Milliseconds by which its clock differs from that of the measured node. */
-	readonly clockMs: number;
+	readonly clockOffsetMs: number;
 	/** It watches the store for the others. */
 	readonly isFollowing: boolean;
 	/** Version of the configuration that it says it has. */
@@ -44,19 +44,19 @@
 /** @internal */
 export type SimulatedPeer = {
 	/** Listens, and tells the node of itself from now on. */
-	readonly start: (node: Address, isNear: boolean) => Promise<void>;
+	readonly start: (node: Address, isInOwnDomain: boolean) => Promise<void>;
 	/** Sends a request for the backend server beside the node; yields whether it was answered. */
 	readonly call: (gate: Address, server: string, target: string) => Promise<boolean>;
 	/** Datagrams that came from the node. */
-	readonly countHeard: () => number;
+	readonly countReceived: () => number;
 	readonly close: () => Promise<void>;
 };
 
 /** Milliseconds between two rounds of heartbeats, as a node has it. */
-const periodMs = 400;
+const heartbeatPeriodMs = 400;
 
 /** Milliseconds that a request of a simulated node may take. */
-const callMs = 5000;
+const callTimeoutMs = 5000;
 
 /**
  * @param options - Where it stands.
@@ -68,10 +68,10 @@
 	const client = createGateClient();
 	const plan = planHeartbeats({ownDomainNodes: options.nodesOfDomain - 1, otherDomainNodes: options.nodes - options.nodesOfDomain, isFollowing: options.isFollowing});
 	let sequence = 0;
-	let heard = 0;
+	let receivedCount = 0;
 	let timer: NodeJS.Timeout | undefined;
 
-	const describe = (): PeerReport => ({
+	const createReport = (): PeerReport => ({
 		node: toNodeId(options.name), run: 'r1', sequence: ++sequence, domain: toFailureDomain(options.failureDomain), gate: options.gate, gossip: options.gossip,
 		version: options.version, isLeaving: false,
 		server: {
@@ -80,12 +80,12 @@
 		},
 		duties: {
 			linkMbps: options.isFollowing ? 100 : 10, isFollowing: options.isFollowing, storeSeenMs: 50, storeEra: 1,
-		}, periods: computePeriods(plan, periodMs), isProbe: false, suspects: [],
+		}, periods: computePeriods(plan, heartbeatPeriodMs), isProbe: false, suspects: [],
 	});
 
-	const tell = (node: Address): void => {
+	const sendReport = (node: Address): void => {
 		const {host, port} = parseAddress(node);
-		socket.send(Buffer.from(encodeReport(describe())), port, host);
+		socket.send(Buffer.from(encodeReport(createReport())), port, host);
 	};
 
 	const server = createServer({noDelay: true}, connection => {
@@ -114,7 +114,7 @@
 	});
 
 	return {
-		async start(node, isNear) {
+		async start(node, isInOwnDomain) {
 			const gossip = parseAddress(options.gossip);
 			const gate = parseAddress(options.gate);
 			await new Promise<void>((resolve, reject) => {
@@ -126,29 +126,29 @@
 				server.listen(gate.port, gate.host, resolve);
 			});
 			socket.on('message', bytes => {
-				heard++;
+				receivedCount++;
 				const report = JSON.parse(bytes.toString()) as readonly unknown[];
-				if (report.at(-1) === 1 || heard === 1) {
-					tell(node);
+				if (report.at(-1) === 1 || receivedCount === 1) {
+					sendReport(node);
 				}
 			});
-			const pauseMs = (isNear ? plan.ownDomain : plan.otherDomain) * periodMs;
+			const heartbeatIntervalMs = (isInOwnDomain ? plan.ownDomain : plan.otherDomain) * heartbeatPeriodMs;
 			// A node that starts greets everybody and is answered at once.
-			tell(node);
-			const rounds = Math.round(pauseMs / periodMs);
+			sendReport(node);
+			const rounds = Math.round(heartbeatIntervalMs / heartbeatPeriodMs);
 			let round = Math.floor(Math.random() * rounds);
 			const runRound = (): void => {
-				timer = setTimeout(runRound, computeRoundDelay(readNow() + options.clockMs, periodMs));
+				timer = setTimeout(runRound, computeRoundDelay(readNow() + options.clockOffsetMs, heartbeatPeriodMs));
 				round++;
 				if (round % rounds === 0) {
-					tell(node);
+					sendReport(node);
 				}
 			};
 
-			timer = setTimeout(runRound, computeRoundDelay(readNow() + options.clockMs, periodMs));
+			timer = setTimeout(runRound, computeRoundDelay(readNow() + options.clockOffsetMs, heartbeatPeriodMs));
 		},
 		async call(gate, target, path) {
-			const scope = createCallScope(readSteadyMs() + callMs);
+			const scope = createCallScope(readSteadyMs() + callTimeoutMs);
 			const {result} = await client.send({
 				gate, body: undefined, isBulk: false, scope, id: Math.random().toString(16).slice(2), server: toBackendServerId(target), method: 'GET', target: path,
 				headers: {host: 'mesh.example', accept: '*/*', 'user-agent': 'caller'}, callerService: options.service, rank: 1, mayWaitMs: 0,
@@ -156,7 +156,7 @@
 			scope.dispose();
 			return result.type === 'answered';
 		},
-		countHeard: () => heard,
+		countReceived: () => receivedCount,
 		async close() {
 			clearTimeout(timer);
 			client.dispose();
--- a/bench/peer-slopes.ts
+++ b/bench/peer-slopes.ts
@@ -15,27 +15,27 @@
 } from '../src/lib/peers/peer-table.js';
 import {createSampleReport} from '../src/lib/peers/sample-report.js';
 import {isRelay, type DomainNode} from '../src/lib/sync/relay-duty.js';
-import {formatMarkdown, measureMedian} from './statistics.js';
+import {formatMarkdown, measureMedianMicroseconds} from './statistics.js';
 
 const limits: PeerLimits = {
 	silenceMs: 1050, probeMs: 650, forgetMs: 60_000, avoidMs: 250, getPeriodMs: () => 400,
 };
 
-const rounds = 400;
-const domains = 5;
+const roundCount = 400;
+const domainCount = 5;
 const ownDomain = toFailureDomain('d0');
-const now = 500;
+const nowMs = 500;
 
 function fillTable(nodes: number): PeerTable {
 	const table = createPeerTable(ownDomain, limits);
-	for (let place = 1; place < nodes; place++) {
-		const host = `10.${Math.floor(place / 256)}.${place % 256}.1`;
+	for (let index = 1; index < nodes; index++) {
+		const host = `10.${Math.floor(index / 256)}.${index % 256}.1`;
 		table.acceptReport(createSampleReport({
-			node: toNodeId(`n${place}`), domain: toFailureDomain(`d${place % domains}`), gate: toAddress(`${host}:1`), gossip: toAddress(`${host}:2`),
+			node: toNodeId(`n${index}`), domain: toFailureDomain(`d${index % domainCount}`), gate: toAddress(`${host}:1`), gossip: toAddress(`${host}:2`),
 			duties: {
-				linkMbps: place % 3 === 0 ? 100 : 10, isFollowing: place % domains === 0 && place > nodes - 25, storeSeenMs: 50, storeEra: 1,
+				linkMbps: index % 3 === 0 ? 100 : 10, isFollowing: index % domainCount === 0 && index > nodes - 25, storeSeenMs: 50, storeEra: 1,
 			},
-			server: {...createSampleReport().server!, lifetime: {id: toBackendServerId(`i${place}`), startedAt: 1}},
+			server: {...createSampleReport().server!, lifetime: {id: toBackendServerId(`i${index}`), startedAt: 1}},
 		}), 0);
 	}
 
@@ -43,33 +43,33 @@
 }
 
 /** The round as it was: every node is looked at, for its turn and, every fourth round, for its silence and its end. */
-function visitAll(table: PeerTable, round: number, plan: ReturnType<typeof planHeartbeats>): number {
+function countDueByFullScan(table: PeerTable, round: number, plan: ReturnType<typeof planHeartbeats>): number {
 	let due = 0;
-	let place = 0;
+	let index = 0;
 	for (const peer of table.list()) {
-		const every = peer.report.domain === ownDomain ? plan.ownDomain : plan.otherDomain;
-		due += (place + round) % (isHeard(peer, limits, now) ? every : Math.max(every, 4)) === 0 ? 1 : 0;
-		place++;
+		const periodRounds = peer.report.domain === ownDomain ? plan.ownDomain : plan.otherDomain;
+		due += (index + round) % (isHeard(peer, limits, nowMs) ? periodRounds : Math.max(periodRounds, 4)) === 0 ? 1 : 0;
+		index++;
 	}
 
 	if (round % 4 === 0) {
-		const silent = [...table.list()].filter(peer => !isHeard(peer, limits, now));
-		due += silent.length + table.dropSilent(now).length;
+		const silent = [...table.list()].filter(peer => !isHeard(peer, limits, nowMs));
+		due += silent.length + table.dropSilent(nowMs).length;
 	}
 
 	return due;
 }
 
-function visitTurns(table: PeerTable, round: number, plan: ReturnType<typeof planHeartbeats>): number {
+function countDueByRotation(table: PeerTable, round: number, plan: ReturnType<typeof planHeartbeats>): number {
 	let due = 0;
-	const take = (peers: readonly Peer[], every: number): void => {
-		for (const place of listDuePositions(peers.length, every, round)) {
-			due += isHeard(peers[place]!, limits, now) ? 1 : 0;
+	const addDue = (peers: readonly Peer[], periodRounds: number): void => {
+		for (const index of listDuePositions(peers.length, periodRounds, round)) {
+			due += isHeard(peers[index]!, limits, nowMs) ? 1 : 0;
 		}
 	};
 
-	take(table.listOwnDomain(), plan.ownDomain);
-	take(table.listOtherDomains(), plan.otherDomain);
+	addDue(table.listOwnDomain(), plan.ownDomain);
+	addDue(table.listOtherDomains(), plan.otherDomain);
 	return due;
 }
 
@@ -77,17 +77,17 @@
 	node: toNodeId('n0'), heardMsAgo: 0, periodMs: 0, linkMbps: 10, isFollowing: false, storeSeenMs: 20,
 };
 
-function * describeHeard(table: PeerTable): Generator<DomainNode> {
+function * describeDomainNodes(table: PeerTable): Generator<DomainNode> {
 	for (const {report: {node, duties: {linkMbps, isFollowing, storeSeenMs}}, reportedAt, periodMs} of table.listOwnDomain()) {
 		yield {
-			node, linkMbps, isFollowing, storeSeenMs, heardMsAgo: now - reportedAt, periodMs,
+			node, linkMbps, isFollowing, storeSeenMs, heardMsAgo: nowMs - reportedAt, periodMs,
 		};
 	}
 }
 
 const listServers = (table: PeerTable): ReadonlySet<BackendServerId> => new Set([...table.list()].flatMap(({report}) => report.server === undefined ? [] : [report.server.lifetime.id]));
 
-type Row = {readonly name: string; readonly aSecond: number; readonly run: (table: PeerTable, round: number) => void};
+type Row = {readonly name: string; readonly timesPerSecond: number; readonly run: (table: PeerTable, round: number) => void};
 
 /**
  * Measures and prints a row for each piece of work.
@@ -103,34 +103,34 @@
 
 	const rows: readonly Row[] = [
 		{
-			name: 'a round, every node looked at', aSecond: 2.5, run(table, round) {
-				visitAll(table, round, getPlan(table));
+			name: 'a round, every node looked at', timesPerSecond: 2.5, run(table, round) {
+				countDueByFullScan(table, round, getPlan(table));
 			},
 		},
 		{
-			name: 'a round by turns', aSecond: 2.5, run(table, round) {
-				visitTurns(table, round, getPlan(table));
+			name: 'a round by turns', timesPerSecond: 2.5, run(table, round) {
+				countDueByRotation(table, round, getPlan(table));
 			},
 		},
-		{name: 'whom news of a ready server go to', aSecond: 0.1, run: table => chooseAnnouncementTargets(table, Math.random)},
-		{name: 'whether to watch the store', aSecond: 3.3, run: table => isRelay(self, describeHeard(table), table.countDomains())},
-		{name: 'which servers are known (every 30 s)', aSecond: 1 / 30, run: table => listServers(table)},
+		{name: 'whom news of a ready server go to', timesPerSecond: 0.1, run: table => chooseAnnouncementTargets(table, Math.random)},
+		{name: 'whether to watch the store', timesPerSecond: 3.3, run: table => isRelay(self, describeDomainNodes(table), table.countDomains())},
+		{name: 'which servers are known (every 30 s)', timesPerSecond: 1 / 30, run: table => listServers(table)},
 	];
 
-	const cells = rows.map(({name, aSecond, run}) => {
-		const micros = tables.map(table => {
+	const cells = rows.map(({name, timesPerSecond, run}) => {
+		const medianMicroseconds = tables.map(table => {
 			let round = 0;
-			return measureMedian(rounds, () => {
+			return measureMedianMicroseconds(roundCount, () => {
 				round++;
 				run(table, round);
 			});
 		});
-		const least = micros[0]!;
-		return [name, ...micros.map(micro => `${micro.toFixed(1)} (${(micro / least).toFixed(1)})`), (micros.at(-1)! * aSecond / 1000).toFixed(3)];
+		const smallestMesh = medianMicroseconds[0]!;
+		return [name, ...medianMicroseconds.map(median => `${median.toFixed(1)} (${(median / smallestMesh).toFixed(1)})`), (medianMicroseconds.at(-1)! * timesPerSecond / 1000).toFixed(3)];
 	});
 	console.log(formatMarkdown(['µs each (ratio to the first)', ...sizes.map(size => `${size} nodes`), 'ms a second at the last'], cells));
 
-	const counts = tables.map(table => [visitTurns(table, 0, getPlan(table)), chooseAnnouncementTargets(table, Math.random).length] as const);
+	const counts = tables.map(table => [countDueByRotation(table, 0, getPlan(table)), chooseAnnouncementTargets(table, Math.random).length] as const);
 	console.log('');
 	console.log(formatMarkdown(['datagrams', ...sizes.map(size => `${size} nodes`)], [
 		['of a round, the mean of its turns', ...tables.map(table => {
--- a/bench/quarantine.ts
+++ b/bench/quarantine.ts
@@ -24,141 +24,141 @@
 };
 
 /** What is drawn for one play. */
-type Plan = {
+type RunPlan = {
 	/** Requests of each guilty page a second. */
-	readonly rate: number;
-	readonly culprits: number;
-	readonly backAfterMs: number;
+	readonly fatalRequestsPerSecond: number;
+	readonly fatalPageCount: number;
+	readonly restartDelayMs: number;
 	readonly workMs: number;
 	/** Share of their runs that servers fail before they come to what crashes them. */
-	readonly failShare: number;
+	readonly failureShare: number;
 	/** Nodes that are killed and start again meanwhile. */
-	readonly restarts: number;
+	readonly nodeRestartCount: number;
 	readonly random: () => number;
 };
 
-type Play = {
+type FatalRunResult = {
 	/** Servers that ended under one page, the most of any page. */
-	readonly ended: number;
+	readonly crashCount: number;
 	/** Runs later than three seconds after the third crash, the most of any page. */
-	readonly late: number;
+	readonly lateRunCount: number;
 	/** Share of the other requests served from a second after the third crash on; 1 if there was none. */
-	readonly served: number;
+	readonly servedShare: number;
 };
 
 /** Nodes in touch know of it within this time after the third crash. Milliseconds, the users' bound. */
-const knownAfterMs = 3000;
+const propagationLimitMs = 3000;
 
 /** The others are looked at from so many milliseconds after the third crash on. */
-const servedAgainMs = 1000;
+const recoveryMs = 1000;
 
 /** Other requests a second. */
-const otherRate = 60;
+const otherRequestsPerSecond = 60;
 
 const routes = [{prefix: '/logs/', service: 'logview', attempts: 3}] as const;
 
 /** Runs of a server for which it is drawn whether it fails them: more than one has before its play ends. */
-const plannedRuns = 2000;
+const plannedRunCount = 2000;
 
 /** Requests come at nodes beside servers of other services as well. */
-const listServices = (nodes: number): readonly string[] => Array.from({length: nodes}, (_, place) => place % 3 === 2 ? `caller-${place % 4}` : 'logview');
+const listServices = (nodes: number): readonly string[] => Array.from({length: nodes}, (_, index) => index % 3 === 2 ? `caller-${index % 4}` : 'logview');
 
 const isFatal = (target: string): boolean => target.startsWith('/logs/fatal');
 
-function pickPlan(seed: number): Plan {
+function pickRunPlan(seed: number): RunPlan {
 	const random = randomLcg(seed);
-	const pickBetween = (least: number, most: number): number => randomUniform.source(random)(least, most)();
+	const pickBetween = (minimum: number, maximum: number): number => randomUniform.source(random)(minimum, maximum)();
 	return {
-		rate: pickBetween(1, 20), culprits: random() < 0.3 ? 2 : 1, backAfterMs: pickBetween(300, 2000), workMs: pickBetween(5, 80), failShare: random() < 0.5 ? 0 : pickBetween(0.05, 0.5),
-		restarts: Math.floor(pickBetween(0, 4)), random,
+		fatalRequestsPerSecond: pickBetween(1, 20), fatalPageCount: random() < 0.3 ? 2 : 1, restartDelayMs: pickBetween(300, 2000), workMs: pickBetween(5, 80), failureShare: random() < 0.5 ? 0 : pickBetween(0.05, 0.5),
+		nodeRestartCount: Math.floor(pickBetween(0, 4)), random,
 	};
 }
 
 const pickNode = ({nodes}: TestMesh, random: () => number): TestNode => nodes[Math.floor(random() * nodes.length)]!;
 
-type Asked = {readonly at: number; readonly answer: CallerAnswer};
+type SentRequest = {readonly at: number; readonly answer: CallerAnswer};
 
 /** Asks at random nodes until a time is over. */
-async function askEvery(mesh: TestMesh, rate: number, endsAt: number, random: () => number, chooseTarget: () => string): Promise<readonly Asked[]> {
-	const asked: Array<Promise<Asked>> = [];
-	const askOnce = async (): Promise<Asked> => ({at: Date.now(), answer: await pickNode(mesh, random).call(chooseTarget())});
+async function sendAtRate(mesh: TestMesh, requestsPerSecond: number, endsAt: number, random: () => number, chooseTarget: () => string): Promise<readonly SentRequest[]> {
+	const pending: Array<Promise<SentRequest>> = [];
+	const sendOne = async (): Promise<SentRequest> => ({at: Date.now(), answer: await pickNode(mesh, random).call(chooseTarget())});
 	while (Date.now() < endsAt) {
-		asked.push(askOnce());
-		await sleep(1000 / rate);
+		pending.push(sendOne());
+		await sleep(1000 / requestsPerSecond);
 	}
 
-	return Promise.all(asked);
+	return Promise.all(pending);
 }
 
 /** Kills nodes and starts them again at random moments. */
-async function renewNodes(mesh: TestMesh, {restarts, random}: Plan, endsAt: number): Promise<void> {
-	for (let turn = 0; turn < restarts; turn++) {
-		await sleep(random() * (endsAt - Date.now()) / (restarts - turn));
+async function restartNodes(mesh: TestMesh, {nodeRestartCount, random}: RunPlan, endsAt: number): Promise<void> {
+	for (let index = 0; index < nodeRestartCount; index++) {
+		await sleep(random() * (endsAt - Date.now()) / (nodeRestartCount - index));
 		const node = pickNode(mesh, random);
 		await node.restart();
 		await node.announce();
 	}
 }
 
-async function runCulprits(nodes: number, seconds: number, seed: number): Promise<Play> {
-	const plan = pickPlan(seed);
+async function runFatalRequests(nodes: number, seconds: number, seed: number): Promise<FatalRunResult> {
+	const plan = pickRunPlan(seed);
 	const mesh = await startTestMesh(listServices(nodes), createTestConfig(7, routes));
-	const {crashes, stop} = spoilServers(mesh, isFatal, plan.backAfterMs, server => {
+	const {crashes, stop} = spoilServers(mesh, isFatal, plan.restartDelayMs, server => {
 		server.setWorkMs(plan.workMs);
-		server.plan(...Array.from({length: plannedRuns}, () => plan.random() < plan.failShare ? 'fail' as const : 'answer' as const));
+		server.plan(...Array.from({length: plannedRunCount}, () => plan.random() < plan.failureShare ? 'fail' as const : 'answer' as const));
 	});
 	const endsAt = Date.now() + (seconds * 1000);
 	let page = 0;
 	const [others] = await Promise.all([
-		askEvery(mesh, otherRate, endsAt, plan.random, () => `/logs/page-${page++}`),
-		...Array.from({length: plan.culprits}, async (_, culprit) => askEvery(mesh, plan.rate, endsAt, plan.random, () => `/logs/fatal-${culprit}`)),
-		renewNodes(mesh, plan, endsAt),
+		sendAtRate(mesh, otherRequestsPerSecond, endsAt, plan.random, () => `/logs/page-${page++}`),
+		...Array.from({length: plan.fatalPageCount}, async (_, fatalPage) => sendAtRate(mesh, plan.fatalRequestsPerSecond, endsAt, plan.random, () => `/logs/fatal-${fatalPage}`)),
+		restartNodes(mesh, plan, endsAt),
 	]);
 	stop();
-	await sleep(plan.backAfterMs);
+	await sleep(plan.restartDelayMs);
 	await mesh.dispose();
 
-	const pages = Array.from({length: plan.culprits}, (_, culprit) => crashes.filter(({target}) => target === `/logs/fatal-${culprit}`));
-	const thirds = pages.map(page => page[2]?.endedAt ?? Number.POSITIVE_INFINITY);
-	const since = others.filter(({at}) => at > Math.max(...thirds) + servedAgainMs);
+	const crashesByPage = Array.from({length: plan.fatalPageCount}, (_, fatalPage) => crashes.filter(({target}) => target === `/logs/fatal-${fatalPage}`));
+	const thirdCrashTimes = crashesByPage.map(pageCrashes => pageCrashes[2]?.endedAt ?? Number.POSITIVE_INFINITY);
+	const afterRecovery = others.filter(({at}) => at > Math.max(...thirdCrashTimes) + recoveryMs);
 	return {
-		ended: Math.max(...pages.map(page => page.length)),
-		late: Math.max(...pages.map((page, place) => page.filter(({ranAt}) => ranAt > thirds[place]! + knownAfterMs).length)),
-		served: since.length === 0 ? 1 : since.filter(({answer: {status, body}}) => status === 200 || body === 'failed').length / since.length,
+		crashCount: Math.max(...crashesByPage.map(pageCrashes => pageCrashes.length)),
+		lateRunCount: Math.max(...crashesByPage.map((pageCrashes, index) => pageCrashes.filter(({ranAt}) => ranAt > thirdCrashTimes[index]! + propagationLimitMs).length)),
+		servedShare: afterRecovery.length === 0 ? 1 : afterRecovery.filter(({answer: {status, body}}) => status === 200 || body === 'failed').length / afterRecovery.length,
 	};
 }
 
 /** Crashes of other causes, one server or half of them at once, while a few pages are in work everywhere; yields how many requests were refused as if they caused them. */
-async function runInnocents(nodes: number, seconds: number, seed: number): Promise<number> {
-	const {random, backAfterMs, workMs} = pickPlan(seed);
+async function runUnrelatedCrashes(nodes: number, seconds: number, seed: number): Promise<number> {
+	const {random, restartDelayMs, workMs} = pickRunPlan(seed);
 	const mesh = await startTestMesh(listServices(nodes), createTestConfig(7, routes));
 	for (const {server} of mesh.nodes) {
 		server.setWorkMs(workMs);
 	}
 
 	const endsAt = Date.now() + (seconds * 1000);
-	const endServer = async (node: TestNode): Promise<void> => {
+	const restartServer = async (node: TestNode): Promise<void> => {
 		await node.server.close();
-		await sleep(backAfterMs);
+		await sleep(restartDelayMs);
 		const server = await node.restartServer();
 		server.setWorkMs(workMs);
 		await node.announce();
 	};
 
-	const endSome = async (): Promise<void> => {
-		while (Date.now() < endsAt - backAfterMs) {
+	const restartRandomServers = async (): Promise<void> => {
+		while (Date.now() < endsAt - restartDelayMs) {
 			const share = random() < 0.2 ? 0.5 : 0;
-			const ended = new Set([pickNode(mesh, random), ...mesh.nodes.filter(() => random() < share)]);
-			await Promise.all([...ended].map(async node => endServer(node)));
+			const restarting = new Set([pickNode(mesh, random), ...mesh.nodes.filter(() => random() < share)]);
+			await Promise.all([...restarting].map(async node => restartServer(node)));
 			await sleep(random() * 1500);
 		}
 	};
 
 	let page = 0;
 	const [popular, rare] = await Promise.all([
-		askEvery(mesh, otherRate, endsAt, random, () => `/logs/popular-${Math.floor(random() * 4)}`),
-		askEvery(mesh, otherRate / 4, endsAt, random, () => `/logs/rare-${page++}`),
-		endSome(),
+		sendAtRate(mesh, otherRequestsPerSecond, endsAt, random, () => `/logs/popular-${Math.floor(random() * 4)}`),
+		sendAtRate(mesh, otherRequestsPerSecond / 4, endsAt, random, () => `/logs/rare-${page++}`),
+		restartRandomServers(),
 	]);
 	await mesh.dispose();
 	return [...popular, ...rare].filter(({answer: {body}}) => body.includes('quarantined')).length;
@@ -167,14 +167,14 @@
 /** Measures and prints the tables. */
 export async function runQuarantine({firstSeed, seeds, nodes, seconds}: QuarantineOptions): Promise<void> {
 	process.stdout.write('| seed | servers ended under a page | runs late | others served | innocent requests refused |\n| --- | --- | --- | --- | --- |\n');
-	const plays: Play[] = [];
+	const results: FatalRunResult[] = [];
 	for (let seed = firstSeed; seed < firstSeed + seeds; seed++) {
-		const play = await runCulprits(nodes, seconds, seed);
-		const refused = await runInnocents(nodes, seconds / 2, seed);
-		plays.push(play);
-		process.stdout.write(`| ${seed} | ${play.ended} | ${play.late} | ${play.served.toFixed(3)} | ${refused} |\n`);
+		const result = await runFatalRequests(nodes, seconds, seed);
+		const refused = await runUnrelatedCrashes(nodes, seconds / 2, seed);
+		results.push(result);
+		process.stdout.write(`| ${seed} | ${result.crashCount} | ${result.lateRunCount} | ${result.servedShare.toFixed(3)} | ${refused} |\n`);
 	}
 
-	const ended = plays.map(play => play.ended);
-	process.stdout.write(`\nEnded: ${median(ended)} at the median, ${Math.max(...ended)} at the worst; late: ${Math.max(...plays.map(({late}) => late))} at the most; others served: ${Math.min(...plays.map(({served}) => served)).toFixed(3)} at the least.\n`);
+	const crashCounts = results.map(result => result.crashCount);
+	process.stdout.write(`\nEnded: ${median(crashCounts)} at the median, ${Math.max(...crashCounts)} at the worst; late: ${Math.max(...results.map(({lateRunCount}) => lateRunCount))} at the most; others served: ${Math.min(...results.map(({servedShare}) => servedShare)).toFixed(3)} at the least.\n`);
 }
--- a/bench/statistics.ts
+++ b/bench/statistics.ts
@@ -7,7 +7,7 @@
 	linearRegression, linearRegressionLine, quantile, rSquared,
 } from 'simple-statistics';
 
-export type Fit = {
+export type LinearFit = {
 	/** Cost of one unit more. */
 	readonly slope: number;
 	/** Cost before the first unit. */
@@ -22,7 +22,7 @@
 }
 
 /** Fits a line through points (x, y). */
-export function fitLine(points: ReadonlyArray<readonly [number, number]>): Fit {
+export function fitLine(points: ReadonlyArray<readonly [number, number]>): LinearFit {
 	const data = points.map(([x, y]) => [x, y]);
 	const line = linearRegression(data);
 	return {slope: line.m, intercept: line.b, rSquared: rSquared(data, linearRegressionLine(line))};
@@ -35,7 +35,7 @@
 }
 
 /** Runs something several times and yields the median time of one run, in microseconds. */
-export function measureMedian(rounds: number, run: () => void): number {
+export function measureMedianMicroseconds(rounds: number, run: () => void): number {
 	const times = Array.from({length: rounds}, () => {
 		const start = performance.now();
 		run();
--- a/bench/store-drill.ts
+++ b/bench/store-restore.ts
@@ -15,30 +15,30 @@
 import {waitUntil} from '../stand-ins/wait-until.js';
 
 /** @internal */
-export type StoreDrillOptions = {
+export type StoreRestoreOptions = {
 	/** Drills, and as many plain outages. */
 	readonly seeds: number;
 	readonly nodes: number;
 };
 
 /** What one return of the store showed. */
-type Return = {
+type OutageResult = {
 	/** Milliseconds from the acknowledgement of a change until all nodes had it in force; `undefined` if one had it not in time. */
 	readonly inForceMs: number | undefined;
 	/** Milliseconds from the return until all entries were there. */
-	readonly entriesMs: number | undefined;
+	readonly entriesPresentMs: number | undefined;
 	/** Calls on the store in the three seconds from the return on. */
-	readonly calls: number;
+	readonly storeCalls: number;
 };
 
 /** Given up after this. Milliseconds. */
-const limitMs = 6000;
+const timeoutMs = 6000;
 
 /** Calls are counted for this long after a return. Milliseconds. */
-const countMs = 3000;
+const callCountWindowMs = 3000;
 
 /** Lets the mesh settle between two returns. Milliseconds. */
-const restMs = 1500;
+const settleMs = 1500;
 
 const routes = [{prefix: '/logs/', service: 'logview'}] as const;
 
@@ -56,83 +56,83 @@
 	return answers.every(({status}) => status === 200);
 }
 
-async function measure(startedAt: number, condition: () => boolean | Promise<boolean>): Promise<number | undefined> {
-	return await waitUntil(condition, limitMs, 20) ? performance.now() - startedAt : undefined;
+async function measureUntil(startedAt: number, condition: () => boolean | Promise<boolean>): Promise<number | undefined> {
+	return await waitUntil(condition, timeoutMs, 20) ? performance.now() - startedAt : undefined;
 }
 
 /** Writes of others, so that revisions are given out again, and pass what they were. */
-function writeOthers({store}: TestMesh, count: number): void {
+function writeUnrelatedKeys({store}: TestMesh, count: number): void {
 	for (let number = 0; number < count; number++) {
 		store.keys.commit({expect: [], writes: [{key: 'op/note', value: Buffer.from(String(number)).toString('base64')}], remove: []});
 	}
 }
 
 /** A copy from before some of the nodes had registered. */
-function dropEntries(copy: KeySpaceCopy, random: () => number): KeySpaceCopy {
-	return {...copy, items: new Map([...copy.items].filter(([key]) => !key.startsWith('stonemoor/nodes/') || random() < 0.5))};
+function dropRandomEntries(backup: KeySpaceCopy, random: () => number): KeySpaceCopy {
+	return {...backup, items: new Map([...backup.items].filter(([key]) => !key.startsWith('stonemoor/nodes/') || random() < 0.5))};
 }
 
-async function measureReturn(mesh: TestMesh, firstVersion: number, isDrill: boolean, random: () => number): Promise<Return> {
+async function measureOutage(mesh: TestMesh, firstVersion: number, isRestored: boolean, random: () => number): Promise<OutageResult> {
 	const {store} = mesh;
-	const pickBetween = (least: number, most: number): number => randomUniform.source(random)(least, most)();
-	const copy = dropEntries(store.keys.copy(), random);
-	writeOthers(mesh, Math.floor(pickBetween(0, 40)));
+	const pickBetween = (minimum: number, maximum: number): number => randomUniform.source(random)(minimum, maximum)();
+	const backup = dropRandomEntries(store.keys.copy(), random);
+	writeUnrelatedKeys(mesh, Math.floor(pickBetween(0, 40)));
 	writeVersion(mesh, firstVersion);
 	await sleep(pickBetween(0, 3000));
 	store.setFault(pickBetween(0, 1) < 0.5 ? 'silent' : 'reset');
 	await sleep(pickBetween(50, 900));
-	if (isDrill) {
-		store.restore(copy);
+	if (isRestored) {
+		store.restore(backup);
 	}
 
 	store.setFault('none');
-	const returnedAt = performance.now();
+	const reachableAt = performance.now();
 	const callsBefore = countCalls(mesh);
-	const entries = measure(returnedAt, () => countEntries(mesh) === mesh.nodes.length);
+	const entriesPresent = measureUntil(reachableAt, () => countEntries(mesh) === mesh.nodes.length);
 	// What the operator had written is written again, and then what is new.
 	await sleep(pickBetween(0, 300));
-	if (isDrill) {
+	if (isRestored) {
 		writeVersion(mesh, firstVersion);
 	}
 
 	await sleep(pickBetween(0, 600));
 	writeVersion(mesh, firstVersion + 1);
 	const writtenAt = performance.now();
-	writeOthers(mesh, Math.floor(pickBetween(0, 80)));
-	const inForceMs = await measure(writtenAt, async () => isInForce(mesh, firstVersion + 1));
-	const entriesMs = await entries;
-	await sleep(Math.max(0, returnedAt + countMs - performance.now()));
-	return {inForceMs, entriesMs, calls: countCalls(mesh) - callsBefore};
+	writeUnrelatedKeys(mesh, Math.floor(pickBetween(0, 80)));
+	const inForceMs = await measureUntil(writtenAt, async () => isInForce(mesh, firstVersion + 1));
+	const entriesPresentMs = await entriesPresent;
+	await sleep(Math.max(0, reachableAt + callCountWindowMs - performance.now()));
+	return {inForceMs, entriesPresentMs, storeCalls: countCalls(mesh) - callsBefore};
 }
 
-const hasGoneBack = ({nodes}: TestMesh): boolean => nodes.some(({events}) => {
+const hasRevertedVersion = ({nodes}: TestMesh): boolean => nodes.some(({events}) => {
 	const versions = events.flatMap(event => event.kind === 'configuration-applied' ? [event.version] : []);
-	return versions.some((version, place) => version < (versions[place - 1] ?? 0));
+	return versions.some((version, index) => version < (versions[index - 1] ?? 0));
 });
 
-function formatFigures(values: ReadonlyArray<number | undefined>): string {
+function formatMedianAndMaximum(values: ReadonlyArray<number | undefined>): string {
 	const known = values.filter(value => value !== undefined);
 	return known.length === 0 ? '– | –' : `${median(known).toFixed(0)} | ${Math.max(...known).toFixed(0)}`;
 }
 
 /** Measures and prints the table. */
-export async function runStoreDrill({seeds, nodes}: StoreDrillOptions): Promise<void> {
+export async function runStoreRestore({seeds, nodes}: StoreRestoreOptions): Promise<void> {
 	process.stdout.write(`${nodes} nodes, ${seeds} returns of each kind, seeds 1 to ${seeds}\n\n`);
 	process.stdout.write('| the store | nodes went back | a change not in force within 2 s | in force, median ms | worst | entries not back within 2 s | back, median ms | worst | calls in 3 s, median | worst |\n');
 	process.stdout.write('| --- | --- | --- | --- | --- | --- | --- | --- | --- | --- |\n');
-	for (const isDrill of [false, true]) {
+	for (const isRestored of [false, true]) {
 		const mesh = await startTestMesh(Array.from({length: nodes}, () => 'logview'), createTestConfig(7, routes));
-		const returns: Return[] = [];
+		const results: OutageResult[] = [];
 		for (let seed = 1; seed <= seeds; seed++) {
-			returns.push(await measureReturn(mesh, 10 * seed, isDrill, randomLcg(seed)));
-			await sleep(restMs);
+			results.push(await measureOutage(mesh, 10 * seed, isRestored, randomLcg(seed)));
+			await sleep(settleMs);
 		}
 
 		const isLate = (value: number | undefined): boolean => value === undefined || value > 2000;
-		const inForce = returns.map(({inForceMs}) => inForceMs);
-		const entries = returns.map(({entriesMs}) => entriesMs);
-		process.stdout.write(`| ${isDrill ? 'from a copy' : 'only away'} | ${hasGoneBack(mesh) ? 'yes' : 'no'} | ${inForce.filter(value => isLate(value)).length} | ${formatFigures(inForce)} | ${entries.filter(value => isLate(value)).length} | ${formatFigures(entries)} | ${formatFigures(returns.map(({calls}) => calls))} |\n`);
-		const lateSeeds = returns.flatMap(({inForceMs, entriesMs}, place) => isLate(inForceMs) || isLate(entriesMs) ? [place + 1] : []);
+		const inForce = results.map(({inForceMs}) => inForceMs);
+		const entries = results.map(({entriesPresentMs}) => entriesPresentMs);
+		process.stdout.write(`| ${isRestored ? 'from a copy' : 'only away'} | ${hasRevertedVersion(mesh) ? 'yes' : 'no'} | ${inForce.filter(value => isLate(value)).length} | ${formatMedianAndMaximum(inForce)} | ${entries.filter(value => isLate(value)).length} | ${formatMedianAndMaximum(entries)} | ${formatMedianAndMaximum(results.map(({storeCalls}) => storeCalls))} |\n`);
+		const lateSeeds = results.flatMap(({inForceMs, entriesPresentMs}, index) => isLate(inForceMs) || isLate(entriesPresentMs) ? [index + 1] : []);
 		if (lateSeeds.length > 0) {
 			process.stdout.write(`\nLate: seeds ${lateSeeds.join(', ')}\n\n`);
 		}
--- a/bench/submitter.ts
+++ b/bench/submitter.ts
@@ -9,8 +9,8 @@
 import {type Fleet} from './fleet.js';
 
 /** Submits items through a node's operators' port. */
-export async function submitItems(operators: string, items: readonly Item[], seenVersion: number): Promise<SubmissionOutcome> {
-	const reply = await sendRequest(`http://${operators}/v1/submissions`, {
+export async function submitItems(operatorAddress: string, items: readonly Item[], seenVersion: number): Promise<SubmissionOutcome> {
+	const reply = await sendRequest(`http://${operatorAddress}/v1/submissions`, {
 		method: 'POST',
 		headers: {'content-type': 'application/json'},
 		body: JSON.stringify({id: randomUUID(), seenVersion, changes: items.map(item => ({type: 'put', item}))}),
@@ -19,14 +19,14 @@
 }
 
 /** A submission and when it was sent, in milliseconds since the epoch. */
-export type Submitted = {readonly version: number; readonly sentAt: number};
+export type SubmittedVersion = {readonly version: number; readonly sentAt: number};
 
 /**
  * Finds when each node had each submitted version, or a later one, in force.
  *
  * @returns Milliseconds from submission, one for each node and submission; `Infinity` for a node that never had it.
  */
-export function measureConvergence(fleet: Fleet, nodes: readonly string[], submitted: readonly Submitted[]): readonly number[] {
+export function measureConvergence(fleet: Fleet, nodes: readonly string[], submitted: readonly SubmittedVersion[]): readonly number[] {
 	const byNode = new Map<string, Array<{readonly version: number; readonly at: number}>>();
 	for (const {node, version, at} of fleet.getApplied()) {
 		byNode.set(node, [...byNode.get(node) ?? [], {version, at}]);
--- a/bench/worker.ts
+++ b/bench/worker.ts
@@ -14,43 +14,43 @@
 import {applyHead, readHead} from '../src/lib/distribution/read-head.js';
 import {type FromWorker, type ToWorker, type Usage} from './fleet.js';
 
-type Hosted = {
+type HostedNode = {
 	readonly getBytes: () => number;
 	readonly getStoreCalls: () => number;
 	readonly isRelay: () => boolean;
 	readonly stop: () => Promise<void>;
 };
 
-const hosted = new Map<string, Hosted>();
-const allSettings = new Map<string, Settings>();
-let cpu = process.cpuUsage();
-let counted = {bytes: 0, storeCalls: 0};
-let stoppedBytes = 0;
-let stoppedCalls = 0;
+const hostedNodes = new Map<string, HostedNode>();
+const settingsByNode = new Map<string, Settings>();
+let lastCpuUsage = process.cpuUsage();
+let lastCounts = {bytes: 0, storeCalls: 0};
+let stoppedNodeBytes = 0;
+let stoppedNodeStoreCalls = 0;
 
-function tell(message: FromWorker): void {
+function sendToBench(message: FromWorker): void {
 	process.send?.(message);
 }
 
-function tellApplied(node: string, version: number): void {
-	tell({type: 'applied', applied: {node, version, at: Date.now()}});
+function sendApplied(node: string, version: number): void {
+	sendToBench({type: 'applied', applied: {node, version, at: Date.now()}});
 }
 
-function sumCalls(store: BudgetedStore): number {
+function countStoreCalls(store: BudgetedStore): number {
 	const {reads, writes, watches} = store.getCounts();
 	return reads + writes + watches;
 }
 
-async function startMeshNode(settings: Settings): Promise<Hosted> {
+async function startMeshNode(settings: Settings): Promise<HostedNode> {
 	const store = createHttpStore(settings.store);
 	const node: Node = createNode(settings, {
 		store,
 		random: Math.random,
 		handleEvent(event: TimelineEvent) {
 			if (event.kind === 'configuration-applied') {
-				tellApplied(settings.node, event.version);
+				sendApplied(settings.node, event.version);
 			} else if (event.kind === 'node-ready') {
-				tell({type: 'ready', node: settings.node});
+				sendToBench({type: 'ready', node: settings.node});
 			}
 		},
 	});
@@ -76,16 +76,16 @@
 	};
 }
 
-function startBaseline(settings: Settings, run: (store: BudgetedStore, inner: DisposableStore, isStopped: () => boolean) => Promise<void>): Hosted {
+function startBaseline(settings: Settings, run: (store: BudgetedStore, inner: DisposableStore, isStopped: () => boolean) => Promise<void>): HostedNode {
 	const inner = createHttpStore(settings.store);
 	const store = createBudgetedStore(inner, {perSecond: 10_000, burst: 10_000});
 	let isStopped = false;
 	void run(store, inner, () => isStopped);
-	tell({type: 'ready', node: settings.node});
+	sendToBench({type: 'ready', node: settings.node});
 	return {
 		// What a baseline costs in bytes is counted at the store.
 		getBytes: () => 0,
-		getStoreCalls: () => sumCalls(store),
+		getStoreCalls: () => countStoreCalls(store),
 		isRelay: () => false,
 		async stop() {
 			isStopped = true;
@@ -95,7 +95,7 @@
 }
 
 /** Baseline: every node watches the store's head. */
-function startWatcher(settings: Settings): Hosted {
+function startWatcher(settings: Settings): HostedNode {
 	return startBaseline(settings, async (store, _inner, isStopped) => {
 		let configuration = createConfiguration();
 		let revision = 0;
@@ -109,14 +109,14 @@
 			const head = await applyHead(store, configuration, seen.value);
 			if (head.isOk()) {
 				({configuration, revision} = head.value);
-				tellApplied(settings.node, configuration.version);
+				sendApplied(settings.node, configuration.version);
 			}
 		}
 	});
 }
 
 /** Baseline: every node polls the store's head. */
-function startPoller(settings: Settings, pollMs: number): Hosted {
+function startPoller(settings: Settings, pollMs: number): HostedNode {
 	return startBaseline(settings, async (store, _inner, isStopped) => {
 		let configuration = createConfiguration();
 		await sleep(Math.random() * pollMs);
@@ -124,7 +124,7 @@
 			const head = await readHead(store, configuration);
 			if (head.isOk() && head.value.configuration.version > configuration.version) {
 				configuration = head.value.configuration;
-				tellApplied(settings.node, configuration.version);
+				sendApplied(settings.node, configuration.version);
 			}
 
 			await sleep(pollMs);
@@ -132,52 +132,52 @@
 	});
 }
 
-async function startOne(settings: Settings, message: Extract<ToWorker, {readonly type: 'start'}>): Promise<void> {
-	allSettings.set(settings.node, settings);
+async function startHostedNode(settings: Settings, message: Extract<ToWorker, {readonly type: 'start'}>): Promise<void> {
+	settingsByNode.set(settings.node, settings);
 	switch (message.mode) {
 		case 'mesh': {
-			hosted.set(settings.node, await startMeshNode(settings));
+			hostedNodes.set(settings.node, await startMeshNode(settings));
 			return;
 		}
 
 		case 'watch': {
-			hosted.set(settings.node, startWatcher(settings));
+			hostedNodes.set(settings.node, startWatcher(settings));
 			return;
 		}
 
 		case 'poll': {
-			hosted.set(settings.node, startPoller(settings, message.pollMs));
+			hostedNodes.set(settings.node, startPoller(settings, message.pollMs));
 		}
 	}
 }
 
-async function stopOne(node: string): Promise<void> {
-	const found = hosted.get(node);
+async function stopHostedNode(node: string): Promise<void> {
+	const found = hostedNodes.get(node);
 	if (found !== undefined) {
-		stoppedBytes += found.getBytes();
-		stoppedCalls += found.getStoreCalls();
-		hosted.delete(node);
+		stoppedNodeBytes += found.getBytes();
+		stoppedNodeStoreCalls += found.getStoreCalls();
+		hostedNodes.delete(node);
 		await found.stop();
 	}
 }
 
 function measureUsage(): Usage {
-	const used = process.cpuUsage(cpu);
+	const used = process.cpuUsage(lastCpuUsage);
 	globalThis.gc?.();
 	// The collection was the bench's own wish, so it counts for nobody.
-	cpu = process.cpuUsage();
-	const bytes = stoppedBytes + [...hosted.values()].reduce((total, node) => total + node.getBytes(), 0);
-	const storeCalls = stoppedCalls + [...hosted.values()].reduce((total, node) => total + node.getStoreCalls(), 0);
+	lastCpuUsage = process.cpuUsage();
+	const bytes = stoppedNodeBytes + [...hostedNodes.values()].reduce((total, node) => total + node.getBytes(), 0);
+	const storeCalls = stoppedNodeStoreCalls + [...hostedNodes.values()].reduce((total, node) => total + node.getStoreCalls(), 0);
 	const usage: Usage = {
-		nodes: hosted.size,
+		nodes: hostedNodes.size,
 		cpuMicroseconds: used.user + used.system,
-		controlBytes: bytes - counted.bytes,
-		storeCalls: storeCalls - counted.storeCalls,
+		controlBytes: bytes - lastCounts.bytes,
+		storeCalls: storeCalls - lastCounts.storeCalls,
 		heapBytes: process.memoryUsage().heapUsed,
 		residentBytes: process.memoryUsage().rss,
-		relays: [...hosted.values()].filter(node => node.isRelay()).length,
+		relays: [...hostedNodes.values()].filter(node => node.isRelay()).length,
 	};
-	counted = {bytes, storeCalls};
+	lastCounts = {bytes, storeCalls};
 	return usage;
 }
 
@@ -185,29 +185,29 @@
 	switch (message.type) {
 		case 'start': {
 			for (const settings of message.settings) {
-				await startOne(settings, message);
+				await startHostedNode(settings, message);
 			}
 
 			return;
 		}
 
 		case 'stop': {
-			await stopOne(message.node);
+			await stopHostedNode(message.node);
 			return;
 		}
 
 		case 'restart': {
-			const settings = allSettings.get(message.node);
-			await stopOne(message.node);
+			const settings = settingsByNode.get(message.node);
+			await stopHostedNode(message.node);
 			if (settings !== undefined) {
-				hosted.set(message.node, await startMeshNode(settings));
+				hostedNodes.set(message.node, await startMeshNode(settings));
 			}
 
 			return;
 		}
 
 		case 'usage': {
-			tell({type: 'usage', usage: measureUsage()});
+			sendToBench({type: 'usage', usage: measureUsage()});
 		}
 	}
 }
