--- /dev/null
+++ b/bench/experiment/simulation.ts
@@ -0,0 +1,107 @@
+/**
+ * State that all parts of the model share: simulated time, random numbers, nodes,
+ * servers and disturbances.
+ *
+ * @module
+ */
+import {randomLcg} from 'd3-random';
+import {createNestedCallDetector, type NestedCallDetector} from '../../src/lib/decisions/nested-call-detector.js';
+import {createLoadView, type LoadView} from '../../src/lib/decisions/load-view.js';
+import {createMeshRetryBudget, type MeshRetryBudget} from '../../src/lib/decisions/mesh-retry-budget.js';
+import {createCallerRetryDetector, type CallerRetryDetector} from '../../src/lib/decisions/caller-retry-detector.js';
+import {createSampleRoute} from '../../src/lib/route-config/sample-config.js';
+import {type RouteRule} from '../../src/lib/route-config/route-config.js';
+import {createEventQueue, type EventQueue} from './event-queue.js';
+import {createModelServer, type ModelServer} from './model-server.js';
+import {type Disturbance, type Pattern, type RequestKind} from './pattern.js';
+import {type Policy} from './policy.js';
+import {createOutcomeCounts, type OutcomeCounts} from './outcome-counts.js';
+
+/** A node. It is beside the server with the same index. */
+export type ModelNode = {
+	readonly domain: string;
+	readonly loads: LoadView;
+	readonly nestedCalls: NestedCallDetector;
+	readonly callerRetries: CallerRetryDetector;
+	readonly retryBudget: MeshRetryBudget;
+};
+
+/** Disturbances of one type. */
+export type DisturbanceOf<Type extends Disturbance['type']> = Extract<Disturbance, {readonly type: Type}>;
+
+/** @internal */
+export type Simulation = {
+	readonly pattern: Pattern;
+	readonly policy: Policy;
+	readonly events: EventQueue;
+	readonly random: () => number;
+	readonly counts: OutcomeCounts;
+	readonly nodes: readonly ModelNode[];
+	readonly servers: readonly ModelServer[];
+	readonly getKind: (name: string) => RequestKind;
+	readonly getRoute: (name: string) => RouteRule;
+	/** Lists the disturbances of a type that are active at the current time. */
+	readonly listActiveDisturbances: <Type extends Disturbance['type']>(type: Type) => ReadonlyArray<DisturbanceOf<Type>>;
+	/** Returns whether a disturbance affects a server. It affects the first servers of the service, up to its share. */
+	readonly isAffected: (disturbance: {readonly service: string; readonly share: number}, server: ModelServer) => boolean;
+	/** Returns the one-way latency between two nodes. */
+	readonly getOneWayMs: (from: number, to: number) => number;
+};
+
+/** Retry budget of the order of production settings. */
+const retryBudgetLimits = {ratio: 0.2, slack: 60, windowMs: 10_000} as const;
+
+/** One-way latency on one VM, and within a failure domain. */
+const localOneWayMs = 0.1;
+
+function createRoute(kind: RequestKind): RouteRule {
+	return createSampleRoute({
+		name: kind.name, targetLatencyMs: kind.targetLatencyMs, timeoutMs: kind.timeoutMs, priority: kind.priority, services: [{service: kind.service, weight: 1}], maxAttempts: 2,
+	});
+}
+
+/** Converts integer seeds to the range from 0 to 1 that the generator expects. */
+const seedDivisor = 1000;
+
+/**
+ * @param pattern - The load, the servers and their disturbances.
+ * @param policy - The rules of the nodes.
+ * @param seed - The seed of all random numbers.
+ * @returns A simulation at time 0, without events.
+ */
+export function createSimulation(pattern: Pattern, policy: Policy, seed: number): Simulation {
+	const events = createEventQueue();
+	const kinds = new Map(pattern.kinds.map(kind => [kind.name, kind]));
+	const routes = new Map(pattern.kinds.map(kind => [kind.name, createRoute(kind)]));
+	const serverPlans = pattern.services.flatMap(service => service.speeds.map(speed => ({service, speed})));
+	const nodes: readonly ModelNode[] = serverPlans.map((_, index) => ({
+		domain: `d${index % pattern.domains}`, loads: createLoadView(), nestedCalls: createNestedCallDetector(), callerRetries: createCallerRetryDetector(),
+		retryBudget: createMeshRetryBudget(() => retryBudgetLimits, () => serverPlans.length),
+	}));
+	const servers = serverPlans.map(({service, speed}, node) => createModelServer({
+		id: `s${node}`, service: service.name, node, slots: service.slots, speed,
+	}, events, policy.maximumWaitFactor));
+
+	return {
+		pattern, policy, events, nodes, servers,
+		random: randomLcg(seed / seedDivisor),
+		counts: createOutcomeCounts(pattern.kinds.map(({name}) => name)),
+		getKind: name => kinds.get(name)!,
+		getRoute: name => routes.get(name)!,
+		listActiveDisturbances<Type extends Disturbance['type']>(type: Type): ReadonlyArray<DisturbanceOf<Type>> {
+			const now = events.getNow();
+			return pattern.disturbances.filter((disturbance): disturbance is DisturbanceOf<Type> => disturbance.type === type && now >= disturbance.fromMs && now < disturbance.toMs);
+		},
+		isAffected({service, share}, server) {
+			const serviceServers = servers.filter(other => other.service === service);
+			return server.service === service && serviceServers.indexOf(server) < serviceServers.length * share;
+		},
+		getOneWayMs(from, to) {
+			if (from === to) {
+				return localOneWayMs;
+			}
+
+			return pattern.forwardingMs + (nodes[from]!.domain === nodes[to]!.domain ? localOneWayMs : pattern.crossDomainOneWayMs);
+		},
+	};
+}
--- a/bench/log-lines.ts
+++ b/bench/log-lines.ts
@@ -1,6 +1,7 @@
 /**
- * What a line of a sidecar node's log costs: one that is written, one beyond
- * the bound of its kind, and one below the level.
+ * `npm run bench -- log-lines`: measures the processor time of a log line of a
+ * sidecar node: a line that is written, one over the limit of its kind, and one below
+ * the log level.
  *
  * @module
  */
@@ -13,7 +14,7 @@
 	server: 'i-88b1264385', node: 'sidecar-1', verdict: 'not-run', outcome: 'full', tookMs: 8, infoAgeMs: 120,
 } as const;
 
-/** The longest line that is usual: the end of a call that three gates refused. */
+/** The longest line that is common: the end of a call that three gates refused. */
 const failedCall: MeshEvent = {
 	kind: 'call-finished', call: '7436da22c06f66dc', route: 'r-54qy4na', version: 10, status: 503, verdict: 'not-run', reason: 'full: no slot in time', tookMs: 296, leftMs: 919,
 	attempts: [attempt, attempt, attempt],
@@ -30,33 +31,33 @@
 };
 
 const rows: readonly Row[] = [
-	// Lines from `warn` on are not bounded by kind, so that each is written.
+	// Lines of level `warn` and above have no limit by kind, so all of them are written.
 	{name: 'written: the end of a failed call', level: 'warn', event: failedCall},
 	{name: 'written: a refusal of a gate', level: 'warn', event: refusal},
 	{name: 'left out beyond the bound of its kind', level: 'info', event: refusal},
 	{name: 'below the level', level: 'debug', event: refusal},
 ];
 
-/** Lines of one batch: fewer than what may be held while nobody reads. */
-const batch = 300;
-const batches = 200;
+/** Small enough for the buffer of the log, so that no line is dropped. */
+const linesPerBatch = 300;
+const batchCount = 200;
 
-async function measure(log: LineLog, {level, event}: Row): Promise<number> {
-	let spentMicros = 0;
-	for (let round = 0; round < batches; round++) {
+async function measureLineMicroseconds(log: LineLog, {level, event}: Row): Promise<number> {
+	let spentMicroseconds = 0;
+	for (let round = 0; round < batchCount; round++) {
 		const before = process.cpuUsage();
-		for (let line = 0; line < batch; line++) {
+		for (let line = 0; line < linesPerBatch; line++) {
 			log.record(level, event);
 		}
 
 		const {user, system} = process.cpuUsage(before);
-		spentMicros += user + system;
+		spentMicroseconds += user + system;
 		await new Promise(resolve => {
 			setImmediate(resolve);
 		});
 	}
 
-	return spentMicros / (batch * batches);
+	return spentMicroseconds / (linesPerBatch * batchCount);
 }
 
 /** Measures and prints the table. */
@@ -64,9 +65,9 @@
 	const log = createLineLog('bench', 'info', createDescriptorSink(openSync('/dev/null', 'w')));
 	process.stdout.write('| line | microseconds of processor time |\n| --- | --- |\n');
 	for (const row of rows) {
-		await measure(log, row);
-		const micros = await measure(log, row);
-		process.stdout.write(`| ${row.name} | ${micros.toFixed(2)} |\n`);
+		await measureLineMicroseconds(log, row);
+		const microseconds = await measureLineMicroseconds(log, row);
+		process.stdout.write(`| ${row.name} | ${microseconds.toFixed(2)} |\n`);
 	}
 
 	await log.flush();
--- a/bench/node-cost/simulated-peer.ts
+++ b/bench/node-cost/simulated-peer.ts
@@ -1,6 +1,6 @@
 /**
- * Another node, as one real node sees it: it sends heartbeats at the pace of the
- * plan, answers requests for the backend server beside it, and sends requests.
+ * Simulates another node of the mesh for one real node: sends heartbeats at the
+ * planned intervals, answers requests for its backend server, and sends requests.
  *
  * @module
  */
@@ -21,46 +21,45 @@
 import {readNow, readSteadyMs} from '../../src/lib/common/clock.js';
 import {platformHeaders} from '../../platform/platform-headers.js';
 
-/** Where a simulated node stands. */
+/** Options of a simulated node. */
 export type SimulatedPeerOptions = {
 	readonly name: string;
 	readonly failureDomain: string;
 	readonly service: string;
 	readonly gate: Address;
 	readonly gossip: Address;
-	/** Nodes of each failure domain, which its plan of heartbeats depends on. */
+	/** Nodes of each failure domain, for the heartbeat plan. */
 	readonly nodesOfDomain: number;
 	readonly nodes: number;
-	/** Milliseconds that a request takes there. */
+	/** Milliseconds that a request takes at its backend server. */
 	readonly workMs: number;
 	/** Milliseconds by which its clock differs from that of the measured node. */
-	readonly clockMs: number;
-	/** It watches the store for the others. */
+	readonly clockOffsetMs: number;
+	/** Whether it reports that it watches the store for other nodes. */
 	readonly isFollowing: boolean;
-	/** Version of the configuration that it says it has. */
+	/** Version of the configuration that it reports. */
 	readonly version: number;
 };
 
 /** @internal */
 export type SimulatedPeer = {
-	/** Listens, and tells the node of itself from now on. */
-	readonly start: (node: Address, isNear: boolean) => Promise<void>;
-	/** Sends a request for the backend server beside the node; yields whether it was answered. */
+	/** Starts to listen, and to send heartbeats to the node. */
+	readonly start: (node: Address, isInOwnDomain: boolean) => Promise<void>;
+	/** Sends a request for the backend server beside the node. Returns whether it was answered. */
 	readonly call: (gate: Address, server: string, target: string) => Promise<boolean>;
-	/** Datagrams that came from the node. */
-	readonly countHeard: () => number;
+	/** Returns the number of datagrams received from the node. */
+	readonly countReceived: () => number;
 	readonly close: () => Promise<void>;
 };
 
-/** Milliseconds between two rounds of heartbeats, as a node has it. */
-const periodMs = 400;
+/** Time between two heartbeat rounds of a real node. */
+const heartbeatPeriodMs = 400;
 
-/** Milliseconds that a request of a simulated node may take. */
-const callMs = 5000;
+const callTimeoutMs = 5000;
 
 /**
- * @param options - Where it stands.
- * @returns The node, not listening yet.
+ * @param options - Options of the node.
+ * @returns The simulated node, which does not listen yet.
  * @internal
  */
 export function createSimulatedPeer(options: SimulatedPeerOptions): SimulatedPeer {
@@ -68,10 +67,10 @@
 	const client = createGateClient();
 	const plan = planHeartbeats({ownDomainNodes: options.nodesOfDomain - 1, otherDomainNodes: options.nodes - options.nodesOfDomain, isFollowing: options.isFollowing});
 	let sequence = 0;
-	let heard = 0;
+	let receivedCount = 0;
 	let timer: NodeJS.Timeout | undefined;
 
-	const describe = (): PeerReport => ({
+	const createReport = (): PeerReport => ({
 		node: toNodeId(options.name), run: 'r1', sequence: ++sequence, domain: toFailureDomain(options.failureDomain), gate: options.gate, gossip: options.gossip,
 		version: options.version, isLeaving: false,
 		server: {
@@ -80,12 +79,12 @@
 		},
 		duties: {
 			linkMbps: options.isFollowing ? 100 : 10, isFollowing: options.isFollowing, storeSeenMs: 50, storeEra: 1,
-		}, periods: computePeriods(plan, periodMs), isProbe: false, suspects: [],
+		}, periods: computePeriods(plan, heartbeatPeriodMs), isProbe: false, suspects: [],
 	});
 
-	const tell = (node: Address): void => {
+	const sendReport = (node: Address): void => {
 		const {host, port} = parseAddress(node);
-		socket.send(Buffer.from(encodeReport(describe())), port, host);
+		socket.send(Buffer.from(encodeReport(createReport())), port, host);
 	};
 
 	const server = createServer({noDelay: true}, connection => {
@@ -114,7 +113,7 @@
 	});
 
 	return {
-		async start(node, isNear) {
+		async start(node, isInOwnDomain) {
 			const gossip = parseAddress(options.gossip);
 			const gate = parseAddress(options.gate);
 			await new Promise<void>((resolve, reject) => {
@@ -126,29 +125,29 @@
 				server.listen(gate.port, gate.host, resolve);
 			});
 			socket.on('message', bytes => {
-				heard++;
+				receivedCount++;
 				const report = JSON.parse(bytes.toString()) as readonly unknown[];
-				if (report.at(-1) === 1 || heard === 1) {
-					tell(node);
+				if (report.at(-1) === 1 || receivedCount === 1) {
+					sendReport(node);
 				}
 			});
-			const pauseMs = (isNear ? plan.ownDomain : plan.otherDomain) * periodMs;
-			// A node that starts greets everybody and is answered at once.
-			tell(node);
-			const rounds = Math.round(pauseMs / periodMs);
+			const heartbeatIntervalMs = (isInOwnDomain ? plan.ownDomain : plan.otherDomain) * heartbeatPeriodMs;
+			// A node that starts contacts every node, and each answers at once.
+			sendReport(node);
+			const rounds = Math.round(heartbeatIntervalMs / heartbeatPeriodMs);
 			let round = Math.floor(Math.random() * rounds);
 			const runRound = (): void => {
-				timer = setTimeout(runRound, computeRoundDelay(readNow() + options.clockMs, periodMs));
+				timer = setTimeout(runRound, computeRoundDelay(readNow() + options.clockOffsetMs, heartbeatPeriodMs));
 				round++;
 				if (round % rounds === 0) {
-					tell(node);
+					sendReport(node);
 				}
 			};
 
-			timer = setTimeout(runRound, computeRoundDelay(readNow() + options.clockMs, periodMs));
+			timer = setTimeout(runRound, computeRoundDelay(readNow() + options.clockOffsetMs, heartbeatPeriodMs));
 		},
 		async call(gate, target, path) {
-			const scope = createCallScope(readSteadyMs() + callMs);
+			const scope = createCallScope(readSteadyMs() + callTimeoutMs);
 			const {result} = await client.send({
 				gate, body: undefined, isBulk: false, scope, id: Math.random().toString(16).slice(2), server: toBackendServerId(target), method: 'GET', target: path,
 				headers: {host: 'mesh.example', accept: '*/*', 'user-agent': 'caller'}, callerService: options.service, rank: 1, mayWaitMs: 0,
@@ -156,7 +155,7 @@
 			scope.dispose();
 			return result.type === 'answered';
 		},
-		countHeard: () => heard,
+		countReceived: () => receivedCount,
 		async close() {
 			clearTimeout(timer);
 			client.dispose();
--- a/bench/statistics.ts
+++ b/bench/statistics.ts
@@ -1,5 +1,5 @@
 /**
- * The few statistics that the benches print.
+ * Statistics and tables of the benches.
  *
  * @module
  */
@@ -7,22 +7,22 @@
 	linearRegression, linearRegressionLine, quantile, rSquared,
 } from 'simple-statistics';
 
-export type Fit = {
-	/** Cost of one unit more. */
+export type LinearFit = {
+	/** Increase of y for each unit of x. */
 	readonly slope: number;
-	/** Cost before the first unit. */
+	/** Value of y at x = 0. */
 	readonly intercept: number;
-	/** 1 for a perfect line. */
+	/** Coefficient of determination; 1 if all points lie on the line. */
 	readonly rSquared: number;
 };
 
-/** @returns The percentile of a list, 0 for an empty one. */
+/** @returns The quantile of a list at a share from 0 to 1; 0 for an empty list. */
 export function getPercentile(values: readonly number[], share: number): number {
 	return values.length === 0 ? 0 : quantile([...values], share);
 }
 
 /** Fits a line through points (x, y). */
-export function fitLine(points: ReadonlyArray<readonly [number, number]>): Fit {
+export function fitLine(points: ReadonlyArray<readonly [number, number]>): LinearFit {
 	const data = points.map(([x, y]) => [x, y]);
 	const line = linearRegression(data);
 	return {slope: line.m, intercept: line.b, rSquared: rSquared(data, linearRegressionLine(line))};
@@ -34,8 +34,8 @@
 	return lines.map(cells => `| ${cells.join(' | ')} |`).join('\n');
 }
 
-/** Runs something several times and yields the median time of one run, in microseconds. */
-export function measureMedian(rounds: number, run: () => void): number {
+/** Runs a function several times and returns the median time of one run. */
+export function measureMedianMicroseconds(rounds: number, run: () => void): number {
 	const times = Array.from({length: rounds}, () => {
 		const start = performance.now();
 		run();
