--- a/scripts/check-boundary.ts
+++ b/scripts/check-boundary.ts
@@ -36,13 +36,13 @@
 	}).filter(path => path.endsWith('.ts'));
 }
 
-function listForeignNames(path: string): readonly string[] {
+function listPlatformNames(path: string): readonly string[] {
 	return readFileSync(path, 'utf8').split('\n').flatMap((line, index) => {
 		const name = platformNames.find(pattern => pattern.test(line));
 		return name === undefined ? [] : [`${path}:${index + 1}: a name of the platform outside platform/: ${line.trim()}`];
 	});
 }
 
-const found = roots.flatMap(root => listFiles(root)).flatMap(path => listForeignNames(path));
+const found = roots.flatMap(root => listFiles(root)).flatMap(path => listPlatformNames(path));
 process.stdout.write(found.map(line => `${line}\n`).join(''));
 process.exitCode = found.length === 0 ? 0 : 1;
--- a/scripts/prove-tests.ts
+++ b/scripts/prove-tests.ts
@@ -14,13 +14,13 @@
 import process from 'node:process';
 import {faults, type Fault} from './faults.js';
 
-const copy = 'dist-faulty';
+const faultyBuildFolder = 'dist-faulty';
 
 /** A fault may make its tests run for ever; that is noticed as well. Milliseconds: some ten times what the slowest tests take. */
-const longestTestsMs = 120_000;
+const testTimeoutMs = 120_000;
 
 async function runTests(folder: string): Promise<boolean> {
-	const child = spawn(process.execPath, ['--test', `${copy}/${folder}`], {stdio: 'ignore', timeout: longestTestsMs, killSignal: 'SIGKILL'});
+	const child = spawn(process.execPath, ['--test', `${faultyBuildFolder}/${folder}`], {stdio: 'ignore', timeout: testTimeoutMs, killSignal: 'SIGKILL'});
 	return new Promise(resolve => {
 		child.once('exit', code => {
 			resolve(code === 0);
@@ -28,32 +28,32 @@
 	});
 }
 
-async function proveFault(fault: Fault): Promise<boolean> {
-	const path = `${copy}/${fault.file}`;
-	const sound = readFileSync(path, 'utf8');
-	if (!sound.includes(fault.from)) {
+async function checkFaultIsNoticed(fault: Fault): Promise<boolean> {
+	const path = `${faultyBuildFolder}/${fault.file}`;
+	const original = readFileSync(path, 'utf8');
+	if (!original.includes(fault.from)) {
 		process.stdout.write(`not found  ${fault.promise}: ${fault.file} has changed; correct the list\n`);
 		return false;
 	}
 
-	writeFileSync(path, sound.replace(fault.from, fault.to));
+	writeFileSync(path, original.replace(fault.from, fault.to));
 	const isUnnoticed = await runTests(fault.tests);
-	writeFileSync(path, sound);
+	writeFileSync(path, original);
 	process.stdout.write(`${isUnnoticed ? 'UNNOTICED' : 'noticed  '}  ${fault.promise}\n`);
 	return !isUnnoticed;
 }
 
-rmSync(copy, {recursive: true, force: true});
-cpSync('dist', copy, {recursive: true});
+rmSync(faultyBuildFolder, {recursive: true, force: true});
+cpSync('dist', faultyBuildFolder, {recursive: true});
 const words = process.argv.slice(2);
 const chosen = words.length === 0 ? faults : faults.filter(({promise}) => words.some(word => promise.includes(word)));
 let noticed = 0;
 for (const fault of chosen) {
-	if (await proveFault(fault)) {
+	if (await checkFaultIsNoticed(fault)) {
 		noticed++;
 	}
 }
 
-rmSync(copy, {recursive: true, force: true});
+rmSync(faultyBuildFolder, {recursive: true, force: true});
 process.stdout.write(`${noticed} of ${chosen.length} faults were noticed\n`);
 process.exitCode = noticed === chosen.length && chosen.length > 0 ? 0 : 1;
--- a/soak/apply-fault.ts
+++ b/soak/apply-fault.ts
@@ -10,7 +10,7 @@
 import {toAddress} from '../src/lib/common/ids.js';
 import {type StoreFault} from '../stand-ins/platform-store/platform-store.js';
 import {listForeignValues, sendForeignHeartbeat} from '../stand-ins/wire-server/server-calls.js';
-import {type FaultAction, type StoreEvent, type StoreTrouble} from './plan.js';
+import {type FaultAction, type StoreEvent, type StoreFaultMode} from './plan.js';
 import {type DisturbedPart} from './record.js';
 import {type SoakMesh, type SoakVm} from './soak-mesh.js';
 
@@ -18,36 +18,36 @@
 export type FaultScope = {readonly part: DisturbedPart; readonly node: string | undefined; readonly isPlanned: boolean};
 
 /** Milliseconds that a slow store takes for each call. */
-const slowStoreMs = 700;
+const slowStoreLatencyMs = 700;
 
 /** Where nodes keep their entries. */
-const entryPrefix = 'stonemoor/nodes/';
+const nodeEntryPrefix = 'stonemoor/nodes/';
 
 /**
  * @param fault - A fault.
  * @returns What it disturbs; `undefined` if it must not disturb anything.
  */
-export function findScope(fault: FaultAction): FaultScope | undefined {
-	const findNear = (part: DisturbedPart, isPlanned = false): FaultScope => ({part, node: 'node' in fault ? `n${fault.node}` : undefined, isPlanned});
+export function getFaultScope(fault: FaultAction): FaultScope | undefined {
+	const createScope = (part: DisturbedPart, isPlanned = false): FaultScope => ({part, node: 'node' in fault ? `n${fault.node}` : undefined, isPlanned});
 	switch (fault.type) {
 		case 'pause':
 		case 'kill': {
-			return findNear('node');
+			return createScope('node');
 		}
 
 		case 'stop':
 		case 'hang-up': {
-			return findNear('node', true);
+			return createScope('node', true);
 		}
 
 		case 'store-link': {
-			return findNear('store-link');
+			return createScope('store-link');
 		}
 
 		case 'store':
 		case 'store-event':
 		case 'store-restored': {
-			return findNear('store');
+			return createScope('store');
 		}
 
 		case 'server-link':
@@ -58,7 +58,7 @@
 		case 'server-late':
 		case 'server-silent':
 		case 'server-drain': {
-			return findNear('server');
+			return createScope('server');
 		}
 
 		case 'foreign-entry':
@@ -69,7 +69,7 @@
 	}
 }
 
-async function spoilStore({store}: SoakMesh, trouble: StoreTrouble, forMs: number): Promise<void> {
+async function applyStoreFault({store}: SoakMesh, trouble: StoreFaultMode, forMs: number): Promise<void> {
 	if (trouble === 'deaf') {
 		store.setDeaf(true);
 		await sleep(forMs);
@@ -78,29 +78,29 @@
 	}
 
 	const fault: StoreFault = trouble === 'slow' ? 'none' : trouble;
-	store.setFault(fault, trouble === 'slow' ? slowStoreMs : 0);
+	store.setFault(fault, trouble === 'slow' ? slowStoreLatencyMs : 0);
 	await sleep(forMs);
 	store.setFault('none');
 }
 
-async function putStoreBack({store}: SoakMesh, ageMs: number, forMs: number): Promise<void> {
-	const copy = store.keys.copy();
+async function restoreStoreBackup({store}: SoakMesh, ageMs: number, forMs: number): Promise<void> {
+	const backup = store.keys.copy();
 	await sleep(ageMs);
 	store.setFault('silent');
 	await sleep(forMs);
-	const newest = store.getConfig();
-	store.restore(copy);
+	const latestConfig = store.getConfig();
+	store.restore(backup);
 	store.setFault('none');
 	// What the operator had written is written again.
-	if (newest !== undefined && newest !== store.getConfig()) {
-		store.putConfig(newest);
+	if (latestConfig !== undefined && latestConfig !== store.getConfig()) {
+		store.putConfig(latestConfig);
 	}
 }
 
 function applyStoreEvent({store}: SoakMesh, event: StoreEvent): void {
 	switch (event) {
 		case 'leases-end': {
-			store.keys.revoke(entryPrefix);
+			store.keys.revoke(nodeEntryPrefix);
 			break;
 		}
 
@@ -125,7 +125,7 @@
 	socket.close();
 }
 
-const pickValue = (service: string, index: number): string => {
+const pickInvalidValue = (service: string, index: number): string => {
 	const values = listForeignValues(service);
 	return values[index % values.length]!;
 };
@@ -145,15 +145,15 @@
 		}
 
 		case 'kill': {
-			return getVm(fault.node).node.kill(fault.forMs);
+			return getVm(fault.node).node.killAndRestart(fault.forMs);
 		}
 
 		case 'stop': {
-			return getVm(fault.node).node.stop(fault.forMs);
+			return getVm(fault.node).node.stopAndRestart(fault.forMs);
 		}
 
 		case 'hang-up': {
-			return getVm(fault.node).node.hangUp(fault.times, fault.isUnreadable);
+			return getVm(fault.node).node.reloadSettings(fault.times, fault.isUnreadable);
 		}
 
 		case 'store-link': {
@@ -165,11 +165,11 @@
 		}
 
 		case 'server-link': {
-			return getVm(fault.node).server.harmLink(fault.mode, fault.forMs);
+			return getVm(fault.node).server.setLinkMode(fault.mode, fault.forMs);
 		}
 
 		case 'store': {
-			return spoilStore(mesh, fault.trouble, fault.forMs);
+			return applyStoreFault(mesh, fault.trouble, fault.forMs);
 		}
 
 		case 'store-event': {
@@ -178,7 +178,7 @@
 		}
 
 		case 'store-restored': {
-			return putStoreBack(mesh, fault.ageMs, fault.forMs);
+			return restoreStoreBackup(mesh, fault.ageMs, fault.forMs);
 		}
 
 		case 'server-crash': {
@@ -200,7 +200,7 @@
 		}
 
 		case 'server-lie': {
-			return getVm(fault.node).server.lie(fault.forMs);
+			return getVm(fault.node).server.claimExtraSlots(fault.forMs);
 		}
 
 		case 'server-late': {
@@ -208,7 +208,7 @@
 		}
 
 		case 'server-silent': {
-			return getVm(fault.node).server.keepSilent(fault.forMs);
+			return getVm(fault.node).server.stopHeartbeats(fault.forMs);
 		}
 
 		case 'server-drain': {
@@ -216,18 +216,18 @@
 		}
 
 		case 'foreign-entry': {
-			const value = Buffer.from(pickValue('hall', fault.value)).toString('base64');
-			mesh.store.keys.commit({expect: [], writes: [{key: `${entryPrefix}foreign-${fault.value}`, value}], remove: []});
+			const value = Buffer.from(pickInvalidValue('hall', fault.value)).toString('base64');
+			mesh.store.keys.commit({expect: [], writes: [{key: `${nodeEntryPrefix}foreign-${fault.value}`, value}], remove: []});
 			return;
 		}
 
 		case 'foreign-heartbeat': {
 			const {node, service} = getVm(fault.node);
-			return sendForeignHeartbeat(node.announcements, `i-foreign-${fault.value}`, pickValue(service, fault.value));
+			return sendForeignHeartbeat(node.announcementAddress, `i-foreign-${fault.value}`, pickInvalidValue(service, fault.value));
 		}
 
 		case 'foreign-datagram': {
-			return sendDatagram(getVm(fault.node).node.gossip, Buffer.from(pickValue('hall', fault.value)));
+			return sendDatagram(getVm(fault.node).node.gossipAddress, Buffer.from(pickInvalidValue('hall', fault.value)));
 		}
 	}
 }
--- a/soak/callers.ts
+++ b/soak/callers.ts
@@ -10,7 +10,7 @@
 import {sendCall} from '../platform/test-mesh.js';
 import {platformHeaders} from '../platform/platform-headers.js';
 import {type CallRecord} from './record.js';
-import {getPrefix, steadyRoutes, type SoakRoute} from './soak-config.js';
+import {getRoutePrefix, steadyRoutes, type SoakRoute} from './soak-config.js';
 
 /** Where and for how long callers send. */
 export type CallerSettings = {
@@ -19,7 +19,7 @@
 	readonly address: string;
 	readonly seed: number;
 	/** Index of the newest configuration that has been written. */
-	readonly getNewest: () => number;
+	readonly getNewestConfigIndex: () => number;
 	readonly handleCall: (call: CallRecord) => void;
 };
 
@@ -31,33 +31,33 @@
 const callersPerNode = 4;
 
 /** The longest time between two requests of a caller. Milliseconds. */
-const longestThinkMs = 300;
+const maxThinkTimeMs = 300;
 
 /** How long callers wait. Milliseconds. */
-const timesLeftMs = [800, 1500, 2500] as const;
+const callerTimeoutsMs = [800, 1500, 2500] as const;
 
 /** Milliseconds beyond its own time at which a caller leaves in any case. */
-const afterTimeMs = 500;
+const disconnectMarginMs = 500;
 
 /** Of so many requests one is given up early, and one asks which configuration is in force. */
-const leavesOneIn = 25;
-const asksVersionOneIn = 4;
+const earlyDisconnectOneIn = 25;
+const configProbeOneIn = 4;
 
 /** Of the configurations so many back are asked for. */
-const askedBack = 4;
+const probedConfigCount = 4;
 
 /** Bytes of large bodies. */
 const uploadBytes = 60_000;
 
-type PickBelow = (below: number) => number;
+type PickInteger = (below: number) => number;
 
-function pickRoute(pick: PickBelow, newest: number): SoakRoute {
-	if (pick(asksVersionOneIn) > 0) {
-		return steadyRoutes[pick(steadyRoutes.length)]!;
+function pickRoute(pickInteger: PickInteger, newestConfigIndex: number): SoakRoute {
+	if (pickInteger(configProbeOneIn) > 0) {
+		return steadyRoutes[pickInteger(steadyRoutes.length)]!;
 	}
 
-	const index = Math.max(1, newest + 1 - pick(askedBack));
-	return ([{type: 'since', index}, {type: 'until', index}, {type: 'turn'}] as const)[pick(3)]!;
+	const index = Math.max(1, newestConfigIndex + 1 - pickInteger(probedConfigCount));
+	return ([{type: 'since', index}, {type: 'until', index}, {type: 'turn'}] as const)[pickInteger(3)]!;
 }
 
 /**
@@ -67,46 +67,46 @@
  * @returns The callers.
  */
 export function startCallers(settings: CallerSettings): Callers {
-	const {node, address, seed, getNewest, handleCall} = settings;
+	const {node, address, seed, getNewestConfigIndex, handleCall} = settings;
 	let isStopping = false;
 	let sent = 0;
 
-	const call = async (pick: PickBelow, agent: Agent | undefined): Promise<CallRecord> => {
-		const route = pickRoute(pick, getNewest());
+	const sendRequest = async (pickInteger: PickInteger, agent: Agent | undefined): Promise<CallRecord> => {
+		const route = pickRoute(pickInteger, getNewestConfigIndex());
 		const isSafe = route.type !== 'steady' || route.isSafe;
 		const isUpload = route.type === 'steady' && route.prefix === '/upload/';
 		sent++;
 		const id = `${node}-${sent}`;
 		const method = isSafe ? 'GET' : 'POST';
-		const target = `${getPrefix(route)}${id}?page=${pick(1000)}`;
+		const target = `${getRoutePrefix(route)}${id}?page=${pickInteger(1000)}`;
 		const body = isSafe ? '' : `${id} `.padEnd(isUpload ? uploadBytes : 100, 'x');
-		const timeLeftMs = timesLeftMs[pick(timesLeftMs.length)]!;
-		const leaveAfterMs = pick(leavesOneIn) === 0 ? 5 + pick(60) : timeLeftMs + afterTimeMs;
+		const timeLeftMs = callerTimeoutsMs[pickInteger(callerTimeoutsMs.length)]!;
+		const leaveAfterMs = pickInteger(earlyDisconnectOneIn) === 0 ? 5 + pickInteger(60) : timeLeftMs + disconnectMarginMs;
 		const sentAt = Date.now();
-		const answer = await sendCall(address, target, {
+		const response = await sendCall(address, target, {
 			method, id, timeLeftMs, disconnectAfterMs: leaveAfterMs, agent, body: isSafe ? undefined : body,
 		});
 		const endedAt = Date.now();
-		const getHeader = (name: string): string | undefined => answer.headers[name] as string | undefined;
+		const getHeader = (name: string): string | undefined => response.headers[name] as string | undefined;
 		return {
-			id, node, route, method, target, body, timeLeftMs, sentAt, endedAt, status: answer.status, text: answer.body,
-			signature: getHeader(platformHeaders.signature), echoedId: getHeader(platformHeaders.callId), hasLeft: answer.status === 0 && endedAt - sentAt >= leaveAfterMs - 5,
+			id, node, route, method, target, body, timeLeftMs, sentAt, endedAt, status: response.status, text: response.body,
+			signature: getHeader(platformHeaders.signature), echoedId: getHeader(platformHeaders.callId), hasLeft: response.status === 0 && endedAt - sentAt >= leaveAfterMs - 5,
 		};
 	};
 
-	const run = async (index: number): Promise<void> => {
+	const runCaller = async (index: number): Promise<void> => {
 		const random = randomLcg(((seed * 7919) + index) / 4_294_967_296);
-		const pick: PickBelow = below => Math.floor(random() * below);
+		const pickInteger: PickInteger = below => Math.floor(random() * below);
 		const agent = index === callersPerNode - 1 ? undefined : new Agent({keepAlive: true, maxSockets: 1});
 		while (!isStopping) {
-			await sleep(pick(longestThinkMs));
-			handleCall(await call(pick, agent));
+			await sleep(pickInteger(maxThinkTimeMs));
+			handleCall(await sendRequest(pickInteger, agent));
 		}
 
 		agent?.destroy();
 	};
 
-	const running = Array.from({length: callersPerNode}, async (_, index) => run(index));
+	const running = Array.from({length: callersPerNode}, async (_, index) => runCaller(index));
 	return {
 		async stop() {
 			isStopping = true;
--- a/soak/checks/check-answers.ts
+++ b/soak/checks/check-answers.ts
@@ -5,16 +5,16 @@
  */
 import {type WireBehaviour} from '../../stand-ins/wire-server/wire-server.js';
 import {
-	collectBy, type CallRecord, type RunRecord, type SoakRecord, type Violation,
+	groupBy, type CallRecord, type RunRecord, type SoakRecord, type Violation,
 } from '../record.js';
 
 /** How a server that answers with success treats a request. */
-const succeeding: ReadonlySet<WireBehaviour> = new Set(['answer', 'extra', 'unframed', 'early']);
+const successBehaviours: ReadonlySet<WireBehaviour> = new Set(['answer', 'extra', 'unframed', 'early']);
 
-const signedFailure = 500;
+const failBehaviourStatus = 500;
 
 /** What is wrong with a success; `undefined` if nothing is. */
-function findFlaw(call: CallRecord, runs: readonly RunRecord[]): string | undefined {
+function findProblem(call: CallRecord, runs: readonly RunRecord[]): string | undefined {
 	if (call.echoedId !== call.id) {
 		return `it answers ${call.echoedId ?? 'no request'}`;
 	}
@@ -27,7 +27,7 @@
 		return `its signature is ${call.signature ?? 'missing'}`;
 	}
 
-	return runs.some(({behaviour}) => succeeding.has(behaviour)) ? undefined : 'no server answered it with success';
+	return runs.some(({behaviour}) => successBehaviours.has(behaviour)) ? undefined : 'no server answered it with success';
 }
 
 /**
@@ -35,20 +35,20 @@
  * @returns Successes that are not the whole answer to the request, and failures that bear a server's signature and are not its own.
  */
 export function checkAnswers({calls, runs}: SoakRecord): readonly Violation[] {
-	const runsOf = collectBy(runs, ({id}) => id);
+	const runsByCall = groupBy(runs, ({id}) => id);
 	return calls.flatMap((call): readonly Violation[] => {
-		const own = runsOf.get(call.id) ?? [];
+		const own = runsByCall.get(call.id) ?? [];
 		if (call.status >= 200 && call.status < 300) {
-			const flaw = findFlaw(call, own);
-			return flaw === undefined
+			const problem = findProblem(call, own);
+			return problem === undefined
 				? []
 				: [{
-					promise: 'whole answers', what: `${call.id} was answered ${call.status}, but ${flaw}`, at: call.endedAt, call: call.id,
+					promise: 'whole answers', what: `${call.id} was answered ${call.status}, but ${problem}`, at: call.endedAt, call: call.id,
 				}];
 		}
 
-		const isOwn = call.signature === undefined || (call.status === signedFailure && own.some(({behaviour}) => behaviour === 'fail'));
-		return isOwn
+		const isAllowed = call.signature === undefined || (call.status === failBehaviourStatus && own.some(({behaviour}) => behaviour === 'fail'));
+		return isAllowed
 			? []
 			: [{
 				promise: 'whole answers', what: `${call.id} was answered ${call.status} with a signature of no such failure`, at: call.endedAt, call: call.id,
--- a/soak/checks/check-losses.ts
+++ b/soak/checks/check-losses.ts
@@ -5,20 +5,20 @@
  * @module
  */
 import {
-	collectBy, isDisturbed, type CallRecord, type Disturbance, type RunRecord, type SoakRecord, type Violation,
+	groupBy, isDisturbed, type CallRecord, type Disturbance, type RunRecord, type SoakRecord, type Violation,
 } from '../record.js';
 import {routeTimeoutMs} from '../soak-config.js';
 
 /** Trouble this long before a request may have harmed it. Milliseconds. */
-const contactMs = 5000;
+const marginMs = 5000;
 
 /** The part of its time that a request may use before its end counts as being out of time. */
-const timelyPart = 0.7;
+const maxUsedTimeShare = 0.7;
 
 const isLost = ({status, signature}: CallRecord): boolean => status === 0 || ((status === 502 || status === 504) && signature === undefined);
 
-function isTimely({sentAt, endedAt, timeLeftMs}: CallRecord): boolean {
-	return endedAt - sentAt < timelyPart * Math.min(timeLeftMs, routeTimeoutMs);
+function isWithinTime({sentAt, endedAt, timeLeftMs}: CallRecord): boolean {
+	return endedAt - sentAt < maxUsedTimeShare * Math.min(timeLeftMs, routeTimeoutMs);
 }
 
 /**
@@ -26,23 +26,23 @@
  * @returns Requests that calm servers ran and whose callers got no answer.
  */
 export function checkLosses(record: SoakRecord): readonly Violation[] {
-	const runsOf = collectBy(record.runs, ({id}) => id);
-	const isHarmed = (call: CallRecord, run: RunRecord, isMeant: (disturbance: Disturbance) => boolean): boolean => isDisturbed(record, call.sentAt - contactMs, call.endedAt, disturbance => {
-		const isNear = disturbance.part === 'node' ? disturbance.node === call.node || disturbance.node === run.node : disturbance.part === 'server' && disturbance.node === run.node;
-		return isNear && isMeant(disturbance);
+	const runsByCall = groupBy(record.runs, ({id}) => id);
+	const isCallDisturbed = (call: CallRecord, run: RunRecord, matches: (disturbance: Disturbance) => boolean): boolean => isDisturbed(record, call.sentAt - marginMs, call.endedAt, disturbance => {
+		const isRelevant = disturbance.part === 'node' ? disturbance.node === call.node || disturbance.node === run.node : disturbance.part === 'server' && disturbance.node === run.node;
+		return isRelevant && matches(disturbance);
 	});
-	return record.calls.filter(call => isLost(call) && !call.hasLeft && isTimely(call)).flatMap(call => {
-		const runs = runsOf.get(call.id) ?? [];
-		const isSound = runs.length > 0 && runs.every(run => run.behaviour === 'answer' && !isHarmed(call, run, ({isPlanned}) => !isPlanned));
-		if (!isSound) {
+	return record.calls.filter(call => isLost(call) && !call.hasLeft && isWithinTime(call)).flatMap(call => {
+		const runs = runsByCall.get(call.id) ?? [];
+		const shouldBeAnswered = runs.length > 0 && runs.every(run => run.behaviour === 'answer' && !isCallDisturbed(call, run, ({isPlanned}) => !isPlanned));
+		if (!shouldBeAnswered) {
 			return [];
 		}
 
-		const isStopping = runs.some(run => isHarmed(call, run, ({isPlanned}) => isPlanned));
-		const after = call.endedAt - call.sentAt;
+		const isStopping = runs.some(run => isCallDisturbed(call, run, ({isPlanned}) => isPlanned));
+		const elapsedMs = call.endedAt - call.sentAt;
 		return [{
 			promise: isStopping ? 'a graceful stop cuts nothing' : 'what calm servers run is answered', at: call.endedAt, call: call.id,
-			what: `${call.id} on ${call.node} ran at ${runs.map(({server}) => server).join(', ')} and got ${call.status === 0 ? 'no answer' : call.status} after ${after} ms`,
+			what: `${call.id} on ${call.node} ran at ${runs.map(({server}) => server).join(', ')} and got ${call.status === 0 ? 'no answer' : call.status} after ${elapsedMs} ms`,
 		}];
 	});
 }
--- a/soak/checks/check-processes.ts
+++ b/soak/checks/check-processes.ts
@@ -7,7 +7,7 @@
 import {type Lifetime, type SoakRecord, type Violation} from '../record.js';
 
 /** What is wrong with how a process ended; `undefined` if nothing is. */
-function findFlaw({end}: Lifetime): string | undefined {
+function findProblem({end}: Lifetime): string | undefined {
 	switch (end.type) {
 		case 'running':
 		case 'killed': {
@@ -31,20 +31,20 @@
  */
 export function checkProcesses({lifetimes}: SoakRecord): readonly Violation[] {
 	return lifetimes.flatMap(lifetime => {
-		const flaw = findFlaw(lifetime);
+		const problem = findProblem(lifetime);
 		const at = lifetime.end.type === 'running' ? lifetime.startedAt : lifetime.end.at;
-		return flaw === undefined ? [] : [{promise: 'processes do not end by themselves', what: `${lifetime.node}, started at ${lifetime.startedAt}, ${flaw}`, at}];
+		return problem === undefined ? [] : [{promise: 'processes do not end by themselves', what: `${lifetime.node}, started at ${lifetime.startedAt}, ${problem}`, at}];
 	});
 }
 
 /** From the last fault on, the mesh has this long to recover. Milliseconds. */
-export const recoveryMs = 8000;
+export const maxRecoveryMs = 8000;
 
 /** The part of requests that each node serves afterwards. */
-const leastServed = 0.25;
+const minServedShare = 0.25;
 
 /** Routes that were added later or dropped are asked for in vain on purpose; they tell nothing here. */
-const isOwed = (status: number): boolean => status !== 404;
+const isCounted = (status: number): boolean => status !== 404;
 
 /**
  * @param record - What was seen.
@@ -55,12 +55,12 @@
 		return [];
 	}
 
-	const from = ending.lastFaultAt + recoveryMs;
-	const late = calls.filter(call => call.sentAt >= from && !call.hasLeft && isOwed(call.status));
+	const from = ending.lastFaultAt + maxRecoveryMs;
+	const afterRecovery = calls.filter(call => call.sentAt >= from && !call.hasLeft && isCounted(call.status));
 	return [...ending.ready].flatMap(([node, isReady]) => {
-		const own = late.filter(call => call.node === node);
+		const own = afterRecovery.filter(call => call.node === node);
 		const served = own.filter(({status}) => status === 200).length;
-		const hasRecovered = isReady && served >= leastServed * own.length && own.length > 0;
+		const hasRecovered = isReady && served >= minServedShare * own.length && own.length > 0;
 		return hasRecovered
 			? []
 			: [{
--- a/soak/checks/check-runs.ts
+++ b/soak/checks/check-runs.ts
@@ -4,18 +4,18 @@
  * @module
  */
 import {
-	collectBy, type CallRecord, type RunRecord, type SoakRecord, type Violation,
+	groupBy, type CallRecord, type RunRecord, type SoakRecord, type Violation,
 } from '../record.js';
-import {getRunLimit, getService} from '../soak-config.js';
+import {getRunLimit, getRouteService} from '../soak-config.js';
 
 /** Statuses that promise that a request has not run and never will. */
 const notRunStatuses: ReadonlySet<number> = new Set([408, 421, 429, 503]);
 
 /** By how much a server may be given more time than the caller waits. Milliseconds. */
-const timeSlackMs = 500;
+const deadlineToleranceMs = 500;
 
 /** What is wrong with a run of a request that was sent; `undefined` if nothing is. */
-function findFlaw(call: CallRecord, run: RunRecord, callerService: string, newest: number): string | undefined {
+function findProblem(call: CallRecord, run: RunRecord, callerService: string, newest: number): string | undefined {
 	if (run.method !== call.method || run.target !== call.target) {
 		return `it ran as ${run.method} ${run.target}`;
 	}
@@ -28,11 +28,11 @@
 		return `the server was told that ${run.callerService} calls`;
 	}
 
-	if (!(run.leftMs <= call.timeLeftMs + timeSlackMs)) {
+	if (!(run.leftMs <= call.timeLeftMs + deadlineToleranceMs)) {
 		return `the server was given ${run.leftMs} ms of ${call.timeLeftMs}`;
 	}
 
-	const isAllowed = Array.from({length: newest + 1}, (_, index) => getService(call.route, index)).includes(run.service as never);
+	const isAllowed = Array.from({length: newest + 1}, (_, index) => getRouteService(call.route, index)).includes(run.service as never);
 	return isAllowed ? undefined : `no configuration lets ${run.service} run it`;
 }
 
@@ -45,9 +45,9 @@
 	};
 
 	for (const run of runs) {
-		const flaw = findFlaw(call, run, callerService, newest);
-		if (flaw !== undefined) {
-			add('only what was sent', flaw);
+		const problem = findProblem(call, run, callerService, newest);
+		if (problem !== undefined) {
+			add('only what was sent', problem);
 		}
 	}
 
@@ -71,8 +71,8 @@
  */
 export function checkRuns({calls, runs, changes}: SoakRecord, getCallerService: (node: string) => string): readonly Violation[] {
 	const newest = Math.max(0, ...changes.map(({index}) => index));
-	const runsOf = collectBy(runs, ({id}) => id);
-	return calls.flatMap(call => checkCall(call, runsOf.get(call.id) ?? [], getCallerService(call.node), newest));
+	const runsByCall = groupBy(runs, ({id}) => id);
+	return calls.flatMap(call => checkCall(call, runsByCall.get(call.id) ?? [], getCallerService(call.node), newest));
 }
 
 /**
@@ -81,7 +81,7 @@
  * @param record - What was seen.
  * @returns Runs of requests that no caller sent.
  */
-export function checkUnasked({calls, runs, ending}: SoakRecord): readonly Violation[] {
+export function checkUnsentRequests({calls, runs, ending}: SoakRecord): readonly Violation[] {
 	if (ending === undefined) {
 		return [];
 	}
@@ -91,7 +91,7 @@
 }
 
 /** From its acknowledgement on, work may still reach a server that drains for this long. Milliseconds: requests on their way. */
-const drainSlackMs = 1000;
+const drainToleranceMs = 1000;
 
 /**
  * @param record - What was seen.
@@ -101,7 +101,7 @@
 	const ackedAt = new Map(drains.map(drain => [drain.server, drain.ackedAt]));
 	return runs.flatMap(({id, server, at}) => {
 		const lateMs = at - (ackedAt.get(server) ?? Infinity);
-		return lateMs > drainSlackMs
+		return lateMs > drainToleranceMs
 			? [{
 				promise: 'a leaving server gets no new work', what: `${id} reached ${server} ${lateMs} ms after its leaving was acknowledged`, at, call: id,
 			}]
--- a/soak/checks/find-violations.test.ts
+++ b/soak/checks/find-violations.test.ts
@@ -45,7 +45,7 @@
 }
 
 function listBroken(record: SoakRecord): readonly string[] {
-	return [...new Set(findViolations(record, {applyMs: 4000, getService: () => 'logview'}).map(({promise}) => promise))];
+	return [...new Set(findViolations(record, {applyMs: 4000, getNodeService: () => 'logview'}).map(({promise}) => promise))];
 }
 
 const lost = {
--- a/soak/checks/find-violations.ts
+++ b/soak/checks/find-violations.ts
@@ -7,13 +7,13 @@
 import {checkAnswers} from './check-answers.js';
 import {checkLosses} from './check-losses.js';
 import {checkProcesses, checkRecovery} from './check-processes.js';
-import {checkDrains, checkRuns, checkUnasked} from './check-runs.js';
-import {checkVersions, type VersionBounds} from './check-versions.js';
+import {checkDrains, checkRuns, checkUnsentRequests} from './check-runs.js';
+import {checkVersions, type VersionCheckSettings} from './check-versions.js';
 
 /** What checks need to know beside the record. */
-export type CheckSettings = VersionBounds & {
+export type CheckSettings = VersionCheckSettings & {
 	/** The service of the server beside a node. */
-	readonly getService: (node: string) => string;
+	readonly getNodeService: (node: string) => string;
 };
 
 /**
@@ -24,8 +24,8 @@
 export function findViolations(record: SoakRecord, settings: CheckSettings): readonly Violation[] {
 	return [
 		...checkAnswers(record),
-		...checkRuns(record, settings.getService),
-		...checkUnasked(record),
+		...checkRuns(record, settings.getNodeService),
+		...checkUnsentRequests(record),
 		...checkDrains(record),
 		...checkVersions(record, settings),
 		...checkLosses(record),
--- a/soak/link-proxy.test.ts
+++ b/soak/link-proxy.test.ts
@@ -49,7 +49,7 @@
 }
 
 /** Whether a connection ends with a reset; one that reaches this program as an ordinary end shows in a write. */
-async function findReset(): Promise<boolean> {
+async function isEndedByReset(): Promise<boolean> {
 	const [host, port] = address.split(':');
 	const socket = connect({host, port: Number(port), allowHalfOpen: true});
 	return new Promise(resolve => {
@@ -71,7 +71,7 @@
 	const {server} = await startLink(context);
 	for (let sent = 0; sent < 20; sent++) {
 		server.plan('unframed-cut', 'unframed');
-		assert.equal(await findReset(), true);
-		assert.equal(await findReset(), false);
+		assert.equal(await isEndedByReset(), true);
+		assert.equal(await isEndedByReset(), false);
 	}
 });
--- a/soak/link-proxy.ts
+++ b/soak/link-proxy.ts
@@ -35,14 +35,14 @@
 const delayMs = 150;
 
 /** Between two looks at whether a cut has ended. Milliseconds. */
-const cutPollMs = 10;
+const cutPollIntervalMs = 10;
 
-const turnedAway = 'HTTP/1.1 503 Service Unavailable\r\nContent-Length: 2\r\nContent-Type: application/json\r\n\r\n{}';
+const serviceUnavailableResponse = 'HTTP/1.1 503 Service Unavailable\r\nContent-Length: 2\r\nContent-Type: application/json\r\n\r\n{}';
 
-const isCut = (mode: LinkMode, direction: Direction): boolean => mode === 'silence' || mode === `cut-${direction}`;
+const isBlocked = (mode: LinkMode, direction: Direction): boolean => mode === 'silence' || mode === `cut-${direction}`;
 
 /** A reset of a socket that is being shut down would leave its handle open for ever: Node.js gives it up without closing it. */
-function cutSocket(socket: Socket): void {
+function resetSocket(socket: Socket): void {
 	if (socket.writableEnded) {
 		socket.destroy();
 	} else {
@@ -53,7 +53,7 @@
 /** An empty line before a request, which servers pass over. */
 const probe = '\r\n';
 
-async function askForReset(socket: Socket): Promise<boolean> {
+async function checkForReset(socket: Socket): Promise<boolean> {
 	return new Promise(resolve => {
 		socket.write(probe, error => {
 			resolve(error !== null && error !== undefined);
@@ -73,7 +73,7 @@
 	let target = firstTarget;
 	const sockets = new Set<Socket>();
 
-	const keep = (socket: Socket): void => {
+	const addSocket = (socket: Socket): void => {
 		sockets.add(socket);
 		socket.setNoDelay(true);
 		socket.on('error', () => undefined);
@@ -82,58 +82,58 @@
 		});
 	};
 
-	const cutAll = (): void => {
+	const resetAllSockets = (): void => {
 		for (const socket of sockets) {
-			cutSocket(socket);
+			resetSocket(socket);
 		}
 	};
 
 	/** Passes on one direction, in order. */
 	const forward = (from: Socket, to: Socket, direction: Direction): void => {
-		let last = Promise.resolve();
-		const submit = (act: () => void | Promise<void>): void => {
-			const before = last;
-			const take = async (): Promise<void> => {
-				await before;
+		let lastAction = Promise.resolve();
+		const queueAction = (action: () => void | Promise<void>): void => {
+			const previous = lastAction;
+			const runNext = async (): Promise<void> => {
+				await previous;
 				if (mode === 'delay') {
 					await sleep(delayMs);
 				}
 
-				while (isCut(mode, direction) && !from.destroyed) {
-					await sleep(cutPollMs);
+				while (isBlocked(mode, direction) && !from.destroyed) {
+					await sleep(cutPollIntervalMs);
 				}
 
-				await act();
+				await action();
 			};
 
-			last = take();
+			lastAction = runNext();
 		};
 
 		from.on('data', (chunk: Uint8Array) => {
 			if (mode === 'turn-away' && direction === 'to-server') {
-				from.end(turnedAway);
+				from.end(serviceUnavailableResponse);
 				return;
 			}
 
-			submit(() => {
+			queueAction(() => {
 				to.write(chunk);
 			});
 		});
 		from.once('end', () => {
 			// A reset right behind the last bytes reaches this program as an ordinary end; only a write tells the two apart.
-			const isReset = direction === 'to-client' && !from.writableEnded && !from.destroyed ? askForReset(from) : Promise.resolve(false);
-			submit(async () => {
+			const isReset = direction === 'to-client' && !from.writableEnded && !from.destroyed ? checkForReset(from) : Promise.resolve(false);
+			queueAction(async () => {
 				if (await isReset) {
-					cutSocket(to);
+					resetSocket(to);
 				} else {
 					to.end();
 				}
 			});
 		});
 		from.once('close', hadError => {
-			submit(() => {
+			queueAction(() => {
 				if (hadError) {
-					cutSocket(to);
+					resetSocket(to);
 				} else {
 					to.destroySoon();
 				}
@@ -142,38 +142,38 @@
 	};
 
 	const server = createServer({allowHalfOpen: true}, client => {
-		keep(client);
+		addSocket(client);
 		if (mode === 'reset' || target === undefined) {
-			cutSocket(client);
+			resetSocket(client);
 			return;
 		}
 
 		const {host, port} = parseAddress(toAddress(target));
 		const upstream = connect({host, port, allowHalfOpen: true});
-		keep(upstream);
+		addSocket(upstream);
 		upstream.once('error', () => {
-			cutSocket(client);
+			resetSocket(client);
 		});
 		forward(client, upstream, 'to-server');
 		forward(upstream, client, 'to-client');
 	});
-	const place = parseAddress(toAddress(address));
+	const listenAddress = parseAddress(toAddress(address));
 	await new Promise<void>((resolve, reject) => {
 		server.once('error', reject);
-		server.listen(place.port, place.host, resolve);
+		server.listen(listenAddress.port, listenAddress.host, resolve);
 	});
 	return {
 		setMode(next) {
 			mode = next;
 			if (mode === 'reset') {
-				cutAll();
+				resetAllSockets();
 			}
 		},
 		setTarget(next) {
 			target = next;
 		},
 		async close() {
-			cutAll();
+			resetAllSockets();
 			await new Promise(resolve => {
 				server.close(resolve);
 			});
--- a/soak/main.ts
+++ b/soak/main.ts
@@ -14,27 +14,27 @@
 import yargs from 'yargs';
 import {hideBin} from 'yargs/helpers';
 import {planSoak} from './plan.js';
-import {formatStories, formatSummary} from './report.js';
+import {formatExplanations, formatSummary} from './report.js';
 import {runSoak} from './run-soak.js';
 
 /** Milliseconds until a change has to be in force at calm nodes, unless said otherwise. */
-const usualApplyMs = 4000;
+const defaultApplyMs = 4000;
 
 const options = await yargs(hideBin(process.argv))
 	.scriptName('soak')
 	.option('seed', {type: 'number', default: 1, describe: 'repeats a plan'})
 	.option('seconds', {type: 'number', default: 40, describe: 'how long, with the quiet time at the start and the end'})
 	.option('nodes', {type: 'number', default: 8, describe: 'how many nodes, each a process'})
-	.option('apply', {type: 'number', default: usualApplyMs, describe: 'milliseconds until a change has to be in force'})
+	.option('apply', {type: 'number', default: defaultApplyMs, describe: 'milliseconds until a change has to be in force'})
 	.option('out', {type: 'string', describe: 'folder for the plan, settings, logs and stories; without it, a temporary one that is kept if a promise was broken'})
 	.strict()
 	.help()
 	.parse();
 
 /** Characters of a text that the record keeps: what is wrong shows in the violation. */
-const longestText = 200;
+const maxTextCharacters = 200;
 
-const cutText = (_key: string, value: unknown): unknown => typeof value === 'string' ? value.slice(0, longestText) : value;
+const truncateText = (_key: string, value: unknown): unknown => typeof value === 'string' ? value.slice(0, maxTextCharacters) : value;
 
 for (const signal of ['SIGINT', 'SIGTERM', 'SIGHUP'] as const) {
 	process.once(signal, () => {
@@ -48,17 +48,17 @@
 writeFileSync(path.join(folder, 'plan.json'), JSON.stringify(plan, undefined, '\t'));
 const outcome = await runSoak(plan, {
 	folder, applyMs: options.apply,
-	tell(text) {
+	reportViolation(text) {
 		process.stdout.write(`${text}\n`);
 	},
 });
 const summary = formatSummary(outcome);
-const stories = formatStories(outcome);
-process.stdout.write([...summary, ...stories, ''].join('\n'));
-writeFileSync(path.join(folder, 'summary.txt'), [...summary, ...stories, ''].join('\n'));
+const explanations = formatExplanations(outcome);
+process.stdout.write([...summary, ...explanations, ''].join('\n'));
+writeFileSync(path.join(folder, 'summary.txt'), [...summary, ...explanations, ''].join('\n'));
 const isBroken = outcome.violations.length > 0;
 if (isBroken) {
-	writeFileSync(path.join(folder, 'record.json'), JSON.stringify(outcome.record, cutText));
+	writeFileSync(path.join(folder, 'record.json'), JSON.stringify(outcome.record, truncateText));
 }
 
 if (isBroken || options.out !== undefined) {
--- a/soak/plan.test.ts
+++ b/soak/plan.test.ts
@@ -1,6 +1,6 @@
 import assert from 'node:assert/strict';
 import test from 'node:test';
-import {planSoak, quietMs} from './plan.js';
+import {planSoak, faultFreeMs} from './plan.js';
 
 test('a seed repeats its plan, and no other has it', () => {
 	const size = {seed: 7, seconds: 60, nodes: 8};
@@ -11,5 +11,5 @@
 test('every kind of fault is drawn, within the time for faults', () => {
 	const faults = Array.from({length: 10}, (_, index) => planSoak({seed: index, seconds: 60, nodes: 10}).faults).flat();
 	assert.equal(new Set(faults.map(({type}) => type)).size, 19);
-	assert.ok(faults.every(({atMs}) => atMs >= quietMs.start && atMs < 60_000 - quietMs.end));
+	assert.ok(faults.every(({atMs}) => atMs >= faultFreeMs.start && atMs < 60_000 - faultFreeMs.end));
 });
--- a/soak/plan.ts
+++ b/soak/plan.ts
@@ -7,17 +7,17 @@
 import {randomExponential, randomLcg} from 'd3-random';
 import {type WireBehaviour} from '../stand-ins/wire-server/wire-server.js';
 import {type LinkMode} from './link-proxy.js';
-import {mostChanges} from './soak-config.js';
+import {maxConfigChanges} from './soak-config.js';
 
 /** How the store treats everybody. */
-const storeFaults = ['busy', 'many', 'reset', 'silent', 'lost', 'slow', 'deaf'] as const;
-export type StoreTrouble = typeof storeFaults[number];
+const storeFaultModes = ['busy', 'many', 'reset', 'silent', 'lost', 'slow', 'deaf'] as const;
+export type StoreFaultMode = typeof storeFaultModes[number];
 
 /** What happens to the store at once. */
 const storeEvents = ['leases-end', 'history-forgotten', 'watches-muted'] as const;
 export type StoreEvent = typeof storeEvents[number];
 
-const linkModes: ReadonlyArray<Exclude<LinkMode, 'pass'>> = ['delay', 'reset', 'cut-to-server', 'cut-to-client', 'silence', 'turn-away'];
+const faultyLinkModes: ReadonlyArray<Exclude<LinkMode, 'pass'>> = ['delay', 'reset', 'cut-to-server', 'cut-to-client', 'silence', 'turn-away'];
 
 const misbehaviours: readonly WireBehaviour[] = [
 	'lose', 'truncate', 'foreign', 'extra', 'unframed', 'unframed-reset', 'unframed-cut', 'shed', 'fail', 'unsigned', 'garbage', 'hang',
@@ -32,7 +32,7 @@
 	| {readonly type: 'hang-up'; readonly node: number; readonly times: number; readonly isUnreadable: boolean}
 	| {readonly type: 'store-link'; readonly node: number; readonly mode: Exclude<LinkMode, 'pass'>; readonly forMs: number}
 	| {readonly type: 'server-link'; readonly node: number; readonly mode: Exclude<LinkMode, 'pass' | 'turn-away'>; readonly forMs: number}
-	| {readonly type: 'store'; readonly trouble: StoreTrouble; readonly forMs: number}
+	| {readonly type: 'store'; readonly trouble: StoreFaultMode; readonly forMs: number}
 	| {readonly type: 'store-event'; readonly event: StoreEvent}
 	/** The store goes away, and comes back from a copy of so many milliseconds before. */
 	| {readonly type: 'store-restored'; readonly ageMs: number; readonly forMs: number}
@@ -62,13 +62,13 @@
 };
 
 /** What is played. */
-export type SoakSize = {readonly seed: number; readonly seconds: number; readonly nodes: number};
+export type SoakParameters = {readonly seed: number; readonly seconds: number; readonly nodes: number};
 
 /** Milliseconds without faults: at the start until all know one another, at the end so that the mesh can recover. */
-export const quietMs = {start: 3000, end: 12_000} as const;
+export const faultFreeMs = {start: 3000, end: 12_000} as const;
 
 /** Faults a second, for each node. */
-const faultsPerNodeAndSecond = 0.2;
+const faultsPerNodePerSecond = 0.2;
 
 const changesPerSecond = 0.4;
 
@@ -76,70 +76,70 @@
 const restoresPerSecond = 0.03;
 
 /** Faults last from this long to this long. Milliseconds. */
-const shortest = 200;
-const longest = 5000;
+const shortestFaultMs = 200;
+const longestFaultMs = 5000;
 
 /** Other writers' values, see `listForeignValues`; the index wraps. */
-const foreignValues = 64;
+const invalidValueIndexBound = 64;
 
-type Draw = {
-	readonly pickBelow: (below: number) => number;
+type RandomPicker = {
+	readonly pickInteger: (below: number) => number;
 	readonly pickOne: <Value>(values: readonly Value[]) => Value;
-	readonly pickTime: () => number;
+	readonly pickDurationMs: () => number;
 };
 
-function createDraw(random: () => number): Draw {
-	const pickBelow = (below: number): number => Math.floor(random() * below);
+function createRandomPicker(random: () => number): RandomPicker {
+	const pickInteger = (below: number): number => Math.floor(random() * below);
 	return {
-		pickBelow,
-		pickOne: values => values[pickBelow(values.length)]!,
-		pickTime: () => shortest + pickBelow(longest - shortest),
+		pickInteger,
+		pickOne: values => values[pickInteger(values.length)]!,
+		pickDurationMs: () => shortestFaultMs + pickInteger(longestFaultMs - shortestFaultMs),
 	};
 }
 
 /** How often each kind of fault is drawn, against the others. */
-const kinds: ReadonlyArray<readonly [number, (draw: Draw, node: number) => FaultAction]> = [
-	[5, (draw, node) => ({type: 'pause', node, forMs: draw.pickTime()})],
-	[5, (draw, node) => ({type: 'kill', node, forMs: draw.pickTime()})],
-	[7, (draw, node) => ({type: 'stop', node, forMs: draw.pickTime()})],
-	[4, (draw, node) => ({
-		type: 'hang-up', node, times: 1 + draw.pickBelow(3), isUnreadable: draw.pickBelow(3) === 0,
+const faultGenerators: ReadonlyArray<readonly [number, (picker: RandomPicker, node: number) => FaultAction]> = [
+	[5, (picker, node) => ({type: 'pause', node, forMs: picker.pickDurationMs()})],
+	[5, (picker, node) => ({type: 'kill', node, forMs: picker.pickDurationMs()})],
+	[7, (picker, node) => ({type: 'stop', node, forMs: picker.pickDurationMs()})],
+	[4, (picker, node) => ({
+		type: 'hang-up', node, times: 1 + picker.pickInteger(3), isUnreadable: picker.pickInteger(3) === 0,
 	})],
-	[6, (draw, node) => ({
-		type: 'store-link', node, mode: draw.pickOne(linkModes), forMs: draw.pickTime(),
+	[6, (picker, node) => ({
+		type: 'store-link', node, mode: picker.pickOne(faultyLinkModes), forMs: picker.pickDurationMs(),
 	})],
-	[4, (draw, node) => ({
-		type: 'server-link', node, mode: draw.pickOne(['delay', 'reset', 'cut-to-server', 'cut-to-client', 'silence']), forMs: draw.pickTime(),
+	[4, (picker, node) => ({
+		type: 'server-link', node, mode: picker.pickOne(['delay', 'reset', 'cut-to-server', 'cut-to-client', 'silence']), forMs: picker.pickDurationMs(),
 	})],
-	[4, draw => ({type: 'store', trouble: draw.pickOne(storeFaults), forMs: draw.pickTime()})],
-	[2, draw => ({type: 'store-event', event: draw.pickOne(storeEvents)})],
-	[6, (draw, node) => ({
-		type: 'server-crash', node, times: draw.pickBelow(4) === 0 ? 3 : 1, forMs: Math.round(draw.pickTime() / 2), keepsId: draw.pickBelow(2) === 0,
+	[4, picker => ({type: 'store', trouble: picker.pickOne(storeFaultModes), forMs: picker.pickDurationMs()})],
+	[2, picker => ({type: 'store-event', event: picker.pickOne(storeEvents)})],
+	[6, (picker, node) => ({
+		type: 'server-crash', node, times: picker.pickInteger(4) === 0 ? 3 : 1, forMs: Math.round(picker.pickDurationMs() / 2), keepsId: picker.pickInteger(2) === 0,
 	})],
-	[3, (draw, node) => ({
-		type: 'server-slow', node, workMs: 100 + draw.pickBelow(900), forMs: draw.pickTime(),
+	[3, (picker, node) => ({
+		type: 'server-slow', node, workMs: 100 + picker.pickInteger(900), forMs: picker.pickDurationMs(),
 	})],
-	[6, (draw, node) => ({type: 'server-misbehave', node, behaviours: Array.from({length: 1 + draw.pickBelow(4)}, () => draw.pickOne(misbehaviours))})],
-	[2, (draw, node) => ({type: 'server-lie', node, forMs: draw.pickTime()})],
-	[3, (draw, node) => ({
-		type: 'server-late', node, delayMs: draw.pickTime(), forMs: draw.pickTime(),
+	[6, (picker, node) => ({type: 'server-misbehave', node, behaviours: Array.from({length: 1 + picker.pickInteger(4)}, () => picker.pickOne(misbehaviours))})],
+	[2, (picker, node) => ({type: 'server-lie', node, forMs: picker.pickDurationMs()})],
+	[3, (picker, node) => ({
+		type: 'server-late', node, delayMs: picker.pickDurationMs(), forMs: picker.pickDurationMs(),
 	})],
-	[2, (draw, node) => ({type: 'server-silent', node, forMs: draw.pickTime()})],
-	[6, (draw, node) => ({
-		type: 'server-drain', node, saysDraining: draw.pickBelow(4) !== 0, forMs: draw.pickTime(),
+	[2, (picker, node) => ({type: 'server-silent', node, forMs: picker.pickDurationMs()})],
+	[6, (picker, node) => ({
+		type: 'server-drain', node, saysDraining: picker.pickInteger(4) !== 0, forMs: picker.pickDurationMs(),
 	})],
-	[1, draw => ({type: 'foreign-entry', value: draw.pickBelow(foreignValues)})],
-	[2, (draw, node) => ({type: 'foreign-heartbeat', node, value: draw.pickBelow(foreignValues)})],
-	[2, (draw, node) => ({type: 'foreign-datagram', node, value: draw.pickBelow(foreignValues)})],
+	[1, picker => ({type: 'foreign-entry', value: picker.pickInteger(invalidValueIndexBound)})],
+	[2, (picker, node) => ({type: 'foreign-heartbeat', node, value: picker.pickInteger(invalidValueIndexBound)})],
+	[2, (picker, node) => ({type: 'foreign-datagram', node, value: picker.pickInteger(invalidValueIndexBound)})],
 ];
 
-const weights = kinds.flatMap(([weight], index) => Array.from({length: weight}, () => index));
+const weightedGeneratorIndexes = faultGenerators.flatMap(([weight], index) => Array.from({length: weight}, () => index));
 
 /** Times of events that come at random, so often a second, within the time for faults. */
-function listTimes(random: () => number, perSecond: number, untilMs: number): readonly number[] {
-	const pause = randomExponential.source(random)(perSecond / 1000);
+function pickPoissonTimes(random: () => number, perSecond: number, untilMs: number): readonly number[] {
+	const pickIntervalMs = randomExponential.source(random)(perSecond / 1000);
 	const times: number[] = [];
-	for (let at = quietMs.start + pause(); at < untilMs; at += pause()) {
+	for (let at = faultFreeMs.start + pickIntervalMs(); at < untilMs; at += pickIntervalMs()) {
 		times.push(Math.round(at));
 	}
 
@@ -150,22 +150,22 @@
  * @param size - What is played.
  * @returns The plan, which the same size always repeats.
  */
-export function planSoak({seed, seconds, nodes}: SoakSize): SoakPlan {
+export function planSoak({seed, seconds, nodes}: SoakParameters): SoakPlan {
 	// Seeds that follow one another give like first draws.
 	const random = randomLcg(((seed * 2_654_435_761) % 4_294_967_296) / 4_294_967_296);
-	const draw = createDraw(random);
-	const randomOfRestores = randomLcg(((seed * 40_503) % 65_536) / 65_536);
-	const drawOfRestores = createDraw(randomOfRestores);
-	const untilMs = (seconds * 1000) - quietMs.end;
-	const faults = listTimes(random, faultsPerNodeAndSecond * nodes, untilMs).map((atMs): PlannedFault => {
-		const [, pick] = kinds[draw.pickOne(weights)]!;
-		return {...pick(draw, draw.pickBelow(nodes)), atMs};
+	const picker = createRandomPicker(random);
+	const restoreRandom = randomLcg(((seed * 40_503) % 65_536) / 65_536);
+	const restorePicker = createRandomPicker(restoreRandom);
+	const untilMs = (seconds * 1000) - faultFreeMs.end;
+	const faults = pickPoissonTimes(random, faultsPerNodePerSecond * nodes, untilMs).map((atMs): PlannedFault => {
+		const [, createFault] = faultGenerators[picker.pickOne(weightedGeneratorIndexes)]!;
+		return {...createFault(picker, picker.pickInteger(nodes)), atMs};
 	});
 	// Drawn apart, so that seeds go on playing what they played before there were such.
-	const restores = listTimes(randomOfRestores, restoresPerSecond, untilMs).map((atMs): PlannedFault => ({
-		type: 'store-restored', ageMs: drawOfRestores.pickTime(), forMs: Math.round(drawOfRestores.pickTime() / 4), atMs,
+	const restores = pickPoissonTimes(restoreRandom, restoresPerSecond, untilMs).map((atMs): PlannedFault => ({
+		type: 'store-restored', ageMs: restorePicker.pickDurationMs(), forMs: Math.round(restorePicker.pickDurationMs() / 4), atMs,
 	}));
-	const changesAtMs = listTimes(random, changesPerSecond, untilMs).slice(0, mostChanges);
+	const changesAtMs = pickPoissonTimes(random, changesPerSecond, untilMs).slice(0, maxConfigChanges);
 	return {
 		seed, seconds, nodes, changesAtMs, faults: [...faults, ...restores].toSorted((left, right) => left.atMs - right.atMs),
 	};
--- a/soak/record.ts
+++ b/soak/record.ts
@@ -104,11 +104,11 @@
  * @param record - What was seen.
  * @param from - Unix milliseconds.
  * @param to - Unix milliseconds.
- * @param isMeant - Which disturbances count.
+ * @param matches - Which disturbances count.
  * @returns Whether one of them overlaps that time.
  */
-export function isDisturbed(record: SoakRecord, from: number, to: number, isMeant: (disturbance: Disturbance) => boolean): boolean {
-	return record.disturbances.some(disturbance => disturbance.from <= to && disturbance.to >= from && isMeant(disturbance));
+export function isDisturbed(record: SoakRecord, from: number, to: number, matches: (disturbance: Disturbance) => boolean): boolean {
+	return record.disturbances.some(disturbance => disturbance.from <= to && disturbance.to >= from && matches(disturbance));
 }
 
 /**
@@ -116,7 +116,7 @@
  * @param getKey - What they are collected by.
  * @returns The values of each key, in order.
  */
-export function collectBy<Key, Value>(values: readonly Value[], getKey: (value: Value) => Key): ReadonlyMap<Key, readonly Value[]> {
+export function groupBy<Key, Value>(values: readonly Value[], getKey: (value: Value) => Key): ReadonlyMap<Key, readonly Value[]> {
 	const groups = new Map<Key, Value[]>();
 	for (const value of values) {
 		const key = getKey(value);
--- a/soak/report.ts
+++ b/soak/report.ts
@@ -6,14 +6,14 @@
  */
 import {readFileSync} from 'node:fs';
 import {explainCall, parseLogLine, type LogLine} from '../src/lib/timeline/explain-call.js';
-import {collectBy, type SoakRecord} from './record.js';
+import {groupBy, type SoakRecord} from './record.js';
 import {type SoakOutcome} from './run-soak.js';
 
 /** Requests whose story is told, of each promise: the first ones show the cause. */
-const mostStories = 3;
+const maxExplanationsPerPromise = 3;
 
 function countBy<Value>(values: readonly Value[], getKey: (value: Value) => string): string {
-	const groups = [...collectBy(values, getKey)].toSorted(([left], [right]) => left < right ? -1 : 1);
+	const groups = [...groupBy(values, getKey)].toSorted(([left], [right]) => left < right ? -1 : 1);
 	return groups.map(([key, group]) => `${key} ${group.length}`).join(', ');
 }
 
@@ -36,7 +36,7 @@
  * @returns The summary, one line each.
  */
 export function formatSummary({plan, record, violations, idleServers}: SoakOutcome): readonly string[] {
-	const promises = [...collectBy(violations, ({promise}) => promise)];
+	const promises = [...groupBy(violations, ({promise}) => promise)];
 	return [
 		`seed ${plan.seed}, ${plan.seconds} s, ${plan.nodes} nodes, ${plan.faults.length} faults planned`,
 		...formatCounts(record),
@@ -50,19 +50,19 @@
  * @param outcome - What a soak ended with.
  * @returns The stories of requests that show what was broken, from the nodes' logs.
  */
-export function formatStories({violations, logFiles}: SoakOutcome): readonly string[] {
+export function formatExplanations({violations, logFiles}: SoakOutcome): readonly string[] {
 	if (violations.length === 0) {
 		return [];
 	}
 
 	const lines = readLines(logFiles);
-	const chosen = [...collectBy(violations, ({promise}) => promise).values()].flatMap(group => group.slice(0, mostStories));
+	const chosen = [...groupBy(violations, ({promise}) => promise).values()].flatMap(group => group.slice(0, maxExplanationsPerPromise));
 	return chosen.flatMap(({promise, what, at, call}) => {
-		const story = call === undefined ? undefined : explainCall(lines, call);
+		const explanation = call === undefined ? undefined : explainCall(lines, call);
 		return [
 			'',
 			`${promise}: ${what} (at ${new Date(at).toISOString()})`,
-			...story === undefined ? ['  the logs do not speak of it'] : [...story.steps.map(step => `  ${step}`), `  Cause: ${story.cause}`],
+			...explanation === undefined ? ['  the logs do not speak of it'] : [...explanation.steps.map(step => `  ${step}`), `  Cause: ${explanation.cause}`],
 		];
 	});
 }
--- a/soak/soak-config.ts
+++ b/soak/soak-config.ts
@@ -41,16 +41,16 @@
 ];
 
 /** Repeats that routes other than the steady ones allow. */
-const otherAttempts = 2;
+const changingRouteAttempts = 2;
 
 /** Milliseconds that a route lets a request wait. */
 export const routeTimeoutMs = 2000;
 
 /** Versions grow in uneven steps. */
-const versionStep = 3;
+const versionIncrement = 3;
 
 /** @returns The service that a route leads to in a configuration; `undefined` where it does not exist. */
-export function getService(route: SoakRoute, index: number): Service | undefined {
+export function getRouteService(route: SoakRoute, index: number): Service | undefined {
 	switch (route.type) {
 		case 'steady': {
 			return route.service;
@@ -71,7 +71,7 @@
 }
 
 /** @returns Where requests of a route go. */
-export function getPrefix(route: SoakRoute): string {
+export function getRoutePrefix(route: SoakRoute): string {
 	switch (route.type) {
 		case 'steady': {
 			return route.prefix;
@@ -91,24 +91,24 @@
 /** @returns How many backend servers may run one request of a route. */
 export function getRunLimit(route: SoakRoute): number {
 	if (route.type !== 'steady') {
-		return otherAttempts;
+		return changingRouteAttempts;
 	}
 
 	return route.isSafe ? route.attempts : 1;
 }
 
 /** The most configurations of a soak. */
-export const mostChanges = 40;
+export const maxConfigChanges = 40;
 
 function createTestRoute(route: SoakRoute, index: number): readonly TestRoute[] {
-	const service = getService(route, index);
+	const service = getRouteService(route, index);
 	if (service === undefined) {
 		return [];
 	}
 
 	const type = route.type !== 'steady' || route.isSafe ? 'safe' : (route.prefix === '/upload/' ? 'upload' : 'unsafe');
 	return [{
-		prefix: getPrefix(route), service, type, timeout: `${routeTimeoutMs}ms`, attempts: route.type === 'steady' ? route.attempts : otherAttempts,
+		prefix: getRoutePrefix(route), service, type, timeout: `${routeTimeoutMs}ms`, attempts: route.type === 'steady' ? route.attempts : changingRouteAttempts,
 	}];
 }
 
@@ -117,7 +117,7 @@
  * @returns The configuration as operators write it.
  */
 export function createSoakConfig(index: number): unknown {
-	const marks = Array.from({length: mostChanges}, (_, mark): readonly SoakRoute[] => [{type: 'since', index: mark + 1}, {type: 'until', index: mark + 1}]).flat();
-	const routes = [...steadyRoutes, {type: 'turn'} as const, ...marks].flatMap(route => createTestRoute(route, index));
-	return createTestConfig(1 + (index * versionStep) + (index % 2), routes);
+	const changingRoutes = Array.from({length: maxConfigChanges}, (_, offset): readonly SoakRoute[] => [{type: 'since', index: offset + 1}, {type: 'until', index: offset + 1}]).flat();
+	const routes = [...steadyRoutes, {type: 'turn'} as const, ...changingRoutes].flatMap(route => createTestRoute(route, index));
+	return createTestConfig(1 + (index * versionIncrement) + (index % 2), routes);
 }
--- a/soak/soak-mesh.ts
+++ b/soak/soak-mesh.ts
@@ -61,7 +61,7 @@
 	const store = await startPlatformStore();
 	store.putConfig(firstConfig);
 	const vms = await Promise.all(Array.from({length: nodes}, async (_, index) => startVm(store, index, folder)));
-	await Promise.all(vms.map(async ({node}) => node.waitReady()));
+	await Promise.all(vms.map(async ({node}) => node.waitUntilReady()));
 	return {
 		store,
 		vms,
--- a/soak/soak-node.ts
+++ b/soak/soak-node.ts
@@ -20,44 +20,44 @@
 
 export type SoakNode = {
 	readonly name: string;
-	readonly place: NodePlace;
-	readonly callers: string;
-	readonly announcements: string;
-	readonly gossip: string;
+	readonly parameters: NodePlace;
+	readonly callerAddress: string;
+	readonly announcementAddress: string;
+	readonly gossipAddress: string;
 	readonly logFile: string;
 	readonly lifetimes: readonly Lifetime[];
 	readonly isReady: () => Promise<boolean>;
 	/** Waits until it is ready, or has ended for good. */
-	readonly waitReady: () => Promise<boolean>;
+	readonly waitUntilReady: () => Promise<boolean>;
 	readonly pause: (forMs: number) => Promise<void>;
 	/** SIGKILL, and a new process after some time; waits until that is ready. */
-	readonly kill: (downMs: number) => Promise<void>;
+	readonly killAndRestart: (downMs: number) => Promise<void>;
 	/** SIGTERM, SIGKILL when the grace period is over, and a new process after some time; waits until that is ready. */
-	readonly stop: (downMs: number) => Promise<void>;
-	readonly hangUp: (times: number, isUnreadable: boolean) => Promise<void>;
+	readonly stopAndRestart: (downMs: number) => Promise<void>;
+	readonly reloadSettings: (times: number, isUnreadable: boolean) => Promise<void>;
 	/** Ends it for good. */
 	readonly close: () => Promise<void>;
 };
 
-type Run = {
+type ProcessRun = {
 	readonly child: ChildProcess;
 	readonly startedAt: number;
 	readonly ended: Promise<void>;
 	askedAt: number | undefined;
 	isKilled: boolean;
 	/** It was paused between SIGTERM and its end. */
-	isHeld: boolean;
+	wasPausedWhileStopping: boolean;
 	/** It has taken over its signals: before, nothing that it does could. */
 	wasReady: boolean;
-	pauses: number;
+	pauseCount: number;
 };
 
 /** A node that is not ready by then is not waited for. Milliseconds. */
-const readyMs = 20_000;
-const readyPollMs = 100;
+const readyTimeoutMs = 20_000;
+const readyPollIntervalMs = 100;
 
 /** Milliseconds between two signals in a row. */
-const signalPauseMs = 30;
+const signalIntervalMs = 30;
 
 const children = new Set<ChildProcess>();
 
@@ -71,21 +71,21 @@
 /**
  * Starts a node.
  *
- * @param place - Where it stands.
+ * @param parameters - Where it stands.
  * @param folder - Where its settings and its log go.
  * @returns The node.
  */
-export function startSoakNode(place: NodePlace, folder: string): SoakNode {
-	const {name} = place;
+export function startSoakNode(parameters: NodePlace, folder: string): SoakNode {
+	const {name} = parameters;
 	const settingsFile = path.join(folder, `${name}.settings`);
 	const logFile = path.join(folder, `${name}.log`);
-	const readiness = createReadinessAddress(place.host);
+	const readiness = createReadinessAddress(parameters.host);
 	const log = openSync(logFile, 'a');
 	const lifetimes: Lifetime[] = [];
-	let run: Run | undefined;
+	let currentRun: ProcessRun | undefined;
 	let isClosed = false;
 
-	const noteEnd = (index: number, {startedAt, askedAt, isKilled, isHeld, wasReady}: Run, code: number | undefined, signal: string | undefined): void => {
+	const recordEnd = (index: number, {startedAt, askedAt, isKilled, wasPausedWhileStopping, wasReady}: ProcessRun, code: number | undefined, signal: string | undefined): void => {
 		const at = Date.now();
 		const end: Lifetime['end'] = isKilled
 			? {type: 'killed', at}
@@ -94,7 +94,7 @@
 					type: 'unasked', code, signal, at,
 				}
 				: {
-					type: 'stopped', code, signal, at, askedAt, wasHeld: isHeld, wasReady,
+					type: 'stopped', code, signal, at, askedAt, wasHeld: wasPausedWhileStopping, wasReady,
 				});
 		lifetimes[index] = {node: name, startedAt, end};
 	};
@@ -104,11 +104,11 @@
 	};
 
 	const start = (): void => {
-		if (isClosed || run !== undefined) {
+		if (isClosed || currentRun !== undefined) {
 			return;
 		}
 
-		writeSettings(fillSettings(place));
+		writeSettings(fillSettings(parameters));
 		const child = spawn(process.execPath, [...readProgramOptions(), findProgram('apps/sidecar/main.js'), settingsFile], {stdio: ['ignore', log, log]});
 		children.add(child);
 		const index = lifetimes.length;
@@ -116,110 +116,110 @@
 		lifetimes.push({node: name, startedAt, end: {type: 'running'}});
 		const ended = new Promise<void>(resolve => {
 			child.once('exit', (code, signal) => {
-				noteEnd(index, own, code ?? undefined, signal ?? undefined);
-				run = undefined;
+				recordEnd(index, run, code ?? undefined, signal ?? undefined);
+				currentRun = undefined;
 				children.delete(child);
 				resolve();
-				if (!own.isKilled && own.askedAt === undefined) {
+				if (!run.isKilled && run.askedAt === undefined) {
 					start();
 				}
 			});
 		});
-		const own: Run = {
-			child, startedAt, ended, askedAt: undefined, isKilled: false, isHeld: false, wasReady: false, pauses: 0,
+		const run: ProcessRun = {
+			child, startedAt, ended, askedAt: undefined, isKilled: false, wasPausedWhileStopping: false, wasReady: false, pauseCount: 0,
 		};
-		run = own;
+		currentRun = run;
 	};
 
 	const isReady = async (): Promise<boolean> => askReadiness(readiness);
-	const waitReady = async (): Promise<boolean> => waitUntil(async () => {
-		const own = run;
-		if (own === undefined || !(await isReady())) {
+	const waitUntilReady = async (): Promise<boolean> => waitUntil(async () => {
+		const run = currentRun;
+		if (run === undefined || !(await isReady())) {
 			return isClosed;
 		}
 
-		own.wasReady = true;
+		run.wasReady = true;
 		return true;
-	}, readyMs, readyPollMs);
+	}, readyTimeoutMs, readyPollIntervalMs);
 
-	const startAgain = async (downMs: number): Promise<void> => {
+	const startAfterDelay = async (downMs: number): Promise<void> => {
 		await sleep(downMs);
 		start();
-		await waitReady();
+		await waitUntilReady();
 	};
 
 	start();
-	const {callers, announcements, gossip} = createListenAddresses(place.host);
+	const {callers, announcements, gossip} = createListenAddresses(parameters.host);
 	return {
 		name,
-		place,
-		callers,
-		announcements,
-		gossip,
+		parameters,
+		callerAddress: callers,
+		announcementAddress: announcements,
+		gossipAddress: gossip,
 		logFile,
 		lifetimes,
 		isReady,
-		waitReady,
+		waitUntilReady,
 		async pause(forMs) {
-			const own = run;
-			if (own === undefined) {
+			const run = currentRun;
+			if (run === undefined) {
 				return;
 			}
 
-			own.isHeld ||= own.askedAt !== undefined;
-			own.pauses++;
-			own.child.kill('SIGSTOP');
+			run.wasPausedWhileStopping ||= run.askedAt !== undefined;
+			run.pauseCount++;
+			run.child.kill('SIGSTOP');
 			await sleep(forMs);
-			own.pauses--;
-			if (own.pauses === 0) {
-				own.child.kill('SIGCONT');
+			run.pauseCount--;
+			if (run.pauseCount === 0) {
+				run.child.kill('SIGCONT');
 			}
 		},
-		async kill(downMs) {
-			const own = run;
-			if (own === undefined) {
+		async killAndRestart(downMs) {
+			const run = currentRun;
+			if (run === undefined) {
 				return;
 			}
 
-			own.isKilled = true;
-			own.child.kill('SIGKILL');
-			await own.ended;
-			await startAgain(downMs);
+			run.isKilled = true;
+			run.child.kill('SIGKILL');
+			await run.ended;
+			await startAfterDelay(downMs);
 		},
-		async stop(downMs) {
-			const own = run;
-			if (own === undefined || own.askedAt !== undefined) {
+		async stopAndRestart(downMs) {
+			const run = currentRun;
+			if (run === undefined || run.askedAt !== undefined) {
 				return;
 			}
 
-			own.askedAt = Date.now();
-			own.isHeld ||= own.pauses > 0;
-			own.child.kill('SIGTERM');
+			run.askedAt = Date.now();
+			run.wasPausedWhileStopping ||= run.pauseCount > 0;
+			run.child.kill('SIGTERM');
 			const timer = setTimeout(() => {
-				own.child.kill('SIGKILL');
-			}, place.graceMs);
-			await own.ended;
+				run.child.kill('SIGKILL');
+			}, parameters.graceMs);
+			await run.ended;
 			clearTimeout(timer);
-			await startAgain(downMs);
+			await startAfterDelay(downMs);
 		},
-		async hangUp(times, isUnreadable) {
-			const own = run;
-			for (let sent = 0; sent < times && own?.wasReady && run === own; sent++) {
-				writeSettings(isUnreadable ? '{"node":' : fillSettings({...place, retrySlack: place.retrySlack + sent}));
-				own.child.kill('SIGHUP');
-				await sleep(signalPauseMs);
+		async reloadSettings(times, isUnreadable) {
+			const run = currentRun;
+			for (let sent = 0; sent < times && run?.wasReady && currentRun === run; sent++) {
+				writeSettings(isUnreadable ? '{"node":' : fillSettings({...parameters, retrySlack: parameters.retrySlack + sent}));
+				run.child.kill('SIGHUP');
+				await sleep(signalIntervalMs);
 			}
 
 			// A process that starts later needs a file that it can read.
-			writeSettings(fillSettings(place));
+			writeSettings(fillSettings(parameters));
 		},
 		async close() {
 			isClosed = true;
-			const own = run;
-			if (own !== undefined) {
-				own.isKilled = true;
-				own.child.kill('SIGKILL');
-				await own.ended;
+			const run = currentRun;
+			if (run !== undefined) {
+				run.isKilled = true;
+				run.child.kill('SIGKILL');
+				await run.ended;
 			}
 		},
 	};
--- a/soak/soak-server.ts
+++ b/soak/soak-server.ts
@@ -21,18 +21,18 @@
 	readonly drain: (saysDraining: boolean, downMs: number) => Promise<void>;
 	readonly slowDown: (workMs: number, forMs: number) => Promise<void>;
 	readonly misbehave: (behaviours: readonly WireBehaviour[]) => void;
-	readonly lie: (forMs: number) => Promise<void>;
+	readonly claimExtraSlots: (forMs: number) => Promise<void>;
 	readonly delayHeartbeats: (delayMs: number, forMs: number) => Promise<void>;
-	readonly keepSilent: (forMs: number) => Promise<void>;
-	readonly harmLink: (mode: LinkMode, forMs: number) => Promise<void>;
+	readonly stopHeartbeats: (forMs: number) => Promise<void>;
+	readonly setLinkMode: (mode: LinkMode, forMs: number) => Promise<void>;
 	readonly close: () => Promise<void>;
 };
 
 /** One start of the server. */
-type Incarnation = {
+type ServerLifetime = {
 	readonly id: string;
-	readonly born: number;
-	readonly wire: WireServer;
+	readonly startedAt: number;
+	readonly server: WireServer;
 	drainAckedAt: number | undefined;
 	isDraining: boolean;
 	/** It withdrew, and says nothing more. */
@@ -47,17 +47,17 @@
 const claimedSlots = 32;
 
 /** Milliseconds of work for a request when the server is well. */
-const usualWorkMs = 20;
+const defaultWorkMs = 20;
 
 /** Milliseconds between two heartbeats. */
-const heartbeatMs = 1000;
+const heartbeatIntervalMs = 1000;
 
 /** For how long a server goes on serving after its draining was acknowledged. Milliseconds. */
-const drainMs = 2500;
+const drainPeriodMs = 2500;
 
 /** How long a server tries to have its draining acknowledged, and how long it waits for requests at work at its end. Milliseconds. */
-const patienceMs = 5000;
-const pollMs = 50;
+const drainTimeoutMs = 5000;
+const pollIntervalMs = 50;
 
 /** For how long a server says that it stays slow after its start. Milliseconds. */
 const coldMs = 0;
@@ -70,68 +70,68 @@
  * @returns The server.
  */
 export async function startSoakServer(node: SoakNode, service: Service): Promise<SoakServer> {
-	const address = `${node.place.host}:7011`;
+	const address = `${node.parameters.host}:7011`;
 	const link = await startLinkProxy(address);
-	const incarnations: Incarnation[] = [];
-	let current: Incarnation | undefined;
-	let names = 0;
-	let isLying = false;
-	let isSilent = false;
-	let lateMs = 0;
+	const lifetimes: ServerLifetime[] = [];
+	let current: ServerLifetime | undefined;
+	let lastIdNumber = 0;
+	let isClaimingExtraSlots = false;
+	let areHeartbeatsStopped = false;
+	let heartbeatDelayMs = 0;
 	let isClosed = false;
 
 	const createNextId = (): string => {
-		names++;
-		return `i-${node.name}-${names}`;
+		lastIdNumber++;
+		return `i-${node.name}-${lastIdNumber}`;
 	};
 
-	const describe = ({id, born}: Incarnation): string => `${id}@${born}`;
+	const formatLifetimeId = ({id, startedAt}: ServerLifetime): string => `${id}@${startedAt}`;
 
-	const announce = async (own: Incarnation): Promise<boolean> => {
-		own.sequence++;
+	const sendAnnouncement = async (lifetime: ServerLifetime): Promise<boolean> => {
+		lifetime.sequence++;
 		const heartbeat = {
-			id: own.id, born: own.born, address, service, failureDomain: node.place.failureDomain, slots: isLying ? claimedSlots : slots,
-			isDraining: own.isDraining, sequence: own.sequence, coldMs,
+			id: lifetime.id, born: lifetime.startedAt, address, service, failureDomain: node.parameters.failureDomain, slots: isClaimingExtraSlots ? claimedSlots : slots,
+			isDraining: lifetime.isDraining, sequence: lifetime.sequence, coldMs,
 		};
-		await sleep(lateMs);
-		const isAcknowledged = await sendHeartbeat(node.announcements, heartbeat);
+		await sleep(heartbeatDelayMs);
+		const isAcknowledged = await sendHeartbeat(node.announcementAddress, heartbeat);
 		if (isAcknowledged && heartbeat.isDraining) {
-			own.drainAckedAt ??= Date.now();
+			lifetime.drainAckedAt ??= Date.now();
 		}
 
 		return isAcknowledged;
 	};
 
 	/** Heartbeats do not wait for one another: late ones may overtake. */
-	const announceOften = async (own: Incarnation): Promise<void> => {
-		while (current === own && !own.hasLeft && !isClosed) {
-			if (!isSilent) {
-				void announce(own);
+	const announcePeriodically = async (lifetime: ServerLifetime): Promise<void> => {
+		while (current === lifetime && !lifetime.hasLeft && !isClosed) {
+			if (!areHeartbeatsStopped) {
+				void sendAnnouncement(lifetime);
 			}
 
-			await sleep(heartbeatMs);
+			await sleep(heartbeatIntervalMs);
 		}
 	};
 
 	const start = async (id: string): Promise<void> => {
-		const wire = await startWireServer(id);
-		wire.setWorkMs(usualWorkMs);
-		wire.setSlots(slots);
+		const server = await startWireServer(id);
+		server.setWorkMs(defaultWorkMs);
+		server.setSlots(slots);
 		current = {
-			id, born: Date.now(), wire, drainAckedAt: undefined, isDraining: false, hasLeft: false, sequence: 0,
+			id, startedAt: Date.now(), server, drainAckedAt: undefined, isDraining: false, hasLeft: false, sequence: 0,
 		};
-		incarnations.push(current);
-		link.setTarget(wire.address);
-		void announceOften(current);
+		lifetimes.push(current);
+		link.setTarget(server.address);
+		void announcePeriodically(current);
 	};
 
-	const end = async (own: Incarnation): Promise<void> => {
+	const stopServer = async (lifetime: ServerLifetime): Promise<void> => {
 		current = undefined;
 		link.setTarget(undefined);
-		await own.wire.close();
+		await lifetime.server.close();
 	};
 
-	const startAgain = async (id: string, downMs: number): Promise<void> => {
+	const startAfterDelay = async (id: string, downMs: number): Promise<void> => {
 		await sleep(downMs);
 		if (!isClosed) {
 			await start(id);
@@ -139,24 +139,24 @@
 	};
 
 	/** Repeats a word until the node has acknowledged it. */
-	const retry = async (say: () => Promise<boolean>): Promise<void> => {
-		const due = Date.now() + patienceMs;
-		while (Date.now() < due && !(await say())) {
-			await sleep(pollMs);
+	const retryUntilAcknowledged = async (send: () => Promise<boolean>): Promise<void> => {
+		const deadlineAt = Date.now() + drainTimeoutMs;
+		while (Date.now() < deadlineAt && !(await send())) {
+			await sleep(pollIntervalMs);
 		}
 	};
 
-	const leave = async (own: Incarnation): Promise<boolean> => {
-		own.hasLeft = true;
-		const isAcknowledged = await sendLeave(node.announcements, own.id);
+	const announceLeave = async (lifetime: ServerLifetime): Promise<boolean> => {
+		lifetime.hasLeft = true;
+		const isAcknowledged = await sendLeave(node.announcementAddress, lifetime.id);
 		if (isAcknowledged) {
-			own.drainAckedAt ??= Date.now();
+			lifetime.drainAckedAt ??= Date.now();
 		}
 
 		return isAcknowledged;
 	};
 
-	const changeFor = async (forMs: number, change: (isOn: boolean) => void): Promise<void> => {
+	const changeTemporarily = async (forMs: number, change: (isOn: boolean) => void): Promise<void> => {
 		change(true);
 		await sleep(forMs);
 		change(false);
@@ -164,75 +164,75 @@
 
 	await start(createNextId());
 	return {
-		listRuns: () => incarnations.flatMap(own => own.wire.runs.map(run => ({
-			...run, server: describe(own), service, node: node.name,
+		listRuns: () => lifetimes.flatMap(lifetime => lifetime.server.runs.map(run => ({
+			...run, server: formatLifetimeId(lifetime), service, node: node.name,
 		}))),
-		listDrains: () => incarnations.flatMap(own => own.drainAckedAt === undefined ? [] : [{server: describe(own), node: node.name, ackedAt: own.drainAckedAt}]),
-		countRunsSince: at => current?.wire.runs.filter(run => run.at >= at).length ?? 0,
+		listDrains: () => lifetimes.flatMap(lifetime => lifetime.drainAckedAt === undefined ? [] : [{server: formatLifetimeId(lifetime), node: node.name, ackedAt: lifetime.drainAckedAt}]),
+		countRunsSince: at => current?.server.runs.filter(run => run.at >= at).length ?? 0,
 		async crash(downMs, keepsId) {
-			const own = current;
+			const lifetime = current;
 			// A server whose leaving was said does not come back as itself.
-			if (own === undefined || own.isDraining || own.hasLeft) {
+			if (lifetime === undefined || lifetime.isDraining || lifetime.hasLeft) {
 				return;
 			}
 
-			await end(own);
-			await startAgain(keepsId ? own.id : createNextId(), downMs);
+			await stopServer(lifetime);
+			await startAfterDelay(keepsId ? lifetime.id : createNextId(), downMs);
 		},
 		async drain(saysDraining, downMs) {
-			const own = current;
-			if (own === undefined || own.isDraining || own.hasLeft) {
+			const lifetime = current;
+			if (lifetime === undefined || lifetime.isDraining || lifetime.hasLeft) {
 				return;
 			}
 
-			own.isDraining = saysDraining;
-			await retry(async () => saysDraining ? announce(own) : leave(own));
-			await sleep(drainMs);
+			lifetime.isDraining = saysDraining;
+			await retryUntilAcknowledged(async () => saysDraining ? sendAnnouncement(lifetime) : announceLeave(lifetime));
+			await sleep(drainPeriodMs);
 			if (saysDraining) {
-				await leave(own);
+				await announceLeave(lifetime);
 			}
 
-			const due = Date.now() + patienceMs;
-			while (own.wire.countAtWork() > 0 && Date.now() < due) {
-				await sleep(pollMs);
+			const deadlineAt = Date.now() + drainTimeoutMs;
+			while (lifetime.server.countAtWork() > 0 && Date.now() < deadlineAt) {
+				await sleep(pollIntervalMs);
 			}
 
-			await end(own);
-			await startAgain(createNextId(), downMs);
+			await stopServer(lifetime);
+			await startAfterDelay(createNextId(), downMs);
 		},
 		async slowDown(workMs, forMs) {
-			const own = current;
-			await changeFor(forMs, isOn => {
-				own?.wire.setWorkMs(isOn ? workMs : usualWorkMs);
+			const lifetime = current;
+			await changeTemporarily(forMs, isOn => {
+				lifetime?.server.setWorkMs(isOn ? workMs : defaultWorkMs);
 			});
 		},
 		misbehave(behaviours) {
-			current?.wire.plan(...behaviours);
+			current?.server.plan(...behaviours);
 		},
-		async lie(forMs) {
-			await changeFor(forMs, isOn => {
-				isLying = isOn;
+		async claimExtraSlots(forMs) {
+			await changeTemporarily(forMs, isOn => {
+				isClaimingExtraSlots = isOn;
 			});
 		},
 		async delayHeartbeats(delayMs, forMs) {
-			await changeFor(forMs, isOn => {
-				lateMs = isOn ? delayMs : 0;
+			await changeTemporarily(forMs, isOn => {
+				heartbeatDelayMs = isOn ? delayMs : 0;
 			});
 		},
-		async keepSilent(forMs) {
-			await changeFor(forMs, isOn => {
-				isSilent = isOn;
+		async stopHeartbeats(forMs) {
+			await changeTemporarily(forMs, isOn => {
+				areHeartbeatsStopped = isOn;
 			});
 		},
-		async harmLink(mode, forMs) {
-			await changeFor(forMs, isOn => {
+		async setLinkMode(mode, forMs) {
+			await changeTemporarily(forMs, isOn => {
 				link.setMode(isOn ? mode : 'pass');
 			});
 		},
 		async close() {
 			isClosed = true;
 			if (current !== undefined) {
-				await end(current);
+				await stopServer(current);
 			}
 
 			await link.close();
