--- a/scripts/check-boundary.ts
+++ b/scripts/check-boundary.ts
@@ -1,6 +1,6 @@
 /**
- * Holds the platform's names to its adapter: nothing but `platform/`, `deploy/`
- * and the stand-ins for the platform's own programs may know them.
+ * Checks that the names of the platform's interface occur only in its adapter
+ * `platform/`, in `deploy/` and in the stand-ins for the platform's programs.
  *
  * @module
  */
@@ -10,7 +10,7 @@
 
 const roots: readonly string[] = ['src', 'apps', 'demo', 'bench', 'scenarios', 'soak'];
 
-/** Names that only the platform uses: headers, paths, keys and fields of its calls. */
+/** Names of the platform's interface: headers, paths, keys and fields of its messages. */
 const platformNames: readonly RegExp[] = [
 	/stonemoor-(attempt-id|deadline-ms|response-signature|expected-instance|caller-service|not-executed|instance-id|server-load)/i,
 	/\/v1\/(kv|rpc|ready)/,
@@ -39,7 +39,7 @@
 function listPlatformNames(path: string): readonly string[] {
 	return readFileSync(path, 'utf8').split('\n').flatMap((line, index) => {
 		const name = platformNames.find(pattern => pattern.test(line));
-		return name === undefined ? [] : [`${path}:${index + 1}: a name of the platform outside platform/: ${line.trim()}`];
+		return name === undefined ? [] : [`${path}:${index + 1}: name of the platform's interface used outside platform/: ${line.trim()}`];
 	});
 }
 
--- a/scripts/check-names.ts
+++ b/scripts/check-names.ts
@@ -1,5 +1,6 @@
 /**
- * Holds the code to docs/STYLE.md: functions begin with a verb of its list.
+ * Checks that the name of each function begins with a verb of the list in
+ * docs/STYLE.md.
  *
  * @module
  */
@@ -48,7 +49,7 @@
 		const verb = /^[a-z]+/.exec(name?.text ?? '')?.[0];
 		if (name !== undefined && (verb === undefined || !verbs.has(verb))) {
 			const {line} = source.getLineAndCharacterOfPosition(name.getStart());
-			bad.push(`${path}:${line + 1}: ${name.text} does not begin with a verb of docs/STYLE.md`);
+			bad.push(`${path}:${line + 1}: function ${name.text} does not begin with a verb of the list in docs/STYLE.md`);
 		}
 
 		ts.forEachChild(node, visit);
--- a/scripts/prove-tests.ts
+++ b/scripts/prove-tests.ts
@@ -1,9 +1,9 @@
 /**
- * `npm run prove`: takes away, one at a time, what each promise rests on, and
- * checks that a test notices. A fault that no test notices ends it with code 1.
+ * `npm run prove`: plants the faults of `faults.ts` one at a time in the compiled
+ * code, and checks that the tests fail. Exits with code 1 if they pass with a fault.
  *
- * It works on a copy of the build; nothing of the project is changed. Words after
- * `npm run prove --` choose the promises that contain one of them.
+ * It works on a copy of the build and does not change the project. Words after
+ * `npm run prove --` select the faults whose promise contains one of them.
  *
  * @module
  */
@@ -16,9 +16,10 @@
 
 const faultyBuildFolder = 'dist-faulty';
 
-/** A fault may make its tests run for ever; that is noticed as well. Milliseconds: some ten times what the slowest tests take. */
+/** Tests that a fault makes hang are stopped and count as failed. The limit is about ten times the duration of the slowest tests. */
 const testTimeoutMs = 120_000;
 
+/** Returns whether the tests of a folder pass on the copy of the build. */
 async function runTests(folder: string): Promise<boolean> {
 	const child = spawn(process.execPath, ['--test', `${faultyBuildFolder}/${folder}`], {stdio: 'ignore', timeout: testTimeoutMs, killSignal: 'SIGKILL'});
 	return new Promise(resolve => {
@@ -28,11 +29,12 @@
 	});
 }
 
+/** Plants a fault, runs its tests, and removes it. Returns whether the tests failed. */
 async function checkFaultIsNoticed(fault: Fault): Promise<boolean> {
 	const path = `${faultyBuildFolder}/${fault.file}`;
 	const original = readFileSync(path, 'utf8');
 	if (!original.includes(fault.from)) {
-		process.stdout.write(`not found  ${fault.promise}: ${fault.file} has changed; correct the list\n`);
+		process.stdout.write(`not found  ${fault.promise}: ${fault.file} does not contain the line to replace; correct its entry in scripts/faults.ts\n`);
 		return false;
 	}
 
--- a/soak/apply-fault.ts
+++ b/soak/apply-fault.ts
@@ -1,5 +1,5 @@
 /**
- * Brings a planned fault about, and says what it disturbs.
+ * Applies planned faults, and determines which part of the mesh each disturbs.
  *
  * @module
  */
@@ -14,18 +14,20 @@
 import {type DisturbedPart} from './record.js';
 import {type SoakMesh, type SoakVm} from './soak-mesh.js';
 
-/** What a fault disturbs. */
+/** The part of the mesh that a fault disturbs. `node` is the disturbed node, or the node beside the disturbed server. */
 export type FaultScope = {readonly part: DisturbedPart; readonly node: string | undefined; readonly isPlanned: boolean};
 
-/** Milliseconds that a slow store takes for each call. */
+/** Latency of each call to a slow store. */
 const slowStoreLatencyMs = 700;
 
-/** Where nodes keep their entries. */
+/** Prefix of the keys of node entries in the store. */
 const nodeEntryPrefix = 'stonemoor/nodes/';
 
 /**
- * @param fault - A fault.
- * @returns What it disturbs; `undefined` if it must not disturb anything.
+ * Returns what a fault disturbs.
+ *
+ * @param fault - The fault.
+ * @returns Its scope; `undefined` if the fault must have no effect on requests.
  */
 export function getFaultScope(fault: FaultAction): FaultScope | undefined {
 	const createScope = (part: DisturbedPart, isPlanned = false): FaultScope => ({part, node: 'node' in fault ? `n${fault.node}` : undefined, isPlanned});
@@ -91,7 +93,7 @@
 	const latestConfig = store.getConfig();
 	store.restore(backup);
 	store.setFault('none');
-	// What the operator had written is written again.
+	// Rewrites the latest configuration, as an operator does after a restore.
 	if (latestConfig !== undefined && latestConfig !== store.getConfig()) {
 		store.putConfig(latestConfig);
 	}
@@ -131,9 +133,9 @@
 };
 
 /**
- * Brings a fault about, and waits until it is over.
+ * Applies a fault, and waits until it is over.
  *
- * @param mesh - Where.
+ * @param mesh - The mesh.
  * @param fault - The fault.
  */
 
--- a/soak/callers.ts
+++ b/soak/callers.ts
@@ -1,6 +1,6 @@
 /**
- * Callers of a soak. They keep using their open connections until the process
- * is gone, whatever it says of itself, and write down what they saw.
+ * Callers of a soak. They use their open connections until the process of the
+ * node has ended, even while it is draining, and record each response.
  *
  * @module
  */
@@ -12,41 +12,46 @@
 import {type CallRecord} from './record.js';
 import {getRoutePrefix, steadyRoutes, type SoakRoute} from './soak-config.js';
 
-/** Where and for how long callers send. */
+/** Settings of the callers beside one node. */
 export type CallerSettings = {
 	readonly node: string;
-	/** Where the node takes requests. */
+	/** Address at which the node accepts requests of callers. */
 	readonly address: string;
+	/** Seed of their random choices. */
 	readonly seed: number;
-	/** Index of the newest configuration that has been written. */
+	/** Returns the index of the newest configuration in the store. */
 	readonly getNewestConfigIndex: () => number;
+	/** Called with each request when it has ended. */
 	readonly handleCall: (call: CallRecord) => void;
 };
 
 export type Callers = {
+	/** Stops sending, and waits for the requests in flight. */
 	readonly stop: () => Promise<void>;
 };
 
-/** Callers beside each node; the last one opens a connection for each request. */
+/** The last caller of each node opens a connection for each request; the others reuse theirs. */
 const callersPerNode = 4;
 
-/** The longest time between two requests of a caller. Milliseconds. */
+/** Maximum pause between two requests of a caller. */
 const maxThinkTimeMs = 300;
 
-/** How long callers wait. Milliseconds. */
+/** Timeouts that callers give their requests. */
 const callerTimeoutsMs = [800, 1500, 2500] as const;
 
-/** Milliseconds beyond its own time at which a caller leaves in any case. */
+/** How long after its timeout a caller disconnects at the latest. */
 const disconnectMarginMs = 500;
 
-/** Of so many requests one is given up early, and one asks which configuration is in force. */
+/** One of this many requests is cancelled early by a disconnect of the caller. */
 const earlyDisconnectOneIn = 25;
+
+/** One of this many requests uses a route that depends on the configuration in force. */
 const configProbeOneIn = 4;
 
-/** Of the configurations so many back are asked for. */
+/** How many configurations such requests choose from: the next one, which is not written yet, and the latest before it. */
 const probedConfigCount = 4;
 
-/** Bytes of large bodies. */
+/** Size of the body of an upload. */
 const uploadBytes = 60_000;
 
 type PickInteger = (below: number) => number;
@@ -61,9 +66,9 @@
 }
 
 /**
- * Starts callers beside a node.
+ * Starts the callers of one node.
  *
- * @param settings - Where and for how long they send.
+ * @param settings - Their settings.
  * @returns The callers.
  */
 export function startCallers(settings: CallerSettings): Callers {
--- a/soak/checks/check-answers.ts
+++ b/soak/checks/check-answers.ts
@@ -1,5 +1,5 @@
 /**
- * Checks that callers get whole answers to their own requests.
+ * Checks that callers get complete responses to their own requests.
  *
  * @module
  */
@@ -8,31 +8,34 @@
 	groupBy, type CallRecord, type RunRecord, type SoakRecord, type Violation,
 } from '../record.js';
 
-/** How a server that answers with success treats a request. */
+/** Behaviours with which a backend server sends a success. */
 const successBehaviours: ReadonlySet<WireBehaviour> = new Set(['answer', 'extra', 'unframed', 'early']);
 
+/** Status of the signed response of the behaviour `fail`. */
 const failBehaviourStatus = 500;
 
-/** What is wrong with a success; `undefined` if nothing is. */
+/** Returns what is wrong with a success; `undefined` if nothing is. */
 function findProblem(call: CallRecord, runs: readonly RunRecord[]): string | undefined {
 	if (call.echoedId !== call.id) {
-		return `it answers ${call.echoedId ?? 'no request'}`;
+		return `it belongs to ${call.echoedId ?? 'no request'}`;
 	}
 
 	if (call.text !== `page ${call.target} ${call.body}`) {
-		return `its body is not the server's: ${call.text.length} bytes, beginning with "${call.text.slice(0, 60)}"`;
+		return `its body differs from the server's: ${call.text.length} characters, beginning with "${call.text.slice(0, 60)}"`;
 	}
 
 	if (call.signature !== `sig.${call.id}.${call.text.length}`) {
 		return `its signature is ${call.signature ?? 'missing'}`;
 	}
 
-	return runs.some(({behaviour}) => successBehaviours.has(behaviour)) ? undefined : 'no server answered it with success';
+	return runs.some(({behaviour}) => successBehaviours.has(behaviour)) ? undefined : 'no backend server sent a success';
 }
 
 /**
- * @param record - What was seen.
- * @returns Successes that are not the whole answer to the request, and failures that bear a server's signature and are not its own.
+ * Finds responses that no backend server sent.
+ *
+ * @param record - What was observed.
+ * @returns Successes that are not the complete response to the request, and failures with a signature that no backend server sent.
  */
 export function checkAnswers({calls, runs}: SoakRecord): readonly Violation[] {
 	const runsByCall = groupBy(runs, ({id}) => id);
@@ -43,7 +46,7 @@
 			return problem === undefined
 				? []
 				: [{
-					promise: 'whole answers', what: `${call.id} was answered ${call.status}, but ${problem}`, at: call.endedAt, call: call.id,
+					promise: 'whole answers', what: `${call.id} got a response with status ${call.status}, but ${problem}`, at: call.endedAt, call: call.id,
 				}];
 		}
 
@@ -51,7 +54,7 @@
 		return isAllowed
 			? []
 			: [{
-				promise: 'whole answers', what: `${call.id} was answered ${call.status} with a signature of no such failure`, at: call.endedAt, call: call.id,
+				promise: 'whole answers', what: `${call.id} got a signed response with status ${call.status}, which no backend server sent`, at: call.endedAt, call: call.id,
 			}];
 	});
 }
--- a/soak/checks/check-losses.ts
+++ b/soak/checks/check-losses.ts
@@ -1,6 +1,6 @@
 /**
- * Checks that a request which a calm server has begun to work on is answered,
- * also while nodes stop in good order.
+ * Checks that callers get a response to each request that an undisturbed backend
+ * server executed, also while nodes shut down gracefully.
  *
  * @module
  */
@@ -9,10 +9,10 @@
 } from '../record.js';
 import {routeTimeoutMs} from '../soak-config.js';
 
-/** Trouble this long before a request may have harmed it. Milliseconds. */
+/** A disturbance this long before a request may still have affected it. */
 const marginMs = 5000;
 
-/** The part of its time that a request may use before its end counts as being out of time. */
+/** Share of its time limit. A request that failed after a larger share may have timed out. */
 const maxUsedTimeShare = 0.7;
 
 const isLost = ({status, signature}: CallRecord): boolean => status === 0 || ((status === 502 || status === 504) && signature === undefined);
@@ -22,8 +22,10 @@
 }
 
 /**
- * @param record - What was seen.
- * @returns Requests that calm servers ran and whose callers got no answer.
+ * Finds lost responses.
+ *
+ * @param record - What was observed.
+ * @returns Requests that undisturbed backend servers executed and whose callers got no response from them.
  */
 export function checkLosses(record: SoakRecord): readonly Violation[] {
 	const runsByCall = groupBy(record.runs, ({id}) => id);
@@ -42,7 +44,7 @@
 		const elapsedMs = call.endedAt - call.sentAt;
 		return [{
 			promise: isStopping ? 'a graceful stop cuts nothing' : 'what calm servers run is answered', at: call.endedAt, call: call.id,
-			what: `${call.id} on ${call.node} ran at ${runs.map(({server}) => server).join(', ')} and got ${call.status === 0 ? 'no answer' : call.status} after ${elapsedMs} ms`,
+			what: `${call.id} on ${call.node} was executed by ${runs.map(({server}) => server).join(', ')} and got ${call.status === 0 ? 'no response' : call.status} after ${elapsedMs} ms`,
 		}];
 	});
 }
--- a/soak/checks/check-processes.ts
+++ b/soak/checks/check-processes.ts
@@ -1,12 +1,12 @@
 /**
- * Checks that processes live until they are asked to end, end well, and that
- * the mesh recovers.
+ * Checks that processes end only after a signal, that they exit with code 0 after
+ * SIGTERM, and that the mesh recovers.
  *
  * @module
  */
 import {type Lifetime, type SoakRecord, type Violation} from '../record.js';
 
-/** What is wrong with how a process ended; `undefined` if nothing is. */
+/** Returns what is wrong with how a process ended; `undefined` if nothing is. */
 function findProblem({end}: Lifetime): string | undefined {
 	switch (end.type) {
 		case 'running':
@@ -15,7 +15,7 @@
 		}
 
 		case 'unasked': {
-			return `ended by itself, with ${end.signal ?? `code ${end.code ?? 'unknown'}`}`;
+			return `ended without a signal from the soak, with ${end.signal ?? `code ${end.code ?? 'unknown'}`}`;
 		}
 
 		case 'stopped': {
@@ -26,8 +26,10 @@
 }
 
 /**
- * @param record - What was seen.
- * @returns Processes that ended by themselves, or badly after SIGTERM.
+ * Finds processes that ended wrongly.
+ *
+ * @param record - What was observed.
+ * @returns Processes that ended without a signal from the soak, or with an error after SIGTERM.
  */
 export function checkProcesses({lifetimes}: SoakRecord): readonly Violation[] {
 	return lifetimes.flatMap(lifetime => {
@@ -37,18 +39,20 @@
 	});
 }
 
-/** From the last fault on, the mesh has this long to recover. Milliseconds. */
+/** Time that the mesh has to recover, counted from the end of the last fault. */
 export const maxRecoveryMs = 8000;
 
-/** The part of requests that each node serves afterwards. */
+/** Minimum share of its requests that each node serves after the recovery time. */
 const minServedShare = 0.25;
 
-/** Routes that were added later or dropped are asked for in vain on purpose; they tell nothing here. */
+/** Excludes 404: callers use routes on purpose that are not added yet or already removed. */
 const isCounted = (status: number): boolean => status !== 404;
 
 /**
- * @param record - What was seen.
- * @returns Nodes that are not ready at the end, or serve little.
+ * Finds nodes that did not recover.
+ *
+ * @param record - What was observed.
+ * @returns Nodes that are not ready at the end, or serve too few requests.
  */
 export function checkRecovery({calls, ending}: SoakRecord): readonly Violation[] {
 	if (ending === undefined) {
--- a/soak/checks/check-runs.ts
+++ b/soak/checks/check-runs.ts
@@ -1,5 +1,6 @@
 /**
- * Checks what backend servers ran against what callers sent and were promised.
+ * Checks the requests that backend servers executed against the requests that
+ * callers sent and the responses that they got.
  *
  * @module
  */
@@ -8,32 +9,32 @@
 } from '../record.js';
 import {getRunLimit, getRouteService} from '../soak-config.js';
 
-/** Statuses that promise that a request has not run and never will. */
+/** Statuses of responses which state that the request was not executed and never will be. */
 const notRunStatuses: ReadonlySet<number> = new Set([408, 421, 429, 503]);
 
-/** By how much a server may be given more time than the caller waits. Milliseconds. */
+/** By how much the time limit that a server receives may exceed that of the caller. */
 const deadlineToleranceMs = 500;
 
-/** What is wrong with a run of a request that was sent; `undefined` if nothing is. */
+/** Returns what is wrong with an execution of a request; `undefined` if nothing is. */
 function findProblem(call: CallRecord, run: RunRecord, callerService: string, newest: number): string | undefined {
 	if (run.method !== call.method || run.target !== call.target) {
-		return `it ran as ${run.method} ${run.target}`;
+		return `it was executed as ${run.method} ${run.target}`;
 	}
 
 	if (run.behaviour !== 'early' && run.body !== call.body) {
-		return 'its body was changed';
+		return 'its body differs from what the caller sent';
 	}
 
 	if (run.callerService !== callerService) {
-		return `the server was told that ${run.callerService} calls`;
+		return `the server received ${run.callerService} as the service of the caller`;
 	}
 
 	if (!(run.leftMs <= call.timeLeftMs + deadlineToleranceMs)) {
-		return `the server was given ${run.leftMs} ms of ${call.timeLeftMs}`;
+		return `the server received a time limit of ${run.leftMs} ms, the caller set ${call.timeLeftMs}`;
 	}
 
 	const isAllowed = Array.from({length: newest + 1}, (_, index) => getRouteService(call.route, index)).includes(run.service as never);
-	return isAllowed ? undefined : `no configuration lets ${run.service} run it`;
+	return isAllowed ? undefined : `no configuration routes it to ${run.service}`;
 }
 
 function checkCall(call: CallRecord, runs: readonly RunRecord[], callerService: string, newest: number): readonly Violation[] {
@@ -53,21 +54,23 @@
 
 	const limit = getRunLimit(call.route);
 	if (runs.length > limit) {
-		add(limit === 1 ? 'at most once' : 'no more attempts than allowed', `ran ${runs.length} times, ${limit} allowed, at ${runs.map(({server}) => server).join(', ')}`);
+		add(limit === 1 ? 'at most once' : 'no more attempts than allowed', `was executed ${runs.length} times, ${limit} allowed, by ${runs.map(({server}) => server).join(', ')}`);
 	}
 
 	const isSafe = call.method === 'GET';
 	if (!isSafe && notRunStatuses.has(call.status) && runs.length > 0) {
-		add('not run can be trusted', `was answered ${call.status}, and ran at ${runs.map(({server, at}) => `${server} ${at - call.sentAt} ms after it was sent`).join(', ')}`);
+		add('not run can be trusted', `got status ${call.status}, but was executed by ${runs.map(({server, at}) => `${server} ${at - call.sentAt} ms after it was sent`).join(', ')}`);
 	}
 
 	return violations;
 }
 
 /**
- * @param record - What was seen.
- * @param getCallerService - The service of the server beside a node.
- * @returns Runs that should not have been.
+ * Finds executions that differ from the request, are too many, or contradict the response.
+ *
+ * @param record - What was observed.
+ * @param getCallerService - Returns the service of the backend server beside a node.
+ * @returns The violations.
  */
 export function checkRuns({calls, runs, changes}: SoakRecord, getCallerService: (node: string) => string): readonly Violation[] {
 	const newest = Math.max(0, ...changes.map(({index}) => index));
@@ -76,10 +79,11 @@
 }
 
 /**
- * Whole only when every request has ended.
+ * Finds executions of requests that no caller sent. Callers record a request when it ends, so this is checked only after
+ * all have ended.
  *
- * @param record - What was seen.
- * @returns Runs of requests that no caller sent.
+ * @param record - What was observed.
+ * @returns The violations; none while the soak runs.
  */
 export function checkUnsentRequests({calls, runs, ending}: SoakRecord): readonly Violation[] {
 	if (ending === undefined) {
@@ -87,15 +91,17 @@
 	}
 
 	const sent = new Set(calls.map(({id}) => id));
-	return runs.filter(({id}) => !sent.has(id)).map(({id, server, target, at}) => ({promise: 'only what was sent', what: `${server} ran ${target} with the id "${id}", which nobody sent`, at}));
+	return runs.filter(({id}) => !sent.has(id)).map(({id, server, target, at}) => ({promise: 'only what was sent', what: `${server} executed ${target} with the unknown id "${id}"`, at}));
 }
 
-/** From its acknowledgement on, work may still reach a server that drains for this long. Milliseconds: requests on their way. */
+/** How long after the acknowledgement of its draining requests may still arrive at a server: they were already on their way. */
 const drainToleranceMs = 1000;
 
 /**
- * @param record - What was seen.
- * @returns Requests that reached a server long after its draining was acknowledged.
+ * Finds requests to draining servers.
+ *
+ * @param record - What was observed.
+ * @returns Requests that arrived at a backend server too long after its draining was acknowledged.
  */
 export function checkDrains({runs, drains}: SoakRecord): readonly Violation[] {
 	const ackedAt = new Map(drains.map(drain => [drain.server, drain.ackedAt]));
@@ -103,7 +109,7 @@
 		const lateMs = at - (ackedAt.get(server) ?? Infinity);
 		return lateMs > drainToleranceMs
 			? [{
-				promise: 'a leaving server gets no new work', what: `${id} reached ${server} ${lateMs} ms after its leaving was acknowledged`, at, call: id,
+				promise: 'a leaving server gets no new work', what: `${id} arrived at ${server} ${lateMs} ms after its draining or leave was acknowledged`, at, call: id,
 			}]
 			: [];
 	});
--- a/soak/checks/check-versions.ts
+++ b/soak/checks/check-versions.ts
@@ -1,6 +1,6 @@
 /**
- * Checks from how requests were handled which configurations can have been in
- * force, and that nodes neither fall back nor lag.
+ * Infers from the handling of requests which configurations can have been in
+ * force, and checks that nodes neither roll back nor lag behind.
  *
  * @module
  */
@@ -9,22 +9,23 @@
 } from '../record.js';
 import {getRouteService} from '../soak-config.js';
 
-/** Configurations, by index, that handle a request as it was handled. */
+/** The lowest and highest index of the configurations that handle a request as it was handled. */
 type ConfigRange = {readonly call: CallRecord; readonly lowest: number; readonly highest: number};
 
-/** A calm node has had no disturbance for this long. Milliseconds. */
+/** How long a node has to be without disturbances to count as undisturbed. */
 const marginMs = 5000;
 
 const notFound = 404;
 
+/** Returns the indexes of the configurations that were written until a time. */
 function listWrittenConfigs(changes: readonly ChangeRecord[], until: number): readonly number[] {
 	return changes.filter(({writtenAt}) => writtenAt <= until).map(({index}) => index);
 }
 
-/** What a request shows; `undefined` if it was neither run nor found without a route. */
+/** Returns the configurations that a request may have been handled by; `undefined` if it was neither executed once nor answered with 404. */
 function computeConfigRange(call: CallRecord, runs: readonly RunRecord[], changes: readonly ChangeRecord[]): ConfigRange | undefined {
 	const isMissing = call.status === notFound;
-	// A request that ran twice may have been sent by one configuration and the next.
+	// The attempts of a request that was executed twice may have used two different configurations.
 	const service = runs.length === 1 ? runs[0]?.service : undefined;
 	if (!isMissing && service === undefined) {
 		return undefined;
@@ -38,7 +39,7 @@
 	return lifetimes.findLast(({node, startedAt}) => node === call.node && startedAt <= call.endedAt);
 }
 
-/** Requests that a node handled by an older configuration than one that it had in force before they were sent. */
+/** Returns the requests that a node handled by an older configuration than an earlier request. */
 function listRollbacks(ranges: readonly ConfigRange[]): readonly Violation[] {
 	const inOrder = ranges.toSorted((left, right) => left.call.sentAt - right.call.sentAt);
 	return inOrder.flatMap(({call, highest}) => {
@@ -47,14 +48,14 @@
 			? []
 			: [{
 				promise: 'a version never falls', at: call.endedAt, call: call.id,
-				what: `${call.id} on ${call.node} was handled by configuration ${highest} at the newest, after ${newer.call.id} by ${newer.lowest} at the oldest`,
+				what: `${call.id} on ${call.node} was handled by configuration ${highest} or older, after ${newer.call.id} was handled by ${newer.lowest} or newer`,
 			}];
 	});
 }
 
-/** What a check of configurations needs to know beside the record. */
+/** Settings of the check of configurations. */
 export type VersionCheckSettings = {
-	/** Milliseconds from the store's acknowledgement until a configuration has to be in force at calm nodes. */
+	/** Time from the write of a configuration until it has to be in force at undisturbed nodes. */
 	readonly applyMs: number;
 };
 
@@ -68,21 +69,23 @@
 	return isCalm
 		? [{
 			promise: 'in force in time', at: call.endedAt, call: call.id,
-			what: `${call.id} on the calm node ${call.node} was handled by configuration ${highest} at the newest, though ${due} was written ${applyMs} ms before`,
+			what: `${call.id} on the undisturbed node ${call.node} was handled by configuration ${highest} or older, though ${due} had been written at least ${applyMs} ms before`,
 		}]
 		: [];
 }
 
 /**
- * @param record - What was seen.
- * @param bounds - How long a change may take.
- * @returns Requests that were handled by the wrong configuration.
+ * Finds requests that were handled by a wrong configuration.
+ *
+ * @param record - What was observed.
+ * @param bounds - The time limit.
+ * @returns Requests that were handled by no configuration, by an older one than before, or by an outdated one.
  */
 export function checkVersions(record: SoakRecord, bounds: VersionCheckSettings): readonly Violation[] {
 	const runsByCall = groupBy(record.runs, ({id}) => id);
 	const ranges = record.calls.flatMap(call => computeConfigRange(call, runsByCall.get(call.id) ?? [], record.changes) ?? []);
 	const impossible = ranges.filter(({lowest}) => lowest === Infinity).map(({call}) => ({
-		promise: 'handled by a configuration', at: call.endedAt, call: call.id, what: `${call.id} on ${call.node} was answered ${call.status}, as no configuration allows`,
+		promise: 'handled by a configuration', at: call.endedAt, call: call.id, what: `${call.id} on ${call.node} got status ${call.status}, but no written configuration handles it this way`,
 	}));
 	const possible = ranges.filter(({lowest}) => lowest !== Infinity);
 	const lifetimes = groupBy(possible, ({call}) => findLifetime(record.lifetimes, call));
--- a/soak/checks/find-violations.test.ts
+++ b/soak/checks/find-violations.test.ts
@@ -1,6 +1,6 @@
 /**
- * Each check is fed with a record that holds one fault, and has to name it; a
- * sound record names nothing.
+ * Gives each check a record with one violation, which it has to report, and
+ * records without a violation, for which it has to report nothing.
  */
 import assert from 'node:assert/strict';
 import test from 'node:test';
@@ -56,21 +56,21 @@
 	part: 'node', node: 'n0', what: 'pause', isPlanned: false, from: start - 1000, to: start - 500,
 };
 
-test('a sound record names nothing', () => {
+test('reports nothing for a record without violations', () => {
 	assert.deepEqual(listBroken(createRecord([createCall(), createPublication({id: 'n0-2', target: '/publish/n0-2'})])), []);
 });
 
 const flawed: ReadonlyArray<readonly [string, Partial<CallRecord>]> = [
-	['another request', {echoedId: 'n0-7'}], ['half of the body', {text: 'page /lo'}], ['no signature', {signature: undefined}], ['a signature of a failure', {status: 502}],
+	['the id of another request', {echoedId: 'n0-7'}], ['half of the body', {text: 'page /lo'}], ['no signature', {signature: undefined}], ['a status that the server did not send', {status: 502}],
 ];
 
 for (const [name, changes] of flawed) {
-	test(`an answer with ${name} is named`, () => {
+	test(`reports a response with ${name}`, () => {
 		assert.deepEqual(listBroken(createRecord([createCall(changes)])), ['whole answers']);
 	});
 }
 
-test('a success that no server gave is named', () => {
+test('reports a success that no backend server sent', () => {
 	const call = createCall();
 	assert.deepEqual(listBroken(createRecord([call], {runs: [createRun(call, {behaviour: 'truncate'})]})), ['whole answers']);
 });
@@ -78,19 +78,19 @@
 const changedRuns: ReadonlyArray<Partial<RunRecord>> = [{target: '/logs/2'}, {method: 'PUT'}, {body: 'other'}, {callerService: 'hall'}, {leftMs: 2500}, {leftMs: Number.NaN}, {service: 'hall'}];
 
 for (const changes of changedRuns) {
-	test(`a run with another ${Object.keys(changes).join(',')} (${Object.values(changes).join(',')}) is named`, () => {
+	test(`reports an execution with a different ${Object.keys(changes).join(',')} (${Object.values(changes).join(',')})`, () => {
 		const call = createCall();
 		assert.ok(listBroken(createRecord([call], {runs: [createRun(call, changes)]})).includes('only what was sent'));
 	});
 }
 
-test('a run that nobody asked for is named at the end', () => {
+test('reports an execution of a request that no caller sent, at the end of the soak', () => {
 	const call = createCall();
 	const ending = {lastFaultAt: 0, ready: new Map([['n0', true]])};
 	assert.deepEqual(listBroken(createRecord([call], {runs: [createRun(call), createRun(call, {id: 'n0-9'})], ending})), ['only what was sent']);
 });
 
-test('an unsafe request that runs twice is named, and a safe one that runs too often', () => {
+test('reports an unsafe request that was executed twice, and a safe one that was executed more often than allowed', () => {
 	const unsafe = createPublication();
 	assert.deepEqual(listBroken(createRecord([unsafe], {runs: [createRun(unsafe), createRun(unsafe)]})), ['at most once']);
 	const safe = createCall();
@@ -99,19 +99,19 @@
 });
 
 for (const status of [408, 421, 429, 503]) {
-	test(`an unsafe request that was answered ${status} and ran, even later, is named`, () => {
+	test(`reports an unsafe request that got status ${status} and was executed, even if later`, () => {
 		const call = createPublication({...refused, status});
 		assert.deepEqual(listBroken(createRecord([call], {runs: [createRun(call, {at: call.endedAt + 3000})]})), ['not run can be trusted']);
 		assert.deepEqual(listBroken(createRecord([call], {runs: []})), []);
 	});
 }
 
-test('work that reaches a leaving server long after its acknowledgement is named', () => {
+test('reports a request that arrives at a leaving server too long after the acknowledgement', () => {
 	assert.deepEqual(listBroken(createRecord([createCall()], {drains: [{server: 'i-1@1', node: 'n1', ackedAt: start - 1500}]})), ['a leaving server gets no new work']);
 	assert.deepEqual(listBroken(createRecord([createCall()], {drains: [{server: 'i-1@1', node: 'n1', ackedAt: start - 500}]})), []);
 });
 
-/** Requests on the route that the second configuration adds. */
+/** Requests on the route that the second configuration adds: one found the route, the later one did not. */
 const since = {type: 'since', index: 1} as const;
 const withSince = createCall({route: since, target: '/since-1/n0-1'});
 const withoutSince = createCall({
@@ -119,26 +119,26 @@
 });
 const changes = [{index: 0, writtenAt: 0}, {index: 1, writtenAt: start - 100}] as const;
 
-test('a version that falls within a lifetime is named, and not across a restart', () => {
+test('reports a rollback within one lifetime of a process, but not across a restart', () => {
 	const record = createRecord([withSince, withoutSince], {runs: [createRun(withSince)], changes});
 	assert.deepEqual(listBroken(record), ['a version never falls']);
 	const restarted: readonly Lifetime[] = [...record.lifetimes, {node: 'n0', startedAt: start + 50, end: {type: 'running'}}];
 	assert.deepEqual(listBroken({...record, lifetimes: restarted}), []);
 });
 
-test('a configuration that is not in force in time on a calm node is named', () => {
+test('reports a configuration that is not in force in time at an undisturbed node', () => {
 	const late = {...withoutSince, sentAt: start + 9000, endedAt: start + 9030};
 	const record = createRecord([late], {runs: [], changes});
 	assert.deepEqual(listBroken(record), ['in force in time']);
 	assert.deepEqual(listBroken({...record, disturbances: [{...pausedNode, to: start + 1000}]}), []);
 });
 
-test('a request that is refused though every configuration allows it, and one that is served before any does, are named', () => {
+test('reports a request that got 404 though every configuration has its route, and one that was executed before any has', () => {
 	assert.deepEqual(listBroken(createRecord([createCall({...lost, status: 404})], {runs: []})), ['handled by a configuration']);
 	assert.ok(listBroken(createRecord([withSince])).includes('handled by a configuration'));
 });
 
-test('a request that a calm server ran and nobody answered is named, beside SIGTERM as cut by it', () => {
+test('reports an executed request without a response, and during SIGTERM as a fault of the graceful stop', () => {
 	const record = createRecord([createPublication(lost)]);
 	assert.deepEqual(listBroken(record), ['what calm servers run is answered']);
 	const stop: Disturbance = {...pausedNode, what: 'stop', isPlanned: true};
@@ -169,12 +169,12 @@
 ];
 
 for (const [end, isBroken] of ends) {
-	test(`a process that ended as ${JSON.stringify(end)} is ${isBroken ? 'named' : 'sound'}`, () => {
+	test(`${isBroken ? 'reports' : 'accepts'} a process that ended as ${JSON.stringify(end)}`, () => {
 		assert.deepEqual(listBroken(createRecord([], {lifetimes: [{node: 'n0', startedAt: 0, end}]})), isBroken ? ['processes do not end by themselves'] : []);
 	});
 }
 
-test('a mesh that does not recover is named: not ready, or ready and serving little', () => {
+test('reports a node that does not recover: not ready, or ready with too few requests served', () => {
 	const ending = {lastFaultAt: start - 20_000, ready: new Map([['n0', true]])};
 	assert.deepEqual(listBroken(createRecord([createCall()], {ending})), []);
 	assert.deepEqual(listBroken(createRecord([createCall()], {ending: {...ending, ready: new Map([['n0', false]])}})), ['the mesh recovers']);
--- a/soak/checks/find-violations.ts
+++ b/soak/checks/find-violations.ts
@@ -1,5 +1,5 @@
 /**
- * Every check of a soak.
+ * Runs all checks of a soak.
  *
  * @module
  */
@@ -10,16 +10,18 @@
 import {checkDrains, checkRuns, checkUnsentRequests} from './check-runs.js';
 import {checkVersions, type VersionCheckSettings} from './check-versions.js';
 
-/** What checks need to know beside the record. */
+/** Settings of the checks. */
 export type CheckSettings = VersionCheckSettings & {
-	/** The service of the server beside a node. */
+	/** Returns the service of the backend server beside a node. */
 	readonly getNodeService: (node: string) => string;
 };
 
 /**
- * @param record - What was seen.
- * @param settings - What the checks need beside it.
- * @returns Promises that were broken, in order of time.
+ * Finds all violations.
+ *
+ * @param record - What was observed.
+ * @param settings - Settings of the checks.
+ * @returns The violations, in order of time.
  */
 export function findViolations(record: SoakRecord, settings: CheckSettings): readonly Violation[] {
 	return [
--- a/soak/link-proxy.test.ts
+++ b/soak/link-proxy.test.ts
@@ -21,7 +21,7 @@
 	return {server, proxy, call: async () => sendCall(address, '/logs/1', {disconnectAfterMs: 5000})};
 }
 
-test('a sound link passes everything on; one that resets or turns away reaches nobody', async context => {
+test('forwards everything in mode "pass", and nothing with "reset", "turn-away" or without a target', async context => {
 	const {server, proxy, call} = await startLink(context);
 	assert.equal((await call()).body, 'page /logs/1 ');
 	proxy.setMode('reset');
@@ -37,7 +37,7 @@
 const cuts: ReadonlyArray<readonly [LinkMode, number]> = [['cut-to-server', 0], ['cut-to-client', 1], ['silence', 0]];
 
 for (const [mode, runs] of cuts) {
-	test(`a link with "${mode}" holds back what goes that way until it ends`, async context => {
+	test(`in mode "${mode}", the bytes in that direction arrive when the mode ends`, async context => {
 		const {server, proxy, call} = await startLink(context);
 		proxy.setMode(mode);
 		const answer = call();
@@ -48,7 +48,7 @@
 	});
 }
 
-/** Whether a connection ends with a reset; one that reaches this program as an ordinary end shows in a write. */
+/** Returns whether a connection ends with a reset. A reset that is reported as an ordinary end is detected by a write that fails. */
 async function isEndedByReset(): Promise<boolean> {
 	const [host, port] = address.split(':');
 	const socket = connect({host, port: Number(port), allowHalfOpen: true});
@@ -67,7 +67,7 @@
 	});
 }
 
-test('a reset right behind the last bytes stays a reset, and an ordinary end an end', async context => {
+test('forwards a reset directly after the last bytes as a reset, and an ordinary end as an end', async context => {
 	const {server} = await startLink(context);
 	for (let sent = 0; sent < 20; sent++) {
 		server.plan('unframed-cut', 'unframed');
--- a/soak/link-proxy.ts
+++ b/soak/link-proxy.ts
@@ -1,7 +1,7 @@
 /**
- * A TCP proxy on the loopback address that harms what passes through it. What
- * a cut holds back arrives when the cut ends, as on a network that loses
- * packets for a while.
+ * A TCP proxy on the loopback address that injects network faults. Bytes that are
+ * blocked in one direction arrive when the fault ends, as on a network that loses
+ * packets for a while and retransmits them.
  *
  * @module
  */
@@ -10,38 +10,41 @@
 import {parseAddress} from '../src/lib/common/address.js';
 import {toAddress} from '../src/lib/common/ids.js';
 
-/** What a link does. */
+/** How the link treats connections and bytes. */
 export type LinkMode =
 	| 'pass'
+	/** Delays bytes in both directions. */
 	| 'delay'
-	/** Resets every connection, new ones too. */
+	/** Resets all connections, also new ones. */
 	| 'reset'
+	/** Blocks bytes in one direction. */
 	| 'cut-to-server'
 	| 'cut-to-client'
+	/** Blocks bytes in both directions. */
 	| 'silence'
-	/** Answers every request itself with 503. */
+	/** Answers every request with 503 and does not forward it. */
 	| 'turn-away';
 
 export type LinkProxy = {
 	readonly setMode: (mode: LinkMode) => void;
-	/** Where it leads; `undefined` if nobody is there. */
+	/** Sets the address that new connections lead to; with `undefined` they are reset. */
 	readonly setTarget: (address: string | undefined) => void;
 	readonly close: () => Promise<void>;
 };
 
 type Direction = 'to-server' | 'to-client';
 
-/** Milliseconds that a slow link holds what passes, each way. */
+/** Latency that `delay` adds in each direction. */
 const delayMs = 150;
 
-/** Between two looks at whether a cut has ended. Milliseconds. */
+/** Interval of checks whether a direction is still blocked. */
 const cutPollIntervalMs = 10;
 
 const serviceUnavailableResponse = 'HTTP/1.1 503 Service Unavailable\r\nContent-Length: 2\r\nContent-Type: application/json\r\n\r\n{}';
 
 const isBlocked = (mode: LinkMode, direction: Direction): boolean => mode === 'silence' || mode === `cut-${direction}`;
 
-/** A reset of a socket that is being shut down would leave its handle open for ever: Node.js gives it up without closing it. */
+/** Resets a socket, or destroys one that is being shut down: Node.js never closes the handle of such a socket after a reset. */
 function resetSocket(socket: Socket): void {
 	if (socket.writableEnded) {
 		socket.destroy();
@@ -50,9 +53,10 @@
 	}
 }
 
-/** An empty line before a request, which servers pass over. */
+/** An empty line before a request, which HTTP servers ignore. */
 const probe = '\r\n';
 
+/** Returns whether the peer has reset a connection, by whether a write fails. */
 async function checkForReset(socket: Socket): Promise<boolean> {
 	return new Promise(resolve => {
 		socket.write(probe, error => {
@@ -64,8 +68,8 @@
 /**
  * Starts a proxy.
  *
- * @param address - Where it listens.
- * @param firstTarget - Where it leads.
+ * @param address - The address it listens on.
+ * @param firstTarget - The address it forwards to; `undefined` to reset all connections.
  * @returns The proxy.
  */
 export async function startLinkProxy(address: string, firstTarget?: string): Promise<LinkProxy> {
@@ -88,7 +92,7 @@
 		}
 	};
 
-	/** Passes on one direction, in order. */
+	/** Forwards the bytes, the end and the close of one direction in their order. */
 	const forward = (from: Socket, to: Socket, direction: Direction): void => {
 		let lastAction = Promise.resolve();
 		const queueAction = (action: () => void | Promise<void>): void => {
@@ -120,7 +124,7 @@
 			});
 		});
 		from.once('end', () => {
-			// A reset right behind the last bytes reaches this program as an ordinary end; only a write tells the two apart.
+			// A reset directly after the last bytes is reported as an ordinary end; only a write fails after a reset and not after an end.
 			const isReset = direction === 'to-client' && !from.writableEnded && !from.destroyed ? checkForReset(from) : Promise.resolve(false);
 			queueAction(async () => {
 				if (await isReset) {
--- a/soak/main.ts
+++ b/soak/main.ts
@@ -1,7 +1,7 @@
 #!/usr/bin/env node
 /**
- * `npm run soak -- --seed N --seconds S --nodes K`: plays a soak, prints a
- * summary, and ends with code 1 if a promise was broken.
+ * `npm run soak -- --seed N --seconds S --nodes K`: runs a soak, prints a summary,
+ * and exits with code 1 if a promise was broken.
  *
  * @module
  */
@@ -17,21 +17,21 @@
 import {formatExplanations, formatSummary} from './report.js';
 import {runSoak} from './run-soak.js';
 
-/** Milliseconds until a change has to be in force at calm nodes, unless said otherwise. */
+/** Default of `--apply`: time within which a configuration has to be in force at undisturbed nodes. */
 const defaultApplyMs = 4000;
 
 const options = await yargs(hideBin(process.argv))
 	.scriptName('soak')
-	.option('seed', {type: 'number', default: 1, describe: 'repeats a plan'})
-	.option('seconds', {type: 'number', default: 40, describe: 'how long, with the quiet time at the start and the end'})
-	.option('nodes', {type: 'number', default: 8, describe: 'how many nodes, each a process'})
-	.option('apply', {type: 'number', default: defaultApplyMs, describe: 'milliseconds until a change has to be in force'})
-	.option('out', {type: 'string', describe: 'folder for the plan, settings, logs and stories; without it, a temporary one that is kept if a promise was broken'})
+	.option('seed', {type: 'number', default: 1, describe: 'seed of the plan; the same seed gives the same plan'})
+	.option('seconds', {type: 'number', default: 40, describe: 'duration in seconds, including the fault-free times at the start and the end'})
+	.option('nodes', {type: 'number', default: 8, describe: 'number of nodes, each a process'})
+	.option('apply', {type: 'number', default: defaultApplyMs, describe: 'milliseconds within which a configuration has to be in force at undisturbed nodes'})
+	.option('out', {type: 'string', describe: 'folder for the plan, settings, logs and explanations; default: a temporary folder, kept only if a promise was broken'})
 	.strict()
 	.help()
 	.parse();
 
-/** Characters of a text that the record keeps: what is wrong shows in the violation. */
+/** Maximum length of a text in `record.json`. The violations state what is wrong with longer ones. */
 const maxTextCharacters = 200;
 
 const truncateText = (_key: string, value: unknown): unknown => typeof value === 'string' ? value.slice(0, maxTextCharacters) : value;
@@ -62,10 +62,10 @@
 }
 
 if (isBroken || options.out !== undefined) {
-	process.stdout.write(`plan, logs and stories: ${folder}\n`);
+	process.stdout.write(`plan, logs and explanations: ${folder}\n`);
 } else {
 	rmSync(folder, {recursive: true});
 }
 
-// Callers that left may still hold connections open.
+// Connections of callers that disconnected may still be open.
 process.exit(isBroken ? 1 : 0);
--- a/soak/plan.ts
+++ b/soak/plan.ts
@@ -1,6 +1,6 @@
 /**
- * The plan of a soak: which fault begins when, and for how long. The seed alone
- * repeats it.
+ * The plan of a soak: which fault begins when, and for how long. It is generated
+ * from the seed, so the same parameters always give the same plan.
  *
  * @module
  */
@@ -9,11 +9,11 @@
 import {type LinkMode} from './link-proxy.js';
 import {maxConfigChanges} from './soak-config.js';
 
-/** How the store treats everybody. */
+/** How the store treats the calls of all nodes while a fault lasts. */
 const storeFaultModes = ['busy', 'many', 'reset', 'silent', 'lost', 'slow', 'deaf'] as const;
 export type StoreFaultMode = typeof storeFaultModes[number];
 
-/** What happens to the store at once. */
+/** Faults of the store that happen at one moment. */
 const storeEvents = ['leases-end', 'history-forgotten', 'watches-muted'] as const;
 export type StoreEvent = typeof storeEvents[number];
 
@@ -23,28 +23,29 @@
 	'lose', 'truncate', 'foreign', 'extra', 'unframed', 'unframed-reset', 'unframed-cut', 'shed', 'fail', 'unsigned', 'garbage', 'hang',
 ];
 
-/** What goes wrong. `node` is an index; so is it for faults of the backend server beside that node. */
+/** A fault. `node` is the index of a node; for faults of a backend server, of the node beside it. */
 export type FaultAction =
 	| {readonly type: 'pause'; readonly node: number; readonly forMs: number}
 	| {readonly type: 'kill'; readonly node: number; readonly forMs: number}
 	| {readonly type: 'stop'; readonly node: number; readonly forMs: number}
-	/** SIGHUP several times in a row; the file may have become unreadable before. */
+	/** SIGHUP several times in a row; the settings file may be malformed at that time. */
 	| {readonly type: 'hang-up'; readonly node: number; readonly times: number; readonly isUnreadable: boolean}
 	| {readonly type: 'store-link'; readonly node: number; readonly mode: Exclude<LinkMode, 'pass'>; readonly forMs: number}
 	| {readonly type: 'server-link'; readonly node: number; readonly mode: Exclude<LinkMode, 'pass' | 'turn-away'>; readonly forMs: number}
 	| {readonly type: 'store'; readonly trouble: StoreFaultMode; readonly forMs: number}
 	| {readonly type: 'store-event'; readonly event: StoreEvent}
-	/** The store goes away, and comes back from a copy of so many milliseconds before. */
+	/** The store is unavailable for `forMs`, then is restored from a backup taken `ageMs` before it became unavailable. */
 	| {readonly type: 'store-restored'; readonly ageMs: number; readonly forMs: number}
 	| {readonly type: 'server-crash'; readonly node: number; readonly times: number; readonly forMs: number; readonly keepsId: boolean}
 	| {readonly type: 'server-slow'; readonly node: number; readonly workMs: number; readonly forMs: number}
 	| {readonly type: 'server-misbehave'; readonly node: number; readonly behaviours: readonly WireBehaviour[]}
-	/** Says that it has more slots than it has. */
+	/** Announces more slots than the server has. */
 	| {readonly type: 'server-lie'; readonly node: number; readonly forMs: number}
-	/** Its heartbeats arrive late, or not at all. */
+	/** Heartbeats of the server arrive late. */
 	| {readonly type: 'server-late'; readonly node: number; readonly delayMs: number; readonly forMs: number}
+	/** The server sends no heartbeats. */
 	| {readonly type: 'server-silent'; readonly node: number; readonly forMs: number}
-	/** Leaves in good order; another one comes in its place. */
+	/** The server drains and leaves; a server with a new id replaces it. */
 	| {readonly type: 'server-drain'; readonly node: number; readonly saysDraining: boolean; readonly forMs: number}
 	| {readonly type: 'foreign-entry'; readonly value: number}
 	| {readonly type: 'foreign-heartbeat'; readonly node: number; readonly value: number}
@@ -57,29 +58,28 @@
 	readonly seconds: number;
 	readonly nodes: number;
 	readonly faults: readonly PlannedFault[];
-	/** When each new configuration is written. */
+	/** When each new configuration is written to the store, in milliseconds since the start. */
 	readonly changesAtMs: readonly number[];
 };
 
-/** What is played. */
+/** Parameters that determine a plan. */
 export type SoakParameters = {readonly seed: number; readonly seconds: number; readonly nodes: number};
 
-/** Milliseconds without faults: at the start until all know one another, at the end so that the mesh can recover. */
+/** Milliseconds without faults: at the start until all nodes have joined, at the end so that the mesh can recover. */
 export const faultFreeMs = {start: 3000, end: 12_000} as const;
 
-/** Faults a second, for each node. */
 const faultsPerNodePerSecond = 0.2;
 
 const changesPerSecond = 0.4;
 
-/** Returns of the store from a copy a second. */
+/** Restores of the store from a backup, per second. */
 const restoresPerSecond = 0.03;
 
-/** Faults last from this long to this long. Milliseconds. */
+/** Faults last between these times. */
 const shortestFaultMs = 200;
 const longestFaultMs = 5000;
 
-/** Other writers' values, see `listForeignValues`; the index wraps. */
+/** Exclusive upper bound of the index of an invalid value; an index beyond the list of these values wraps around. */
 const invalidValueIndexBound = 64;
 
 type RandomPicker = {
@@ -97,7 +97,7 @@
 	};
 }
 
-/** How often each kind of fault is drawn, against the others. */
+/** The relative frequency of each kind of fault, and the function that generates one. */
 const faultGenerators: ReadonlyArray<readonly [number, (picker: RandomPicker, node: number) => FaultAction]> = [
 	[5, (picker, node) => ({type: 'pause', node, forMs: picker.pickDurationMs()})],
 	[5, (picker, node) => ({type: 'kill', node, forMs: picker.pickDurationMs()})],
@@ -135,7 +135,7 @@
 
 const weightedGeneratorIndexes = faultGenerators.flatMap(([weight], index) => Array.from({length: weight}, () => index));
 
-/** Times of events that come at random, so often a second, within the time for faults. */
+/** Returns the times of a Poisson process with the given rate, in milliseconds, between the fault-free times. */
 function pickPoissonTimes(random: () => number, perSecond: number, untilMs: number): readonly number[] {
 	const pickIntervalMs = randomExponential.source(random)(perSecond / 1000);
 	const times: number[] = [];
@@ -147,11 +147,13 @@
 }
 
 /**
- * @param size - What is played.
- * @returns The plan, which the same size always repeats.
+ * Generates the plan of a soak.
+ *
+ * @param parameters - Seed, duration and number of nodes.
+ * @returns The plan; the same parameters always give the same plan.
  */
 export function planSoak({seed, seconds, nodes}: SoakParameters): SoakPlan {
-	// Seeds that follow one another give like first draws.
+	// The linear congruential generator gives similar first numbers for consecutive seeds, so the seed is spread out first.
 	const random = randomLcg(((seed * 2_654_435_761) % 4_294_967_296) / 4_294_967_296);
 	const picker = createRandomPicker(random);
 	const restoreRandom = randomLcg(((seed * 40_503) % 65_536) / 65_536);
@@ -161,7 +163,7 @@
 		const [, createFault] = faultGenerators[picker.pickOne(weightedGeneratorIndexes)]!;
 		return {...createFault(picker, picker.pickInteger(nodes)), atMs};
 	});
-	// Drawn apart, so that seeds go on playing what they played before there were such.
+	// Restores have a random generator of their own, so that the other faults of a seed do not depend on them.
 	const restores = pickPoissonTimes(restoreRandom, restoresPerSecond, untilMs).map((atMs): PlannedFault => ({
 		type: 'store-restored', ageMs: restorePicker.pickDurationMs(), forMs: Math.round(restorePicker.pickDurationMs() / 4), atMs,
 	}));
--- a/soak/record.ts
+++ b/soak/record.ts
@@ -1,13 +1,13 @@
 /**
- * What a soak has seen from outside the program: by callers, backend servers,
- * the store and the operating system. Checks look at nothing else.
+ * What a soak observes from outside the nodes: at callers, backend servers, the
+ * store and the operating system. Checks use nothing else.
  *
  * @module
  */
 import {type WireRun} from '../stand-ins/wire-server/wire-server.js';
 import {type SoakRoute} from './soak-config.js';
 
-/** One request as its caller saw it. Times are Unix milliseconds. */
+/** One request as its caller observed it. Times are Unix milliseconds. */
 export type CallRecord = {
 	readonly id: string;
 	readonly node: string;
@@ -18,68 +18,71 @@
 	readonly timeLeftMs: number;
 	readonly sentAt: number;
 	readonly endedAt: number;
-	/** 0 if the connection ended without a whole answer. */
+	/** HTTP status; 0 if the connection ended without a complete response. */
 	readonly status: number;
+	/** Body of the response. */
 	readonly text: string;
 	readonly signature: string | undefined;
+	/** Id of the request that the response belongs to, as the backend server states it. */
 	readonly echoedId: string | undefined;
-	/** The caller left before the answer. */
+	/** Whether the caller disconnected before the response. */
 	readonly hasLeft: boolean;
 };
 
-/** One run of a request, as the backend server saw it. */
+/** One execution of a request, as the backend server observed it. */
 export type RunRecord = WireRun & {
-	/** Id and start of the server. */
+	/** Id and start time of the server, as `id@time`. */
 	readonly server: string;
 	readonly service: string;
-	/** The node beside it. */
+	/** The node beside the server. */
 	readonly node: string;
 };
 
-/** A node acknowledged that a server drains or leaves. */
+/** The acknowledgement of a node that a server drains or leaves. */
 export type DrainRecord = {readonly server: string; readonly node: string; readonly ackedAt: number};
 
 /** How a process ended. */
 export type LifetimeEnd =
 	| {readonly type: 'running'}
-	/** After SIGTERM, with this code or by this signal. */
+	/** The process ended after SIGTERM, with this exit code or by this signal. */
 	| {
 		readonly type: 'stopped';
 		readonly code: number | undefined;
 		readonly signal: string | undefined;
 		readonly at: number;
 		readonly askedAt: number;
-		/** It was paused between SIGTERM and its end. */
+		/** Whether it was paused (SIGSTOP) between SIGTERM and its end. */
 		readonly wasHeld: boolean;
-		/** It had been ready: before, it has nothing to lose and may not have come to take over its signals. */
+		/** Whether it had been ready. Before that, it has no requests in flight and may not have installed its signal handlers. */
 		readonly wasReady: boolean;
 	}
 	| {readonly type: 'killed'; readonly at: number}
-	/** Nobody asked it to. */
+	/** The process ended without a signal from the soak. */
 	| {readonly type: 'unasked'; readonly code: number | undefined; readonly signal: string | undefined; readonly at: number};
 
-/** One run of a node's process. */
+/** One process of a node, from its start to its end. */
 export type Lifetime = {readonly node: string; readonly startedAt: number; readonly end: LifetimeEnd};
 
-/** A configuration that the store has acknowledged. Its index counts from 0. */
+/** A configuration that was written to the store. Indexes count from 0. */
 export type ChangeRecord = {readonly index: number; readonly writtenAt: number};
 
-/** What a disturbance harms. */
+/** The part of the mesh that a disturbance affects. */
 export type DisturbedPart = 'node' | 'store-link' | 'server' | 'store';
 
-/** A time during which something was not as it should be. */
+/** A period during which a fault was in effect. Times are Unix milliseconds. */
 export type Disturbance = {
 	readonly part: DisturbedPart;
-	/** The node that is disturbed, or beside the server that is; none for the store. */
+	/** The disturbed node, or the node beside the disturbed server; `undefined` for the store. */
 	readonly node: string | undefined;
+	/** Kind of the fault. */
 	readonly what: string;
-	/** Asked for in good order: SIGTERM or SIGHUP. */
+	/** Whether the fault is a regular operation: SIGTERM or SIGHUP. */
 	readonly isPlanned: boolean;
 	readonly from: number;
 	readonly to: number;
 };
 
-/** All that a soak has seen until now. */
+/** Everything that a soak has observed so far. */
 export type SoakRecord = {
 	readonly calls: readonly CallRecord[];
 	readonly runs: readonly RunRecord[];
@@ -87,34 +90,41 @@
 	readonly lifetimes: readonly Lifetime[];
 	readonly changes: readonly ChangeRecord[];
 	readonly disturbances: readonly Disturbance[];
-	/** Nodes that are ready at the end; none while it runs. */
+	/** Which nodes are ready at the end; `undefined` while the soak runs. */
 	readonly ending: {readonly lastFaultAt: number; readonly ready: ReadonlyMap<string, boolean>} | undefined;
 };
 
-/** A promise that was broken. */
+/** A broken promise: a guarantee of the mesh that an observation contradicts. */
 export type Violation = {
+	/** Name of the promise, as the summary prints it. */
 	readonly promise: string;
+	/** What was observed. */
 	readonly what: string;
+	/** Unix milliseconds. */
 	readonly at: number;
-	/** The request that shows it. */
+	/** Id of the request that shows it. */
 	readonly call?: string;
 };
 
 /**
- * @param record - What was seen.
+ * Returns whether a disturbance overlaps a period.
+ *
+ * @param record - What was observed.
  * @param from - Unix milliseconds.
  * @param to - Unix milliseconds.
- * @param matches - Which disturbances count.
- * @returns Whether one of them overlaps that time.
+ * @param matches - Selects the disturbances that count.
+ * @returns Whether one of them overlaps the period.
  */
 export function isDisturbed(record: SoakRecord, from: number, to: number, matches: (disturbance: Disturbance) => boolean): boolean {
 	return record.disturbances.some(disturbance => disturbance.from <= to && disturbance.to >= from && matches(disturbance));
 }
 
 /**
- * @param values - Any values.
- * @param getKey - What they are collected by.
- * @returns The values of each key, in order.
+ * Groups values by a key.
+ *
+ * @param values - The values.
+ * @param getKey - Returns the key of a value.
+ * @returns The values of each key, in their original order.
  */
 export function groupBy<Key, Value>(values: readonly Value[], getKey: (value: Value) => Key): ReadonlyMap<Key, readonly Value[]> {
 	const groups = new Map<Key, Value[]>();
--- a/soak/report.ts
+++ b/soak/report.ts
@@ -1,5 +1,5 @@
 /**
- * The summary of a soak, and the story of each request that shows a broken
+ * The summary of a soak, and the explanations of requests that show a broken
  * promise.
  *
  * @module
@@ -9,7 +9,7 @@
 import {groupBy, type SoakRecord} from './record.js';
 import {type SoakOutcome} from './run-soak.js';
 
-/** Requests whose story is told, of each promise: the first ones show the cause. */
+/** How many violations of each promise are explained; the first ones show the cause. */
 const maxExplanationsPerPromise = 3;
 
 function countBy<Value>(values: readonly Value[], getKey: (value: Value) => string): string {
@@ -20,10 +20,10 @@
 function formatCounts(record: SoakRecord): readonly string[] {
 	const answered = record.calls.filter(({hasLeft}) => !hasLeft);
 	return [
-		`requests: ${record.calls.length}, by status: ${countBy(answered, ({status}) => String(status))}; ${record.calls.length - answered.length} callers left`,
-		`runs: ${record.runs.length}, by behaviour of the server: ${countBy(record.runs, ({behaviour}) => behaviour)}`,
+		`requests: ${record.calls.length}, by status: ${countBy(answered, ({status}) => String(status))}; ${record.calls.length - answered.length} cancelled by the caller`,
+		`executions: ${record.runs.length}, by behaviour of the server: ${countBy(record.runs, ({behaviour}) => behaviour)}`,
 		`disturbances: ${countBy(record.disturbances, ({what}) => what)}`,
-		`processes: ${record.lifetimes.length}, by end: ${countBy(record.lifetimes, ({end}) => end.type)}; configurations: ${record.changes.length}; leaving acknowledged: ${record.drains.length}`,
+		`processes: ${record.lifetimes.length}, by end: ${countBy(record.lifetimes, ({end}) => end.type)}; configurations: ${record.changes.length}; acknowledged drains: ${record.drains.length}`,
 	];
 }
 
@@ -32,23 +32,27 @@
 }
 
 /**
- * @param outcome - What a soak ended with.
- * @returns The summary, one line each.
+ * Formats the summary of a soak.
+ *
+ * @param outcome - The result of the soak.
+ * @returns The lines of the summary.
  */
 export function formatSummary({plan, record, violations, idleServers}: SoakOutcome): readonly string[] {
 	const promises = [...groupBy(violations, ({promise}) => promise)];
 	return [
 		`seed ${plan.seed}, ${plan.seconds} s, ${plan.nodes} nodes, ${plan.faults.length} faults planned`,
 		...formatCounts(record),
-		...idleServers.length === 0 ? [] : [`no work at the end for the servers beside: ${idleServers.join(', ')}`],
+		...idleServers.length === 0 ? [] : [`backend servers without requests at the end, beside the nodes: ${idleServers.join(', ')}`],
 		...promises.map(([promise, group]) => `BROKEN  ${promise}: ${group.length} times, first: ${group[0]!.what}`),
 		promises.length === 0 ? 'every promise held' : `${promises.length} promises were broken`,
 	];
 }
 
 /**
- * @param outcome - What a soak ended with.
- * @returns The stories of requests that show what was broken, from the nodes' logs.
+ * Explains the first violations of each promise from the logs of the nodes.
+ *
+ * @param outcome - The result of the soak.
+ * @returns The lines of the explanations.
  */
 export function formatExplanations({violations, logFiles}: SoakOutcome): readonly string[] {
 	if (violations.length === 0) {
@@ -62,7 +66,7 @@
 		return [
 			'',
 			`${promise}: ${what} (at ${new Date(at).toISOString()})`,
-			...explanation === undefined ? ['  the logs do not speak of it'] : [...explanation.steps.map(step => `  ${step}`), `  Cause: ${explanation.cause}`],
+			...explanation === undefined ? ['  the logs contain no entry for this request'] : [...explanation.steps.map(step => `  ${step}`), `  Cause: ${explanation.cause}`],
 		];
 	});
 }
--- a/soak/run-soak.ts
+++ b/soak/run-soak.ts
@@ -1,5 +1,5 @@
 /**
- * Plays the plan of a soak and checks the promises while it runs.
+ * Runs the plan of a soak and checks the promises while it runs.
  *
  * @module
  */
@@ -15,33 +15,33 @@
 import {createSoakConfig} from './soak-config.js';
 import {startSoakMesh, type SoakMesh} from './soak-mesh.js';
 
-/** What a soak ends with. */
+/** The result of a soak. */
 export type SoakOutcome = {
 	readonly plan: SoakPlan;
 	readonly startedAt: number;
 	readonly record: SoakRecord;
 	readonly violations: readonly Violation[];
-	/** Servers that were given no work at the end; told and not judged. */
+	/** Nodes whose backend servers executed no requests at the end. Reported, but not a violation. */
 	readonly idleServers: readonly string[];
 	readonly logFiles: readonly string[];
 };
 
 export type SoakOptions = {
-	/** Where settings and logs go. */
+	/** The folder for settings and logs. */
 	readonly folder: string;
-	/** Milliseconds until a change has to be in force at calm nodes. */
+	/** Time within which a configuration has to be in force at undisturbed nodes. */
 	readonly applyMs: number;
-	/** Told of each broken promise when it is found. */
+	/** Called with the text of each violation when it is found. */
 	readonly reportViolation: (text: string) => void;
 };
 
-/** Between two looks at the promises while it runs. Milliseconds. */
+/** Interval of the checks while the soak runs. */
 const checkIntervalMs = 3000;
 
-/** How long callers go on after the time for recovery. Milliseconds: each service is asked for many times. */
+/** How long callers continue after the recovery time: long enough that each service gets many requests. */
 const postRecoveryMs = 4000;
 
-/** What is seen while it runs. */
+/** What the soak observes while it runs. */
 type Observations = {
 	readonly calls: CallRecord[];
 	readonly changes: ChangeRecord[];
@@ -49,12 +49,13 @@
 	lastFaultAt: number;
 };
 
+/** End of a disturbance that is not over. */
 const ongoing = Number.POSITIVE_INFINITY;
 
-/** Servers misbehave on requests that come after the fault was asked for. Milliseconds. */
+/** How long after `server-misbehave` a server counts as disturbed: it misbehaves on its next requests, which arrive later. */
 const misbehaviourWindowMs = 30_000;
 
-/** Writes a fault down as a disturbance while it lasts. */
+/** Applies a fault, and records it as a disturbance while it lasts. */
 async function recordDisturbance(observations: Observations, what: string, scope: FaultScope | undefined, apply: () => Promise<void>): Promise<void> {
 	if (scope === undefined) {
 		await apply();
@@ -99,7 +100,7 @@
 	}));
 }
 
-/** Looks at the promises again and again; tells each that is broken once. */
+/** Checks the promises periodically until the signal aborts, and reports each violation once. */
 async function checkPeriodically(findCurrentViolations: () => readonly Violation[], reportViolation: (text: string) => void, signal: AbortSignal): Promise<void> {
 	const reported = new Set<string>();
 	while (!signal.aborted) {
@@ -118,11 +119,11 @@
 }
 
 /**
- * Plays a soak.
+ * Runs a soak.
  *
- * @param plan - What is played.
- * @param options - How.
- * @returns What was seen, and which promises were broken.
+ * @param plan - The plan.
+ * @param options - Folder, time limit and reporting.
+ * @returns What was observed, and which promises were broken.
  */
 export async function runSoak(plan: SoakPlan, options: SoakOptions): Promise<SoakOutcome> {
 	const mesh = await startSoakMesh(plan.nodes, options.folder, createSoakConfig(0));
--- a/soak/soak-config.ts
+++ b/soak/soak-config.ts
@@ -1,12 +1,12 @@
 /**
- * The configurations of a soak. From how a request was handled, callers can
- * tell which of them were in force.
+ * The configurations of a soak. They differ in their routes, so that the handling
+ * of a request shows which configurations were in force.
  *
  * @module
  */
 import {createTestConfig, type TestRoute} from '../platform/test-mesh.js';
 
-/** Services of the mesh, dealt to the nodes in turn. */
+/** Services of the mesh, assigned to the nodes in turn. */
 export const services = ['logview', 'hall', 'builds'] as const;
 
 /** @internal */
@@ -14,13 +14,13 @@
 
 /** A route that callers use. */
 export type SoakRoute =
-	/** In every configuration. */
+	/** Exists in every configuration. */
 	| {readonly type: 'steady'; readonly prefix: string; readonly service: Service; readonly isSafe: boolean; readonly attempts: number}
-	/** Added by a configuration, and kept. */
+	/** Exists from the configuration with this index on. */
 	| {readonly type: 'since'; readonly index: number}
-	/** Removed by a configuration. */
+	/** Exists until the configuration with this index removes it. */
 	| {readonly type: 'until'; readonly index: number}
-	/** Leads to another service with each configuration. */
+	/** Leads to a different service in each configuration. */
 	| {readonly type: 'turn'};
 
 type SteadyRoute = Extract<SoakRoute, {readonly type: 'steady'}>;
@@ -31,7 +31,6 @@
 	};
 }
 
-/** Routes that every configuration has. */
 export const steadyRoutes: readonly SteadyRoute[] = [
 	createSteadyRoute('/logs/', 'logview', true, 2),
 	createSteadyRoute('/pages/', 'hall', true, 3),
@@ -40,16 +39,16 @@
 	createSteadyRoute('/upload/', 'logview', false, 2),
 ];
 
-/** Repeats that routes other than the steady ones allow. */
+/** Attempts that all routes but the steady ones allow. */
 const changingRouteAttempts = 2;
 
-/** Milliseconds that a route lets a request wait. */
+/** Time limit of a request on every route. */
 export const routeTimeoutMs = 2000;
 
-/** Versions grow in uneven steps. */
+/** Difference between the versions of two configurations, on average: versions are neither consecutive nor evenly spaced. */
 const versionIncrement = 3;
 
-/** @returns The service that a route leads to in a configuration; `undefined` where it does not exist. */
+/** @returns The service that a route leads to in the configuration with an index; `undefined` if the route does not exist there. */
 export function getRouteService(route: SoakRoute, index: number): Service | undefined {
 	switch (route.type) {
 		case 'steady': {
@@ -70,7 +69,7 @@
 	}
 }
 
-/** @returns Where requests of a route go. */
+/** @returns The path prefix of a route. */
 export function getRoutePrefix(route: SoakRoute): string {
 	switch (route.type) {
 		case 'steady': {
@@ -88,7 +87,7 @@
 	}
 }
 
-/** @returns How many backend servers may run one request of a route. */
+/** @returns How many times one request of a route may be executed. */
 export function getRunLimit(route: SoakRoute): number {
 	if (route.type !== 'steady') {
 		return changingRouteAttempts;
@@ -97,7 +96,7 @@
 	return route.isSafe ? route.attempts : 1;
 }
 
-/** The most configurations of a soak. */
+/** The maximum number of configuration changes in a soak. */
 export const maxConfigChanges = 40;
 
 function createTestRoute(route: SoakRoute, index: number): readonly TestRoute[] {
@@ -113,7 +112,9 @@
 }
 
 /**
- * @param index - Which one, from 0.
+ * Creates a configuration.
+ *
+ * @param index - Its index, from 0.
  * @returns The configuration as operators write it.
  */
 export function createSoakConfig(index: number): unknown {
--- a/soak/soak-mesh.ts
+++ b/soak/soak-mesh.ts
@@ -1,6 +1,6 @@
 /**
- * The mesh of a soak: the store, the nodes as processes with their links, and
- * the backend servers beside them.
+ * The mesh of a soak: the store, the nodes as processes, the backend servers
+ * beside them, and the link of each node to the store.
  *
  * @module
  */
@@ -11,7 +11,7 @@
 import {startSoakNode, type SoakNode} from './soak-node.js';
 import {startSoakServer, type SoakServer} from './soak-server.js';
 
-/** One VM: a node, its server and its link to the store. */
+/** One VM: a node, its backend server and its link to the store. */
 export type SoakVm = {
 	readonly node: SoakNode;
 	readonly service: Service;
@@ -27,12 +27,12 @@
 
 const failureDomains = ['a', 'b', 'c'] as const;
 
-/** A node has to be gone so long after SIGTERM. Milliseconds. */
+/** Time that a node has to end after SIGTERM. */
 const graceMs = 6000;
 
 const retrySlack = 62;
 
-/** Soaks that run beside one another have loopback IP numbers of their own. */
+/** Returns a loopback IP address. It depends on the process id, so that soaks that run at the same time do not share addresses. */
 const createHost = (index: number): string => `127.${128 + (Math.floor(process.pid / 250) % 100)}.${process.pid % 250}.${index + 1}`;
 
 async function startVm(store: PlatformStore, index: number, folder: string): Promise<SoakVm> {
@@ -52,9 +52,9 @@
 /**
  * Starts a mesh and waits until its nodes are ready.
  *
- * @param nodes - How many.
- * @param folder - Where settings and logs go.
- * @param firstConfig - What the store holds before the nodes start.
+ * @param nodes - The number of nodes.
+ * @param folder - The folder for settings and logs.
+ * @param firstConfig - The configuration in the store before the nodes start.
  * @returns The mesh.
  */
 export async function startSoakMesh(nodes: number, folder: string, firstConfig: unknown): Promise<SoakMesh> {
--- a/soak/soak-node.ts
+++ b/soak/soak-node.ts
@@ -1,6 +1,6 @@
 /**
- * One node of a soak: the real program as a process, under signals that may
- * overlap, and what became of each of its lifetimes.
+ * One node of a soak: runs the real program as a process, sends it signals, which
+ * may overlap, restarts it, and records how each of its processes ended.
  *
  * @module
  */
@@ -27,15 +27,17 @@
 	readonly logFile: string;
 	readonly lifetimes: readonly Lifetime[];
 	readonly isReady: () => Promise<boolean>;
-	/** Waits until it is ready, or has ended for good. */
+	/** Waits until the node is ready or closed, or the wait times out. */
 	readonly waitUntilReady: () => Promise<boolean>;
+	/** SIGSTOP, and SIGCONT when the last of overlapping pauses is over. */
 	readonly pause: (forMs: number) => Promise<void>;
-	/** SIGKILL, and a new process after some time; waits until that is ready. */
+	/** SIGKILL, and a new process after `downMs`; waits until that is ready. */
 	readonly killAndRestart: (downMs: number) => Promise<void>;
-	/** SIGTERM, SIGKILL when the grace period is over, and a new process after some time; waits until that is ready. */
+	/** SIGTERM, SIGKILL when the grace period is over, and a new process after `downMs`; waits until that is ready. */
 	readonly stopAndRestart: (downMs: number) => Promise<void>;
+	/** SIGHUP several times, with changed or malformed settings; then writes the original settings. */
 	readonly reloadSettings: (times: number, isUnreadable: boolean) => Promise<void>;
-	/** Ends it for good. */
+	/** SIGKILL, without a restart. */
 	readonly close: () => Promise<void>;
 };
 
@@ -43,25 +45,27 @@
 	readonly child: ChildProcess;
 	readonly startedAt: number;
 	readonly ended: Promise<void>;
+	/** When SIGTERM was sent, in Unix milliseconds. */
 	askedAt: number | undefined;
 	isKilled: boolean;
-	/** It was paused between SIGTERM and its end. */
+	/** Whether it was paused between SIGTERM and its end. */
 	wasPausedWhileStopping: boolean;
-	/** It has taken over its signals: before, nothing that it does could. */
+	/** Whether it has been ready. Before that it may not have installed its signal handlers. */
 	wasReady: boolean;
+	/** Pauses in effect. */
 	pauseCount: number;
 };
 
-/** A node that is not ready by then is not waited for. Milliseconds. */
+/** How long to wait until a node is ready. */
 const readyTimeoutMs = 20_000;
 const readyPollIntervalMs = 100;
 
-/** Milliseconds between two signals in a row. */
+/** Time between two SIGHUPs. */
 const signalIntervalMs = 30;
 
 const children = new Set<ChildProcess>();
 
-// No process outlives the soak, however that ends.
+// Kills all nodes when the soak ends, also when it fails.
 process.once('exit', () => {
 	for (const child of children) {
 		child.kill('SIGKILL');
@@ -69,10 +73,10 @@
 });
 
 /**
- * Starts a node.
+ * Starts a node. A process that ends without a signal from the soak is restarted.
  *
- * @param parameters - Where it stands.
- * @param folder - Where its settings and its log go.
+ * @param parameters - Its name, service, addresses and limits.
+ * @param folder - The folder for its settings and its log.
  * @returns The node.
  */
 export function startSoakNode(parameters: NodePlace, folder: string): SoakNode {
@@ -210,7 +214,7 @@
 				await sleep(signalIntervalMs);
 			}
 
-			// A process that starts later needs a file that it can read.
+			// A process that starts later needs valid settings.
 			writeSettings(fillSettings(parameters));
 		},
 		async close() {
--- a/soak/soak-server.ts
+++ b/soak/soak-server.ts
@@ -1,6 +1,6 @@
 /**
- * The backend server beside a node of a soak: it announces itself, crashes,
- * comes back under its id or another, and leaves.
+ * The backend server beside a node of a soak: it sends heartbeats, crashes,
+ * restarts under the same or a new id, drains and leaves.
  *
  * @module
  */
@@ -15,12 +15,17 @@
 export type SoakServer = {
 	readonly listRuns: () => readonly RunRecord[];
 	readonly listDrains: () => readonly DrainRecord[];
-	/** Runs of the server that is there now. */
+	/** Counts the executions since a time, in Unix milliseconds, by the server that runs now. */
 	readonly countRunsSince: (at: number) => number;
+	/** Closes the server without notice, and starts a new one after `downMs`. */
 	readonly crash: (downMs: number, keepsId: boolean) => Promise<void>;
+	/** Announces draining (or, without `saysDraining`, only the leave), serves for a while, and starts a server with a new id after `downMs`. */
 	readonly drain: (saysDraining: boolean, downMs: number) => Promise<void>;
+	/** Each request takes `workMs`. */
 	readonly slowDown: (workMs: number, forMs: number) => Promise<void>;
+	/** The next requests get these behaviours, one each. */
 	readonly misbehave: (behaviours: readonly WireBehaviour[]) => void;
+	/** Announces more slots than the server has. */
 	readonly claimExtraSlots: (forMs: number) => Promise<void>;
 	readonly delayHeartbeats: (delayMs: number, forMs: number) => Promise<void>;
 	readonly stopHeartbeats: (forMs: number) => Promise<void>;
@@ -28,45 +33,45 @@
 	readonly close: () => Promise<void>;
 };
 
-/** One start of the server. */
+/** One process of the server, from its start to its end. */
 type ServerLifetime = {
 	readonly id: string;
+	/** Unix milliseconds. */
 	readonly startedAt: number;
 	readonly server: WireServer;
 	drainAckedAt: number | undefined;
 	isDraining: boolean;
-	/** It withdrew, and says nothing more. */
+	/** Whether the server has sent its leave; it sends no heartbeats afterwards. */
 	hasLeft: boolean;
 	sequence: number;
 };
 
-/** Requests that the server works on at once. */
+/** Requests that the server executes at the same time. */
 const slots = 4;
 
-/** Slots that a server which lies claims to have. */
+/** Slots that the server announces while it overstates them. */
 const claimedSlots = 32;
 
-/** Milliseconds of work for a request when the server is well. */
+/** Time that a request takes when no fault slows the server down. */
 const defaultWorkMs = 20;
 
-/** Milliseconds between two heartbeats. */
 const heartbeatIntervalMs = 1000;
 
-/** For how long a server goes on serving after its draining was acknowledged. Milliseconds. */
+/** How long a server continues to serve after its draining was acknowledged. */
 const drainPeriodMs = 2500;
 
-/** How long a server tries to have its draining acknowledged, and how long it waits for requests at work at its end. Milliseconds. */
+/** How long a server repeats its announcement of draining until it is acknowledged, and how long it then waits for requests in flight before it closes. */
 const drainTimeoutMs = 5000;
 const pollIntervalMs = 50;
 
-/** For how long a server says that it stays slow after its start. Milliseconds. */
+/** How long after its start the server stays slow, as its heartbeats state it. */
 const coldMs = 0;
 
 /**
- * Starts a server and the link to it.
+ * Starts a backend server, and a proxy in front of it.
  *
- * @param node - The node beside it.
- * @param service - Its service.
+ * @param node - The node beside the server.
+ * @param service - The service of the server.
  * @returns The server.
  */
 export async function startSoakServer(node: SoakNode, service: Service): Promise<SoakServer> {
@@ -102,7 +107,7 @@
 		return isAcknowledged;
 	};
 
-	/** Heartbeats do not wait for one another: late ones may overtake. */
+	/** Sends heartbeats until the lifetime ends. They do not wait for each other, so delayed ones may arrive out of order. */
 	const announcePeriodically = async (lifetime: ServerLifetime): Promise<void> => {
 		while (current === lifetime && !lifetime.hasLeft && !isClosed) {
 			if (!areHeartbeatsStopped) {
@@ -138,7 +143,7 @@
 		}
 	};
 
-	/** Repeats a word until the node has acknowledged it. */
+	/** Repeats a message until the node acknowledges it or the timeout is over. */
 	const retryUntilAcknowledged = async (send: () => Promise<boolean>): Promise<void> => {
 		const deadlineAt = Date.now() + drainTimeoutMs;
 		while (Date.now() < deadlineAt && !(await send())) {
@@ -171,7 +176,7 @@
 		countRunsSince: at => current?.server.runs.filter(run => run.at >= at).length ?? 0,
 		async crash(downMs, keepsId) {
 			const lifetime = current;
-			// A server whose leaving was said does not come back as itself.
+			// A server that announced draining or its leave must not restart under the same id.
 			if (lifetime === undefined || lifetime.isDraining || lifetime.hasLeft) {
 				return;
 			}
--- a/soak/soak.test.ts
+++ b/soak/soak.test.ts
@@ -1,6 +1,7 @@
 /**
- * A short seeded soak of the real program: only promises are judged, and the
- * time until a change has to be in force is longer than any busy machine needs.
+ * Runs a short soak of the real program with a fixed seed. Only promises are
+ * checked, and a configuration has a long time to come into force, so that a busy
+ * machine does not fail the test.
  */
 import assert from 'node:assert/strict';
 import {existsSync, mkdtempSync, rmSync} from 'node:fs';
@@ -11,7 +12,7 @@
 
 const size = ['--seed', '540', '--seconds', '30', '--nodes', '6', '--apply', '15000'] as const;
 
-test('every promise holds through a short soak', async context => {
+test('every promise holds during a short soak', async context => {
 	const folder = mkdtempSync(path.join(tmpdir(), 'stonemoor-soak-'));
 	const soak = startProcess('soak', 'soak/main.js', [...size, '--out', folder]);
 	context.after(() => {
--- a/xo.config.ts
+++ b/xo.config.ts
@@ -4,28 +4,28 @@
 	{ignores: ['dist', 'dist-bench', 'dist-faulty', 'src/lib/generated']},
 	{
 		rules: {
-			// Retries, rounds and polls are sequences: each step needs the one before.
+			// Retries, periodic tasks and polling are sequential: each iteration depends on the previous one.
 			'no-await-in-loop': 'off',
-			// Loops here wait for what other events of the one loop change; the rule cannot see that.
+			// Loops here wait for variables that other callbacks of the event loop change, which the rule does not detect.
 			'no-unmodified-loop-condition': 'off',
-			// A server or a queue is handed its settings, its state and its message.
+			// Five parameters are allowed: functions of servers and queues take settings, state and a message, each as its own.
 			'max-params': ['error', 5],
-			// Unions are exhausted by assertNever, which fails to compile when a case is missing.
+			// A default case may call assertNever, which fails to compile when a case of the union is missing.
 			'@typescript-eslint/switch-exhaustiveness-check': ['error', {allowDefaultCaseForExhaustiveSwitch: true, considerDefaultExhaustiveForUnions: true}],
 		},
 	},
 	{
-		// Flags of the operating system are joined by bits.
+		// Flags for opening files are combined with bitwise operators.
 		files: ['src/lib/timeline/line-log.ts'],
 		rules: {'no-bitwise': 'off'},
 	},
 	{
-		// What the platform's calls name is not ours to spell.
+		// Field names of the platform's messages do not follow the naming convention.
 		files: ['platform/**', 'stand-ins/platform-store/**', 'stand-ins/settings-template.ts'],
 		rules: {'@typescript-eslint/naming-convention': 'off'},
 	},
 	{
-		// What counts as time stands in one place: see "Elapsed and awake time" in docs/DESIGN.md.
+		// Only common/clock.ts reads clocks: see "Elapsed and awake time" in docs/DESIGN.md.
 		files: ['src/lib/**/*.ts'],
 		rules: {
 			'no-restricted-properties': [
@@ -42,13 +42,13 @@
 	{
 		files: ['**/*.test.ts', 'scenarios/**'],
 		rules: {
-			// Tests stand outside of what they measure.
+			// Tests measure from outside the library and may read clocks directly.
 			'no-restricted-properties': 'off',
-			// The test runner waits for its tests by itself.
+			// The test runner awaits its tests itself.
 			'@typescript-eslint/no-floating-promises': 'off',
-			// An assertion on one field of an outcome reads best in one line.
+			// Assertions on one member of an awaited result are easier to read in one line.
 			'unicorn/no-await-expression-member': 'off',
-			// Item keys, as in 'pool/logs', are property names here.
+			// Item keys such as 'pool/logs' are property names in tests.
 			'@typescript-eslint/naming-convention': 'off',
 		},
 	},
