--- a/soak/checks/find-violations.test.ts
+++ b/soak/checks/find-violations.test.ts
@@ -169,7 +169,7 @@
 ];
 
 for (const [end, isBroken] of ends) {
-	test(`${isBroken ? 'reports' : 'accepts'} a process that ended as ${JSON.stringify(end)}`, () => {
+	test(`a process that ended as ${JSON.stringify(end)} is ${isBroken ? 'reported' : 'accepted'}`, () => {
 		assert.deepEqual(listBroken(createRecord([], {lifetimes: [{node: 'n0', startedAt: 0, end}]})), isBroken ? ['processes do not end by themselves'] : []);
 	});
 }
