--- a/xo.config.ts
+++ b/xo.config.ts
@@ -8,7 +8,7 @@
 			'no-await-in-loop': 'off',
 			// Loops here wait for variables that other callbacks of the event loop change, which the rule does not detect.
 			'no-unmodified-loop-condition': 'off',
-			// Five parameters are allowed: functions of servers and queues take settings, state and a message, each as its own.
+			// Functions of servers and queues take their settings, their state and a message as separate parameters.
 			'max-params': ['error', 5],
 			// A default case may call assertNever, which fails to compile when a case of the union is missing.
 			'@typescript-eslint/switch-exhaustiveness-check': ['error', {allowDefaultCaseForExhaustiveSwitch: true, considerDefaultExhaustiveForUnions: true}],
