--- a/soak/apply-fault.ts
+++ b/soak/apply-fault.ts
@@ -1,5 +1,5 @@
 /**
- * Brings a planned fault about, and says what it disturbs.
+ * Applies planned faults, and determines which part of the mesh each disturbs.
  *
  * @module
  */
@@ -10,44 +10,46 @@
 import {toAddress} from '../src/lib/common/ids.js';
 import {type StoreFault} from '../stand-ins/platform-store/platform-store.js';
 import {listInvalidValues, sendRawHeartbeat} from '../stand-ins/platform-server/server-messages.js';
-import {type FaultAction, type StoreEvent, type StoreTrouble} from './plan.js';
+import {type FaultAction, type StoreEvent, type StoreFaultMode} from './plan.js';
 import {type DisturbedPart} from './record.js';
 import {type SoakMesh, type SoakVm} from './soak-mesh.js';
 
-/** What a fault disturbs. */
+/** The part of the mesh that a fault disturbs. `node` is the disturbed node, or the node beside the disturbed server. */
 export type FaultScope = {readonly part: DisturbedPart; readonly node: string | undefined; readonly isPlanned: boolean};
 
-/** Milliseconds that a slow store takes for each call. */
-const slowStoreMs = 700;
+/** Latency of each call to a slow store. */
+const slowStoreLatencyMs = 700;
 
-/** Where nodes keep their entries. */
-const entryPrefix = 'stonemoor/nodes/';
+/** Prefix of the keys of node entries in the store. */
+const nodeEntryPrefix = 'stonemoor/nodes/';
 
 /**
- * @param fault - A fault.
- * @returns What it disturbs; `undefined` if it must not disturb anything.
+ * Returns what a fault disturbs.
+ *
+ * @param fault - The fault.
+ * @returns Its scope; `undefined` if the fault must have no effect on requests.
  */
-export function findScope(fault: FaultAction): FaultScope | undefined {
-	const findNear = (part: DisturbedPart, isPlanned = false): FaultScope => ({part, node: 'node' in fault ? `n${fault.node}` : undefined, isPlanned});
+export function getFaultScope(fault: FaultAction): FaultScope | undefined {
+	const createScope = (part: DisturbedPart, isPlanned = false): FaultScope => ({part, node: 'node' in fault ? `n${fault.node}` : undefined, isPlanned});
 	switch (fault.type) {
 		case 'pause':
 		case 'kill': {
-			return findNear('node');
+			return createScope('node');
 		}
 
 		case 'stop':
 		case 'hang-up': {
-			return findNear('node', true);
+			return createScope('node', true);
 		}
 
 		case 'store-link': {
-			return findNear('store-link');
+			return createScope('store-link');
 		}
 
 		case 'store':
 		case 'store-event':
 		case 'store-restored': {
-			return findNear('store');
+			return createScope('store');
 		}
 
 		case 'server-link':
@@ -58,7 +60,7 @@
 		case 'server-late':
 		case 'server-silent':
 		case 'server-drain': {
-			return findNear('server');
+			return createScope('server');
 		}
 
 		case 'foreign-entry':
@@ -69,7 +71,7 @@
 	}
 }
 
-async function spoilStore({store}: SoakMesh, trouble: StoreTrouble, forMs: number): Promise<void> {
+async function applyStoreFault({store}: SoakMesh, trouble: StoreFaultMode, forMs: number): Promise<void> {
 	if (trouble === 'deaf') {
 		store.setWatchEventsSuppressed(true);
 		await sleep(forMs);
@@ -78,29 +80,29 @@
 	}
 
 	const fault: StoreFault = trouble === 'slow' ? 'none' : trouble;
-	store.setFault(fault, trouble === 'slow' ? slowStoreMs : 0);
+	store.setFault(fault, trouble === 'slow' ? slowStoreLatencyMs : 0);
 	await sleep(forMs);
 	store.setFault('none');
 }
 
-async function putStoreBack({store}: SoakMesh, ageMs: number, forMs: number): Promise<void> {
-	const copy = store.keys.createBackup();
+async function restoreStoreBackup({store}: SoakMesh, ageMs: number, forMs: number): Promise<void> {
+	const backup = store.keys.createBackup();
 	await sleep(ageMs);
 	store.setFault('silent');
 	await sleep(forMs);
-	const newest = store.getConfig();
-	store.restore(copy);
+	const latestConfig = store.getConfig();
+	store.restore(backup);
 	store.setFault('none');
-	// What the operator had written is written again.
-	if (newest !== undefined && newest !== store.getConfig()) {
-		store.putConfig(newest);
+	// Rewrites the latest configuration, as an operator does after a restore.
+	if (latestConfig !== undefined && latestConfig !== store.getConfig()) {
+		store.putConfig(latestConfig);
 	}
 }
 
 function applyStoreEvent({store}: SoakMesh, event: StoreEvent): void {
 	switch (event) {
 		case 'leases-end': {
-			store.keys.revokeKeys(entryPrefix);
+			store.keys.revokeKeys(nodeEntryPrefix);
 			break;
 		}
 
@@ -125,15 +127,15 @@
 	socket.close();
 }
 
-const pickValue = (service: string, index: number): string => {
+const pickInvalidValue = (service: string, index: number): string => {
 	const values = listInvalidValues(service);
 	return values[index % values.length]!;
 };
 
 /**
- * Brings a fault about, and waits until it is over.
+ * Applies a fault, and waits until it is over.
  *
- * @param mesh - Where.
+ * @param mesh - The mesh.
  * @param fault - The fault.
  */
 
@@ -145,15 +147,15 @@
 		}
 
 		case 'kill': {
-			return getVm(fault.node).node.kill(fault.forMs);
+			return getVm(fault.node).node.killAndRestart(fault.forMs);
 		}
 
 		case 'stop': {
-			return getVm(fault.node).node.stop(fault.forMs);
+			return getVm(fault.node).node.stopAndRestart(fault.forMs);
 		}
 
 		case 'hang-up': {
-			return getVm(fault.node).node.hangUp(fault.times, fault.isUnreadable);
+			return getVm(fault.node).node.reloadSettings(fault.times, fault.isUnreadable);
 		}
 
 		case 'store-link': {
@@ -165,11 +167,11 @@
 		}
 
 		case 'server-link': {
-			return getVm(fault.node).server.harmLink(fault.mode, fault.forMs);
+			return getVm(fault.node).server.setLinkMode(fault.mode, fault.forMs);
 		}
 
 		case 'store': {
-			return spoilStore(mesh, fault.trouble, fault.forMs);
+			return applyStoreFault(mesh, fault.trouble, fault.forMs);
 		}
 
 		case 'store-event': {
@@ -178,7 +180,7 @@
 		}
 
 		case 'store-restored': {
-			return putStoreBack(mesh, fault.ageMs, fault.forMs);
+			return restoreStoreBackup(mesh, fault.ageMs, fault.forMs);
 		}
 
 		case 'server-crash': {
@@ -200,7 +202,7 @@
 		}
 
 		case 'server-lie': {
-			return getVm(fault.node).server.lie(fault.forMs);
+			return getVm(fault.node).server.claimExtraSlots(fault.forMs);
 		}
 
 		case 'server-late': {
@@ -208,7 +210,7 @@
 		}
 
 		case 'server-silent': {
-			return getVm(fault.node).server.keepSilent(fault.forMs);
+			return getVm(fault.node).server.stopHeartbeats(fault.forMs);
 		}
 
 		case 'server-drain': {
@@ -216,18 +218,18 @@
 		}
 
 		case 'foreign-entry': {
-			const value = Buffer.from(pickValue('hall', fault.value)).toString('base64');
-			mesh.store.keys.commit({expect: [], writes: [{key: `${entryPrefix}foreign-${fault.value}`, value}], remove: []});
+			const value = Buffer.from(pickInvalidValue('hall', fault.value)).toString('base64');
+			mesh.store.keys.commit({expect: [], writes: [{key: `${nodeEntryPrefix}foreign-${fault.value}`, value}], remove: []});
 			return;
 		}
 
 		case 'foreign-heartbeat': {
 			const {node, service} = getVm(fault.node);
-			return sendRawHeartbeat(node.announcements, `i-foreign-${fault.value}`, pickValue(service, fault.value));
+			return sendRawHeartbeat(node.announcementAddress, `i-foreign-${fault.value}`, pickInvalidValue(service, fault.value));
 		}
 
 		case 'foreign-datagram': {
-			return sendDatagram(getVm(fault.node).node.gossip, Buffer.from(pickValue('hall', fault.value)));
+			return sendDatagram(getVm(fault.node).node.gossipAddress, Buffer.from(pickInvalidValue('hall', fault.value)));
 		}
 	}
 }
--- a/soak/callers.ts
+++ b/soak/callers.ts
@@ -1,6 +1,6 @@
 /**
- * Callers of a soak. They keep using their open connections until the process
- * is gone, whatever it says of itself, and write down what they saw.
+ * Callers of a soak. They use their open connections until the process of the
+ * node has ended, even while it is draining, and record each response.
  *
  * @module
  */
@@ -10,103 +10,108 @@
 import {sendCall} from '../platform/test-mesh.js';
 import {platformHeaders} from '../platform/platform-headers.js';
 import {type CallRecord} from './record.js';
-import {getPrefix, steadyRoutes, type SoakRoute} from './soak-config.js';
+import {getRoutePrefix, steadyRoutes, type SoakRoute} from './soak-config.js';
 
-/** Where and for how long callers send. */
+/** Settings of the callers beside one node. */
 export type CallerSettings = {
 	readonly node: string;
-	/** Where the node takes requests. */
+	/** Address at which the node accepts requests of callers. */
 	readonly address: string;
+	/** Seed of their random choices. */
 	readonly seed: number;
-	/** Index of the newest configuration that has been written. */
-	readonly getNewest: () => number;
+	/** Returns the index of the newest configuration in the store. */
+	readonly getNewestConfigIndex: () => number;
+	/** Called with each request when it has ended. */
 	readonly handleCall: (call: CallRecord) => void;
 };
 
 export type Callers = {
+	/** Stops sending, and waits for the requests in flight. */
 	readonly stop: () => Promise<void>;
 };
 
-/** Callers beside each node; the last one opens a connection for each request. */
+/** The last caller of each node opens a connection for each request; the others reuse theirs. */
 const callersPerNode = 4;
 
-/** The longest time between two requests of a caller. Milliseconds. */
-const longestThinkMs = 300;
+/** Maximum pause between two requests of a caller. */
+const maxThinkTimeMs = 300;
 
-/** How long callers wait. Milliseconds. */
-const timesLeftMs = [800, 1500, 2500] as const;
+/** Timeouts that callers give their requests. */
+const callerTimeoutsMs = [800, 1500, 2500] as const;
 
-/** Milliseconds beyond its own time at which a caller leaves in any case. */
-const afterTimeMs = 500;
+/** How long after its timeout a caller disconnects at the latest. */
+const disconnectMarginMs = 500;
 
-/** Of so many requests one is given up early, and one asks which configuration is in force. */
-const leavesOneIn = 25;
-const asksVersionOneIn = 4;
+/** One of this many requests is cancelled early by a disconnect of the caller. */
+const earlyDisconnectOneIn = 25;
 
-/** Of the configurations so many back are asked for. */
-const askedBack = 4;
+/** One of this many requests uses a route that depends on the configuration in force. */
+const configProbeOneIn = 4;
 
-/** Bytes of large bodies. */
+/** How many configurations such requests choose from: the next one, which is not written yet, and the latest before it. */
+const probedConfigCount = 4;
+
+/** Size of the body of an upload. */
 const uploadBytes = 60_000;
 
-type PickBelow = (below: number) => number;
+type PickInteger = (below: number) => number;
 
-function pickRoute(pick: PickBelow, newest: number): SoakRoute {
-	if (pick(asksVersionOneIn) > 0) {
-		return steadyRoutes[pick(steadyRoutes.length)]!;
+function pickRoute(pickInteger: PickInteger, newestConfigIndex: number): SoakRoute {
+	if (pickInteger(configProbeOneIn) > 0) {
+		return steadyRoutes[pickInteger(steadyRoutes.length)]!;
 	}
 
-	const index = Math.max(1, newest + 1 - pick(askedBack));
-	return ([{type: 'since', index}, {type: 'until', index}, {type: 'turn'}] as const)[pick(3)]!;
+	const index = Math.max(1, newestConfigIndex + 1 - pickInteger(probedConfigCount));
+	return ([{type: 'since', index}, {type: 'until', index}, {type: 'turn'}] as const)[pickInteger(3)]!;
 }
 
 /**
- * Starts callers beside a node.
+ * Starts the callers of one node.
  *
- * @param settings - Where and for how long they send.
+ * @param settings - Their settings.
  * @returns The callers.
  */
 export function startCallers(settings: CallerSettings): Callers {
-	const {node, address, seed, getNewest, handleCall} = settings;
+	const {node, address, seed, getNewestConfigIndex, handleCall} = settings;
 	let isStopping = false;
 	let sent = 0;
 
-	const call = async (pick: PickBelow, agent: Agent | undefined): Promise<CallRecord> => {
-		const route = pickRoute(pick, getNewest());
+	const sendRequest = async (pickInteger: PickInteger, agent: Agent | undefined): Promise<CallRecord> => {
+		const route = pickRoute(pickInteger, getNewestConfigIndex());
 		const isSafe = route.type !== 'steady' || route.isSafe;
 		const isUpload = route.type === 'steady' && route.prefix === '/upload/';
 		sent++;
 		const id = `${node}-${sent}`;
 		const method = isSafe ? 'GET' : 'POST';
-		const target = `${getPrefix(route)}${id}?page=${pick(1000)}`;
+		const target = `${getRoutePrefix(route)}${id}?page=${pickInteger(1000)}`;
 		const body = isSafe ? '' : `${id} `.padEnd(isUpload ? uploadBytes : 100, 'x');
-		const timeLeftMs = timesLeftMs[pick(timesLeftMs.length)]!;
-		const leaveAfterMs = pick(leavesOneIn) === 0 ? 5 + pick(60) : timeLeftMs + afterTimeMs;
+		const timeLeftMs = callerTimeoutsMs[pickInteger(callerTimeoutsMs.length)]!;
+		const leaveAfterMs = pickInteger(earlyDisconnectOneIn) === 0 ? 5 + pickInteger(60) : timeLeftMs + disconnectMarginMs;
 		const sentAt = Date.now();
-		const answer = await sendCall(address, target, {
+		const response = await sendCall(address, target, {
 			method, id, timeLeftMs, disconnectAfterMs: leaveAfterMs, agent, body: isSafe ? undefined : body,
 		});
 		const endedAt = Date.now();
-		const getHeader = (name: string): string | undefined => answer.headers[name] as string | undefined;
+		const getHeader = (name: string): string | undefined => response.headers[name] as string | undefined;
 		return {
-			id, node, route, method, target, body, timeLeftMs, sentAt, endedAt, status: answer.status, text: answer.body,
-			signature: getHeader(platformHeaders.signature), echoedId: getHeader(platformHeaders.callId), hasLeft: answer.status === 0 && endedAt - sentAt >= leaveAfterMs - 5,
+			id, node, route, method, target, body, timeLeftMs, sentAt, endedAt, status: response.status, text: response.body,
+			signature: getHeader(platformHeaders.signature), echoedId: getHeader(platformHeaders.callId), hasLeft: response.status === 0 && endedAt - sentAt >= leaveAfterMs - 5,
 		};
 	};
 
-	const run = async (index: number): Promise<void> => {
+	const runCaller = async (index: number): Promise<void> => {
 		const random = randomLcg(((seed * 7919) + index) / 4_294_967_296);
-		const pick: PickBelow = below => Math.floor(random() * below);
+		const pickInteger: PickInteger = below => Math.floor(random() * below);
 		const agent = index === callersPerNode - 1 ? undefined : new Agent({keepAlive: true, maxSockets: 1});
 		while (!isStopping) {
-			await sleep(pick(longestThinkMs));
-			handleCall(await call(pick, agent));
+			await sleep(pickInteger(maxThinkTimeMs));
+			handleCall(await sendRequest(pickInteger, agent));
 		}
 
 		agent?.destroy();
 	};
 
-	const running = Array.from({length: callersPerNode}, async (_, index) => run(index));
+	const running = Array.from({length: callersPerNode}, async (_, index) => runCaller(index));
 	return {
 		async stop() {
 			isStopping = true;
--- a/soak/checks/check-processes.ts
+++ b/soak/checks/check-processes.ts
@@ -1,13 +1,13 @@
 /**
- * Checks that processes live until they are asked to end, end well, and that
- * the mesh recovers.
+ * Checks that processes end only after a signal, that they exit with code 0 after
+ * SIGTERM, and that the mesh recovers.
  *
  * @module
  */
 import {type Lifetime, type SoakRecord, type Violation} from '../record.js';
 
-/** What is wrong with how a process ended; `undefined` if nothing is. */
-function findFlaw({end}: Lifetime): string | undefined {
+/** Returns what is wrong with how a process ended; `undefined` if nothing is. */
+function findProblem({end}: Lifetime): string | undefined {
 	switch (end.type) {
 		case 'running':
 		case 'killed': {
@@ -15,7 +15,7 @@
 		}
 
 		case 'unasked': {
-			return `ended by itself, with ${end.signal ?? `code ${end.code ?? 'unknown'}`}`;
+			return `ended without a signal from the soak, with ${end.signal ?? `code ${end.code ?? 'unknown'}`}`;
 		}
 
 		case 'stopped': {
@@ -26,41 +26,45 @@
 }
 
 /**
- * @param record - What was seen.
- * @returns Processes that ended by themselves, or badly after SIGTERM.
+ * Finds processes that ended wrongly.
+ *
+ * @param record - What was observed.
+ * @returns Processes that ended without a signal from the soak, or with an error after SIGTERM.
  */
 export function checkProcesses({lifetimes}: SoakRecord): readonly Violation[] {
 	return lifetimes.flatMap(lifetime => {
-		const flaw = findFlaw(lifetime);
+		const problem = findProblem(lifetime);
 		const at = lifetime.end.type === 'running' ? lifetime.startedAt : lifetime.end.at;
-		return flaw === undefined ? [] : [{promise: 'processes do not end by themselves', what: `${lifetime.node}, started at ${lifetime.startedAt}, ${flaw}`, at}];
+		return problem === undefined ? [] : [{promise: 'processes do not end by themselves', what: `${lifetime.node}, started at ${lifetime.startedAt}, ${problem}`, at}];
 	});
 }
 
-/** From the last fault on, the mesh has this long to recover. Milliseconds. */
-export const recoveryMs = 8000;
+/** Time that the mesh has to recover, counted from the end of the last fault. */
+export const maxRecoveryMs = 8000;
 
-/** The part of requests that each node serves afterwards. */
-const leastServed = 0.25;
+/** Minimum share of its requests that each node serves after the recovery time. */
+const minServedShare = 0.25;
 
-/** Routes that were added later or dropped are asked for in vain on purpose; they tell nothing here. */
-const isOwed = (status: number): boolean => status !== 404;
+/** Excludes 404: callers use routes on purpose that are not added yet or already removed. */
+const isCounted = (status: number): boolean => status !== 404;
 
 /**
- * @param record - What was seen.
- * @returns Nodes that are not ready at the end, or serve little.
+ * Finds nodes that did not recover.
+ *
+ * @param record - What was observed.
+ * @returns Nodes that are not ready at the end, or serve too few requests.
  */
 export function checkRecovery({calls, ending}: SoakRecord): readonly Violation[] {
 	if (ending === undefined) {
 		return [];
 	}
 
-	const from = ending.lastFaultAt + recoveryMs;
-	const late = calls.filter(call => call.sentAt >= from && !call.hasLeft && isOwed(call.status));
+	const from = ending.lastFaultAt + maxRecoveryMs;
+	const afterRecovery = calls.filter(call => call.sentAt >= from && !call.hasLeft && isCounted(call.status));
 	return [...ending.ready].flatMap(([node, isReady]) => {
-		const own = late.filter(call => call.node === node);
+		const own = afterRecovery.filter(call => call.node === node);
 		const served = own.filter(({status}) => status === 200).length;
-		const hasRecovered = isReady && served >= leastServed * own.length && own.length > 0;
+		const hasRecovered = isReady && served >= minServedShare * own.length && own.length > 0;
 		return hasRecovered
 			? []
 			: [{
--- a/soak/checks/find-violations.ts
+++ b/soak/checks/find-violations.ts
@@ -1,5 +1,5 @@
 /**
- * Every check of a soak.
+ * Runs all checks of a soak.
  *
  * @module
  */
@@ -7,25 +7,27 @@
 import {checkAnswers} from './check-answers.js';
 import {checkLosses} from './check-losses.js';
 import {checkProcesses, checkRecovery} from './check-processes.js';
-import {checkDrains, checkRuns, checkUnasked} from './check-runs.js';
-import {checkVersions, type VersionBounds} from './check-versions.js';
+import {checkDrains, checkRuns, checkUnsentRequests} from './check-runs.js';
+import {checkVersions, type VersionCheckSettings} from './check-versions.js';
 
-/** What checks need to know beside the record. */
-export type CheckSettings = VersionBounds & {
-	/** The service of the server beside a node. */
-	readonly getService: (node: string) => string;
+/** Settings of the checks. */
+export type CheckSettings = VersionCheckSettings & {
+	/** Returns the service of the backend server beside a node. */
+	readonly getNodeService: (node: string) => string;
 };
 
 /**
- * @param record - What was seen.
- * @param settings - What the checks need beside it.
- * @returns Promises that were broken, in order of time.
+ * Finds all violations.
+ *
+ * @param record - What was observed.
+ * @param settings - Settings of the checks.
+ * @returns The violations, in order of time.
  */
 export function findViolations(record: SoakRecord, settings: CheckSettings): readonly Violation[] {
 	return [
 		...checkAnswers(record),
-		...checkRuns(record, settings.getService),
-		...checkUnasked(record),
+		...checkRuns(record, settings.getNodeService),
+		...checkUnsentRequests(record),
 		...checkDrains(record),
 		...checkVersions(record, settings),
 		...checkLosses(record),
--- a/soak/plan.ts
+++ b/soak/plan.ts
@@ -1,50 +1,51 @@
 /**
- * The plan of a soak: which fault begins when, and for how long. The seed alone
- * repeats it.
+ * The plan of a soak: which fault begins when, and for how long. It is generated
+ * from the seed, so the same parameters always give the same plan.
  *
  * @module
  */
 import {randomExponential, randomLcg} from 'd3-random';
 import {type PlatformServerBehaviour} from '../stand-ins/platform-server/platform-server.js';
 import {type LinkMode} from './link-proxy.js';
-import {mostChanges} from './soak-config.js';
+import {maxConfigChanges} from './soak-config.js';
 
-/** How the store treats everybody. */
-const storeFaults = ['busy', 'many', 'reset', 'silent', 'lost', 'slow', 'deaf'] as const;
-export type StoreTrouble = typeof storeFaults[number];
+/** How the store treats the calls of all nodes while a fault lasts. */
+const storeFaultModes = ['busy', 'many', 'reset', 'silent', 'lost', 'slow', 'deaf'] as const;
+export type StoreFaultMode = typeof storeFaultModes[number];
 
-/** What happens to the store at once. */
+/** Faults of the store that happen at one moment. */
 const storeEvents = ['leases-end', 'history-forgotten', 'watches-muted'] as const;
 export type StoreEvent = typeof storeEvents[number];
 
-const linkModes: ReadonlyArray<Exclude<LinkMode, 'pass'>> = ['delay', 'reset', 'cut-to-server', 'cut-to-client', 'silence', 'turn-away'];
+const faultyLinkModes: ReadonlyArray<Exclude<LinkMode, 'pass'>> = ['delay', 'reset', 'cut-to-server', 'cut-to-client', 'silence', 'turn-away'];
 
 const misbehaviours: readonly PlatformServerBehaviour[] = [
 	'lose', 'truncate', 'foreign', 'extra', 'unframed', 'unframed-reset', 'unframed-cut', 'shed', 'fail', 'unsigned', 'garbage', 'hang',
 ];
 
-/** What goes wrong. `node` is an index; so is it for faults of the backend server beside that node. */
+/** A fault. `node` is the index of a node; for faults of a backend server, of the node beside it. */
 export type FaultAction =
 	| {readonly type: 'pause'; readonly node: number; readonly forMs: number}
 	| {readonly type: 'kill'; readonly node: number; readonly forMs: number}
 	| {readonly type: 'stop'; readonly node: number; readonly forMs: number}
-	/** SIGHUP several times in a row; the file may have become unreadable before. */
+	/** SIGHUP several times in a row; the settings file may be malformed at that time. */
 	| {readonly type: 'hang-up'; readonly node: number; readonly times: number; readonly isUnreadable: boolean}
 	| {readonly type: 'store-link'; readonly node: number; readonly mode: Exclude<LinkMode, 'pass'>; readonly forMs: number}
 	| {readonly type: 'server-link'; readonly node: number; readonly mode: Exclude<LinkMode, 'pass' | 'turn-away'>; readonly forMs: number}
-	| {readonly type: 'store'; readonly trouble: StoreTrouble; readonly forMs: number}
+	| {readonly type: 'store'; readonly trouble: StoreFaultMode; readonly forMs: number}
 	| {readonly type: 'store-event'; readonly event: StoreEvent}
-	/** The store goes away, and comes back from a copy of so many milliseconds before. */
+	/** The store is unavailable for `forMs`, then is restored from a backup taken `ageMs` before it became unavailable. */
 	| {readonly type: 'store-restored'; readonly ageMs: number; readonly forMs: number}
 	| {readonly type: 'server-crash'; readonly node: number; readonly times: number; readonly forMs: number; readonly keepsId: boolean}
 	| {readonly type: 'server-slow'; readonly node: number; readonly workMs: number; readonly forMs: number}
 	| {readonly type: 'server-misbehave'; readonly node: number; readonly behaviours: readonly PlatformServerBehaviour[]}
-	/** Says that it has more slots than it has. */
+	/** Announces more slots than the server has. */
 	| {readonly type: 'server-lie'; readonly node: number; readonly forMs: number}
-	/** Its heartbeats arrive late, or not at all. */
+	/** Heartbeats of the server arrive late. */
 	| {readonly type: 'server-late'; readonly node: number; readonly delayMs: number; readonly forMs: number}
+	/** The server sends no heartbeats. */
 	| {readonly type: 'server-silent'; readonly node: number; readonly forMs: number}
-	/** Leaves in good order; another one comes in its place. */
+	/** The server drains and leaves; a server with a new id replaces it. */
 	| {readonly type: 'server-drain'; readonly node: number; readonly saysDraining: boolean; readonly forMs: number}
 	| {readonly type: 'foreign-entry'; readonly value: number}
 	| {readonly type: 'foreign-heartbeat'; readonly node: number; readonly value: number}
@@ -57,89 +58,88 @@
 	readonly seconds: number;
 	readonly nodes: number;
 	readonly faults: readonly PlannedFault[];
-	/** When each new configuration is written. */
+	/** When each new configuration is written to the store, in milliseconds since the start. */
 	readonly changesAtMs: readonly number[];
 };
 
-/** What is played. */
-export type SoakSize = {readonly seed: number; readonly seconds: number; readonly nodes: number};
+/** Parameters that determine a plan. */
+export type SoakParameters = {readonly seed: number; readonly seconds: number; readonly nodes: number};
 
-/** Milliseconds without faults: at the start until all know one another, at the end so that the mesh can recover. */
-export const quietMs = {start: 3000, end: 12_000} as const;
+/** Milliseconds without faults: at the start until all nodes have joined, at the end so that the mesh can recover. */
+export const faultFreeMs = {start: 3000, end: 12_000} as const;
 
-/** Faults a second, for each node. */
-const faultsPerNodeAndSecond = 0.2;
+const faultsPerNodePerSecond = 0.2;
 
 const changesPerSecond = 0.4;
 
-/** Returns of the store from a copy a second. */
+/** Restores of the store from a backup, per second. */
 const restoresPerSecond = 0.03;
 
-/** Faults last from this long to this long. Milliseconds. */
-const shortest = 200;
-const longest = 5000;
+/** Faults last between these times. */
+const shortestFaultMs = 200;
+const longestFaultMs = 5000;
 
-/** Other writers' values, see `listForeignValues`; the index wraps. */
-const foreignValues = 64;
+/** Exclusive upper bound of the index of an invalid value; an index beyond the list of these values wraps around. */
+const invalidValueIndexBound = 64;
 
-type Draw = {
-	readonly pickBelow: (below: number) => number;
+type RandomPicker = {
+	readonly pickInteger: (below: number) => number;
 	readonly pickOne: <Value>(values: readonly Value[]) => Value;
-	readonly pickTime: () => number;
+	readonly pickDurationMs: () => number;
 };
 
-function createDraw(random: () => number): Draw {
-	const pickBelow = (below: number): number => Math.floor(random() * below);
+function createRandomPicker(random: () => number): RandomPicker {
+	const pickInteger = (below: number): number => Math.floor(random() * below);
 	return {
-		pickBelow,
-		pickOne: values => values[pickBelow(values.length)]!,
-		pickTime: () => shortest + pickBelow(longest - shortest),
+		pickInteger,
+		pickOne: values => values[pickInteger(values.length)]!,
+		pickDurationMs: () => shortestFaultMs + pickInteger(longestFaultMs - shortestFaultMs),
 	};
 }
 
-/** How often each kind of fault is drawn, against the others. */
-const kinds: ReadonlyArray<readonly [number, (draw: Draw, node: number) => FaultAction]> = [
-	[5, (draw, node) => ({type: 'pause', node, forMs: draw.pickTime()})],
-	[5, (draw, node) => ({type: 'kill', node, forMs: draw.pickTime()})],
-	[7, (draw, node) => ({type: 'stop', node, forMs: draw.pickTime()})],
-	[4, (draw, node) => ({
-		type: 'hang-up', node, times: 1 + draw.pickBelow(3), isUnreadable: draw.pickBelow(3) === 0,
+/** The relative frequency of each kind of fault, and the function that generates one. */
+const faultGenerators: ReadonlyArray<readonly [number, (picker: RandomPicker, node: number) => FaultAction]> = [
+	[5, (picker, node) => ({type: 'pause', node, forMs: picker.pickDurationMs()})],
+	[5, (picker, node) => ({type: 'kill', node, forMs: picker.pickDurationMs()})],
+	[7, (picker, node) => ({type: 'stop', node, forMs: picker.pickDurationMs()})],
+	[4, (picker, node) => ({
+		type: 'hang-up', node, times: 1 + picker.pickInteger(3), isUnreadable: picker.pickInteger(3) === 0,
 	})],
-	[6, (draw, node) => ({
-		type: 'store-link', node, mode: draw.pickOne(linkModes), forMs: draw.pickTime(),
+	[6, (picker, node) => ({
+		type: 'store-link', node, mode: picker.pickOne(faultyLinkModes), forMs: picker.pickDurationMs(),
 	})],
-	[4, (draw, node) => ({
-		type: 'server-link', node, mode: draw.pickOne(['delay', 'reset', 'cut-to-server', 'cut-to-client', 'silence']), forMs: draw.pickTime(),
+	[4, (picker, node) => ({
+		type: 'server-link', node, mode: picker.pickOne(['delay', 'reset', 'cut-to-server', 'cut-to-client', 'silence']), forMs: picker.pickDurationMs(),
 	})],
-	[4, draw => ({type: 'store', trouble: draw.pickOne(storeFaults), forMs: draw.pickTime()})],
-	[2, draw => ({type: 'store-event', event: draw.pickOne(storeEvents)})],
-	[6, (draw, node) => ({
-		type: 'server-crash', node, times: draw.pickBelow(4) === 0 ? 3 : 1, forMs: Math.round(draw.pickTime() / 2), keepsId: draw.pickBelow(2) === 0,
+	[4, picker => ({type: 'store', trouble: picker.pickOne(storeFaultModes), forMs: picker.pickDurationMs()})],
+	[2, picker => ({type: 'store-event', event: picker.pickOne(storeEvents)})],
+	[6, (picker, node) => ({
+		type: 'server-crash', node, times: picker.pickInteger(4) === 0 ? 3 : 1, forMs: Math.round(picker.pickDurationMs() / 2), keepsId: picker.pickInteger(2) === 0,
 	})],
-	[3, (draw, node) => ({
-		type: 'server-slow', node, workMs: 100 + draw.pickBelow(900), forMs: draw.pickTime(),
+	[3, (picker, node) => ({
+		type: 'server-slow', node, workMs: 100 + picker.pickInteger(900), forMs: picker.pickDurationMs(),
 	})],
-	[6, (draw, node) => ({type: 'server-misbehave', node, behaviours: Array.from({length: 1 + draw.pickBelow(4)}, () => draw.pickOne(misbehaviours))})],
-	[2, (draw, node) => ({type: 'server-lie', node, forMs: draw.pickTime()})],
-	[3, (draw, node) => ({
-		type: 'server-late', node, delayMs: draw.pickTime(), forMs: draw.pickTime(),
+	[6, (picker, node) => ({type: 'server-misbehave', node, behaviours: Array.from({length: 1 + picker.pickInteger(4)}, () => picker.pickOne(misbehaviours))})],
+	[2, (picker, node) => ({type: 'server-lie', node, forMs: picker.pickDurationMs()})],
+	[3, (picker, node) => ({
+		type: 'server-late', node, delayMs: picker.pickDurationMs(), forMs: picker.pickDurationMs(),
 	})],
-	[2, (draw, node) => ({type: 'server-silent', node, forMs: draw.pickTime()})],
-	[6, (draw, node) => ({
-		type: 'server-drain', node, saysDraining: draw.pickBelow(4) !== 0, forMs: draw.pickTime(),
+	[2, (picker, node) => ({type: 'server-silent', node, forMs: picker.pickDurationMs()})],
+	[6, (picker, node) => ({
+		type: 'server-drain', node, saysDraining: picker.pickInteger(4) !== 0, forMs: picker.pickDurationMs(),
 	})],
-	[1, draw => ({type: 'foreign-entry', value: draw.pickBelow(foreignValues)})],
-	[2, (draw, node) => ({type: 'foreign-heartbeat', node, value: draw.pickBelow(foreignValues)})],
-	[2, (draw, node) => ({type: 'foreign-datagram', node, value: draw.pickBelow(foreignValues)})],
+	[1, picker => ({type: 'foreign-entry', value: picker.pickInteger(invalidValueIndexBound)})],
+	[2, (picker, node) => ({type: 'foreign-heartbeat', node, value: picker.pickInteger(invalidValueIndexBound)})],
+	[2, (picker, node) => ({type: 'foreign-datagram', node, value: picker.pickInteger(invalidValueIndexBound)})],
 ];
 
-const weights = kinds.flatMap(([weight], index) => Array.from({length: weight}, () => index));
+const weightedGeneratorIndexes = faultGenerators.flatMap(([weight], index) => Array.from({length: weight}, () => index));
 
-/** Times of events that come at random, so often a second, within the time for faults. */
-function listTimes(random: () => number, perSecond: number, untilMs: number): readonly number[] {
-	const pause = randomExponential.source(random)(perSecond / 1000);
+/** Returns the times of a Poisson process with the given rate, in milliseconds, between the fault-free times. */
+function pickPoissonTimes(random: () => number, perSecond: number, untilMs: number): readonly number[] {
+	const pickIntervalMs = randomExponential.source(random)(perSecond / 1000);
 	const times: number[] = [];
-	for (let at = quietMs.start + pause(); at < untilMs; at += pause()) {
+	for (let at = faultFreeMs.start + pickIntervalMs(); at < untilMs; at += pickIntervalMs()) {
 		times.push(Math.round(at));
 	}
 
@@ -147,25 +147,27 @@
 }
 
 /**
- * @param size - What is played.
- * @returns The plan, which the same size always repeats.
+ * Generates the plan of a soak.
+ *
+ * @param parameters - Seed, duration and number of nodes.
+ * @returns The plan; the same parameters always give the same plan.
  */
-export function planSoak({seed, seconds, nodes}: SoakSize): SoakPlan {
-	// Seeds that follow one another give like first draws.
+export function planSoak({seed, seconds, nodes}: SoakParameters): SoakPlan {
+	// The linear congruential generator gives similar first numbers for consecutive seeds, so the seed is spread out first.
 	const random = randomLcg(((seed * 2_654_435_761) % 4_294_967_296) / 4_294_967_296);
-	const draw = createDraw(random);
-	const randomOfRestores = randomLcg(((seed * 40_503) % 65_536) / 65_536);
-	const drawOfRestores = createDraw(randomOfRestores);
-	const untilMs = (seconds * 1000) - quietMs.end;
-	const faults = listTimes(random, faultsPerNodeAndSecond * nodes, untilMs).map((atMs): PlannedFault => {
-		const [, pick] = kinds[draw.pickOne(weights)]!;
-		return {...pick(draw, draw.pickBelow(nodes)), atMs};
+	const picker = createRandomPicker(random);
+	const restoreRandom = randomLcg(((seed * 40_503) % 65_536) / 65_536);
+	const restorePicker = createRandomPicker(restoreRandom);
+	const untilMs = (seconds * 1000) - faultFreeMs.end;
+	const faults = pickPoissonTimes(random, faultsPerNodePerSecond * nodes, untilMs).map((atMs): PlannedFault => {
+		const [, createFault] = faultGenerators[picker.pickOne(weightedGeneratorIndexes)]!;
+		return {...createFault(picker, picker.pickInteger(nodes)), atMs};
 	});
-	// Drawn apart, so that seeds go on playing what they played before there were such.
-	const restores = listTimes(randomOfRestores, restoresPerSecond, untilMs).map((atMs): PlannedFault => ({
-		type: 'store-restored', ageMs: drawOfRestores.pickTime(), forMs: Math.round(drawOfRestores.pickTime() / 4), atMs,
+	// Restores have a random generator of their own, so that the other faults of a seed do not depend on them.
+	const restores = pickPoissonTimes(restoreRandom, restoresPerSecond, untilMs).map((atMs): PlannedFault => ({
+		type: 'store-restored', ageMs: restorePicker.pickDurationMs(), forMs: Math.round(restorePicker.pickDurationMs() / 4), atMs,
 	}));
-	const changesAtMs = listTimes(random, changesPerSecond, untilMs).slice(0, mostChanges);
+	const changesAtMs = pickPoissonTimes(random, changesPerSecond, untilMs).slice(0, maxConfigChanges);
 	return {
 		seed, seconds, nodes, changesAtMs, faults: [...faults, ...restores].toSorted((left, right) => left.atMs - right.atMs),
 	};
