--- a/bench/experiment/policy.ts
+++ b/bench/experiment/policy.ts
@@ -13,7 +13,7 @@
 /** A set of rules. */
 export type Policy = {
 	readonly name: string;
-	readonly computeWait: ComputeMaxWaitMs;
+	readonly computeMaxWaitMs: ComputeMaxWaitMs;
 	/** Number of gates that are tried without waiting before a request may wait at one. */
 	readonly immediateTries: number;
 	/** A waiting request is evicted after its allowed wait multiplied by this factor. */
@@ -44,17 +44,17 @@
 const delayByShare = (share: number): typeof computeRetryAfterMs => ({waitMs, targetLatencyMs}, random) => Math.max(waitMs, targetLatencyMs * share) * (1 + (0.5 * random()));
 
 const standard: Policy = {
-	name: 'standard', computeWait: computeMaxWaitMs, immediateTries: standardRules.immediateTries, maximumWaitFactor: 2, areCallsKnown: true,
+	name: 'standard', computeMaxWaitMs, immediateTries: standardRules.immediateTries, maximumWaitFactor: 2, areCallsKnown: true,
 	computeRetryDelayMs: computeRetryAfterMs, computeThresholds: computeRankingThresholds,
 };
 
 /** The sets of rules that can be compared. The first one is that of real nodes. */
 export const policies: readonly Policy[] = [
 	standard,
-	{...standard, name: 'waits by share of the time left', computeWait: computeWaitByShare},
-	{...standard, name: 'late calls wait too', computeWait: computeLateWait},
-	{...standard, name: 'waits as long as in time', computeWait: computeInTimeWait},
-	{...standard, name: 'nobody waits but calls', computeWait: waitOnlyIfNested},
+	{...standard, name: 'waits by share of the time left', computeMaxWaitMs: computeWaitByShare},
+	{...standard, name: 'late calls wait too', computeMaxWaitMs: computeLateWait},
+	{...standard, name: 'waits as long as in time', computeMaxWaitMs: computeInTimeWait},
+	{...standard, name: 'nobody waits but calls', computeMaxWaitMs: waitOnlyIfNested},
 	{...standard, name: 'asked to wait at the first gate', immediateTries: 0},
 	{...standard, name: 'four gates asked at once', immediateTries: 4},
 	{...standard, name: 'put out when the estimate was wrong', maximumWaitFactor: 1},
@@ -62,6 +62,6 @@
 	{...standard, name: 'calls of servers not known', areCallsKnown: false},
 	{...standard, name: 'back after 0.15 objectives', computeRetryDelayMs: delayByShare(0.15)},
 	{...standard, name: 'back after 2 objectives', computeRetryDelayMs: delayByShare(2)},
-	{...standard, name: 'every millisecond counts', computeThresholds: (...facts) => ({...computeRankingThresholds(...facts), fastEnoughMs: 0})},
-	{...standard, name: 'distance does not count', computeThresholds: (...facts) => ({...computeRankingThresholds(...facts), otherNodePenaltyMs: 0, crossDomainPenaltyMs: 0})},
+	{...standard, name: 'every millisecond counts', computeThresholds: (...parameters) => ({...computeRankingThresholds(...parameters), fastEnoughMs: 0})},
+	{...standard, name: 'distance does not count', computeThresholds: (...parameters) => ({...computeRankingThresholds(...parameters), otherNodePenaltyMs: 0, crossDomainPenaltyMs: 0})},
 ];
--- a/demo/callers.ts
+++ b/demo/callers.ts
@@ -15,7 +15,7 @@
 export type CallerCounts = {
 	readonly calls: number;
 	/** Responses with status 200 that are complete and belong to their request. */
-	readonly whole: number;
+	readonly complete: number;
 	/** Responses with status 200 and any other body. */
 	readonly wrong: number;
 	/** Other responses with the verdict `not-run`. */
@@ -49,7 +49,7 @@
 	const avoided = new Set<string>();
 	const inFlight = new Map<string, number>();
 	let counts: CallerCounts = {
-		calls: 0, whole: 0, wrong: 0, notRun: 0, mayHaveRun: 0, lost: 0,
+		calls: 0, complete: 0, wrong: 0, notRun: 0, mayHaveRun: 0, lost: 0,
 	};
 	let isStopping = false;
 
@@ -65,7 +65,7 @@
 			const reply = await sendRequest(`http://${node.callers}${path}`, {dispatcher: agent});
 			const body = await reply.body.text();
 			if (reply.statusCode === 200) {
-				add(body === createPage(path) ? 'whole' : 'wrong');
+				add(body === createPage(path) ? 'complete' : 'wrong');
 			} else {
 				add(reply.headers['stonemoor-verdict'] === 'not-run' ? 'notRun' : 'mayHaveRun');
 			}
--- a/demo/main.ts
+++ b/demo/main.ts
@@ -41,8 +41,8 @@
 	process.stdout.write(`${((Date.now() - startedAt) / 1000).toFixed(2).padStart(7)} s  ${text}\n`);
 }
 
-function check(isKept: boolean, promise: string): void {
-	if (!isKept) {
+function check(isMet: boolean, promise: string): void {
+	if (!isMet) {
 		brokenPromises.push(promise);
 		printStep(`BROKEN: ${promise}`);
 	}
@@ -57,8 +57,8 @@
 
 /** Waits until callers have received `answersPerCheck` more complete responses. */
 async function waitForCalls(callers: Callers): Promise<void> {
-	const {whole} = callers.getCounts();
-	check(await waitUntil(() => callers.getCounts().whole >= whole + answersPerCheck, 10_000), `callers get ${answersPerCheck} complete responses within 10 s`);
+	const {complete} = callers.getCounts();
+	check(await waitUntil(() => callers.getCounts().complete >= complete + answersPerCheck, 10_000), `callers get ${answersPerCheck} complete responses within 10 s`);
 }
 
 function registerProcess(running: RunningProcess): RunningProcess {
@@ -200,7 +200,7 @@
 	check(new Set(outcome.versions).size === 1, 'every node has the same version in force');
 	const rows: ReadonlyArray<readonly [string, string]> = [
 		['calls for pages', String(counts.calls)],
-		['  complete responses', String(counts.whole)],
+		['  complete responses', String(counts.complete)],
 		['  wrong responses', String(counts.wrong)],
 		['  verdict "not-run"', String(counts.notRun)],
 		['  verdict "may-have-run"', String(counts.mayHaveRun)],
--- a/scenarios/steps/call-steps.ts
+++ b/scenarios/steps/call-steps.ts
@@ -58,12 +58,12 @@
 
 defineStep('no caller gets a wrong page with status 200', ({answers}) => {
 	for (const {path, answer} of answers) {
-		assert.ok(answer.isCut || answer.status !== 200 || answer.body === createPage(path), path);
+		assert.ok(answer.isTruncated || answer.status !== 200 || answer.body === createPage(path), path);
 	}
 });
 
 defineStep('at least 1 and at most {int} responses are incomplete', ({answers}, count: number) => {
-	const cut = answers.filter(({answer}) => answer.isCut).length;
+	const cut = answers.filter(({answer}) => answer.isTruncated).length;
 	assert.ok(cut > 0 && cut <= count, `${cut} responses are incomplete`);
 });
 
@@ -139,7 +139,7 @@
 
 defineStep('the caller gets status {int} or its connection is closed', (state, status: number) => {
 	const answer = getLastAnswer(state);
-	assert.ok(answer.isCut || answer.status === status, JSON.stringify(answer));
+	assert.ok(answer.isTruncated || answer.status === status, JSON.stringify(answer));
 });
 
 defineStep('the caller gets a Retry-After header', state => {
--- a/scenarios/world.ts
+++ b/scenarios/world.ts
@@ -43,7 +43,7 @@
 	readonly body: string;
 	readonly retryAfter: string | undefined;
 	/** Whether the connection failed before the complete response. `status` is 0 then. */
-	readonly isCut: boolean;
+	readonly isTruncated: boolean;
 	/** How long the call took. */
 	readonly milliseconds: number;
 };
@@ -261,12 +261,12 @@
 					verdict: String(reply.headers['stonemoor-verdict']),
 					retryAfter: reply.headers['retry-after'] as string | undefined,
 					body: await reply.body.text(),
-					isCut: false,
+					isTruncated: false,
 					milliseconds: Date.now() - startedAt,
 				};
 			} catch {
 				return {
-					status: 0, verdict: 'may-have-run', body: '', retryAfter: undefined, isCut: true, milliseconds: Date.now() - startedAt,
+					status: 0, verdict: 'may-have-run', body: '', retryAfter: undefined, isTruncated: true, milliseconds: Date.now() - startedAt,
 				};
 			}
 		},
--- a/scripts/faults.ts
+++ b/scripts/faults.ts
@@ -170,7 +170,7 @@
 	{
 		promise: 'sidecar: a node that shuts down stays until answers have left',
 		file: `${library}/sidecar/sidecar.js`,
-		from: ' + entry.countUnsentAnswers() + gateServer.countUnsent()',
+		from: ' + entry.countUnsentAnswers() + gateServer.countUnsentResponses()',
 		to: '',
 		tests: 'platform',
 	},
@@ -261,14 +261,14 @@
 	{
 		promise: 'sidecar: the server that is meant is named',
 		file: `${library}/forwarding/server-session.js`,
-		from: '[wire.expectedServer]: lifetime.id,',
+		from: '[headerNames.expectedServer]: lifetime.id,',
 		to: '',
 		tests: 'platform',
 	},
 	{
 		promise: 'sidecar: the service of the caller cannot be forged',
 		file: `${library}/forwarding/server-session.js`,
-		from: '[wire.callerService]: call.callerService,',
+		from: '[headerNames.callerService]: call.callerService,',
 		to: '',
 		tests: 'platform',
 	},
@@ -737,7 +737,7 @@
 	{
 		promise: 'quarantine: a crash accuses what was in work',
 		file: `${library}/forwarding/server-session.js`,
-		from: 'context.quarantine.recordCrash(lifetime, atWork.map(({ fingerprint }) => fingerprint));',
+		from: 'context.quarantine.recordCrash(lifetime, inFlight.map(({ fingerprint }) => fingerprint));',
 		to: '',
 		tests: 'platform/crashing-requests.test.js',
 	},
--- a/src/lib/admission/gate-state.ts
+++ b/src/lib/admission/gate-state.ts
@@ -80,11 +80,11 @@
 	return workClass === 'interactive' || state.inUse.bulk < bulkSlots;
 }
 
-function takeSlot(state: GateState, workClass: WorkClass): GateState {
+function acquireSlot(state: GateState, workClass: WorkClass): GateState {
 	return {...state, inUse: {...state.inUse, [workClass]: state.inUse[workClass] + 1}};
 }
 
-function estimateWait(state: GateState, workClass: WorkClass): number {
+function estimateWaitMs(state: GateState, workClass: WorkClass): number {
 	const ahead = state.queue.filter(waiting => waiting.workClass === workClass).length;
 	return (ahead + 1) * state.serviceMs / Math.max(1, state.slots);
 }
@@ -102,14 +102,14 @@
 	const {workClass, arrivedAt} = request;
 	const isFirst = !state.queue.some(waiting => waiting.workClass === workClass);
 	if (isFirst && hasSlot(state, settings, workClass)) {
-		return {state: takeSlot(state, workClass), admission: {type: 'run'}};
+		return {state: acquireSlot(state, workClass), admission: {type: 'run'}};
 	}
 
-	const wait = estimateWait(state, workClass);
-	const retryAfterMs = Math.max(minimumRetryAfterMs, Math.ceil(wait));
+	const waitMs = estimateWaitMs(state, workClass);
+	const retryAfterMs = Math.max(minimumRetryAfterMs, Math.ceil(waitMs));
 	const isQueueFull = state.queue.length >= Math.ceil(state.slots * settings.queuePerSlot);
 	const deadline = Math.min(request.deadline, arrivedAt + settings.maximumWaitMs);
-	if (isQueueFull || arrivedAt + wait > deadline) {
+	if (isQueueFull || arrivedAt + waitMs > deadline) {
 		return {state, admission: {type: 'shed', retryAfterMs}};
 	}
 
@@ -130,7 +130,7 @@
 	for (let next = findNext(current, settings, now); next !== undefined; next = findNext(current, settings, now)) {
 		const {id} = next;
 		started.push(next);
-		current = takeSlot({...current, queue: current.queue.filter(waiting => waiting.id !== id)}, next.workClass);
+		current = acquireSlot({...current, queue: current.queue.filter(waiting => waiting.id !== id)}, next.workClass);
 	}
 
 	return {state: current, started};
--- a/src/lib/calls/run-tracker.ts
+++ b/src/lib/calls/run-tracker.ts
@@ -57,8 +57,8 @@
 
 	const crashDetector = createCrashDetector<LazyFingerprint>({
 		hasEnded: async () => !isClosing() && isRefusingConnections(server.address, connectionProbeTimeoutMs),
-		handleCrash(atWork) {
-			quarantine.recordCrash({id: server.id, startedAt: recordCrashTime()}, atWork);
+		handleCrash(inFlight) {
+			quarantine.recordCrash({id: server.id, startedAt: recordCrashTime()}, inFlight);
 		},
 	});
 
--- a/src/lib/decisions/plan-attempt.test.ts
+++ b/src/lib/decisions/plan-attempt.test.ts
@@ -69,26 +69,26 @@
 });
 
 test('property: at any service, only calls that can be answered in time wait', () => {
-	fc.assert(fc.property(services, calls, (servers, facts) => {
-		const plan = planAttempt(facts, nothingYet, servers, standardRules, 1000);
+	fc.assert(fc.property(services, calls, (servers, callState) => {
+		const plan = planAttempt(callState, nothingYet, servers, standardRules, 1000);
 		if (plan.type === 'send' && plan.mayWaitMs > 0) {
-			assert.ok(facts.ageMs + plan.mayWaitMs + plan.target.view.serviceMs <= facts.targetLatencyMs);
+			assert.ok(callState.ageMs + plan.mayWaitMs + plan.target.view.serviceMs <= callState.targetLatencyMs);
 		}
 	}));
 });
 
 test('property: at any service, a call with enough time left is sent if a slot is free', () => {
-	fc.assert(fc.property(services, calls, (servers, facts) => {
+	fc.assert(fc.property(services, calls, (servers, callState) => {
 		const hasFree = servers.some(({slots, view}) => view.running + view.waiting < slots);
-		const hasTime = facts.leftMs >= 15;
+		const hasTime = callState.leftMs >= 15;
 		fc.pre(hasFree && hasTime);
-		assert.equal(planAttempt(facts, nothingYet, servers, standardRules, 1000).type, 'send');
+		assert.equal(planAttempt(callState, nothingYet, servers, standardRules, 1000).type, 'send');
 	}));
 });
 
 test('property: a call that every gate would refuse is refused without asking one', () => {
-	fc.assert(fc.property(services, calls, (servers, facts) => {
+	fc.assert(fc.property(services, calls, (servers, callState) => {
 		const busy = servers.map(server => ({...server, view: {...server.view, running: server.slots, waiting: server.slots * 3}}));
-		assert.notEqual(planAttempt(facts, nothingYet, busy, standardRules, 1000).type, 'send');
+		assert.notEqual(planAttempt(callState, nothingYet, busy, standardRules, 1000).type, 'send');
 	}));
 });
--- a/src/lib/decisions/plan-attempt.ts
+++ b/src/lib/decisions/plan-attempt.ts
@@ -52,7 +52,7 @@
 
 /** @internal */
 export type PlanRules = {
-	readonly computeWait: ComputeMaxWaitMs;
+	readonly computeMaxWaitMs: ComputeMaxWaitMs;
 	/** Number of gates that are asked for a free slot before one is asked to queue the call. */
 	readonly immediateTries: number;
 };
@@ -125,7 +125,7 @@
 }
 
 /** The rules that nodes use. @internal */
-export const standardRules: PlanRules = {computeWait: computeMaxWaitMs, immediateTries: immediateTryLimits.small};
+export const standardRules: PlanRules = {computeMaxWaitMs, immediateTries: immediateTryLimits.small};
 
 /**
  * Plans the next attempt of a call.
@@ -150,7 +150,7 @@
 		return {type: 'send', target: withFreeSlot, mayWaitMs: 0};
 	}
 
-	const waits = eligible.map(target => ({target, waitMs: estimateSlotWaitMs(target.view, target.slots, now), mayWaitMs: rules.computeWait(call, target)}));
+	const waits = eligible.map(target => ({target, waitMs: estimateSlotWaitMs(target.view, target.slots, now), mayWaitMs: rules.computeMaxWaitMs(call, target)}));
 	// The server with the shortest wait among those where the wait is acceptable.
 	const byWait = waits.toSorted((left, right) => left.waitMs - right.waitMs);
 	const best = byWait.find(({waitMs, mayWaitMs}) => waitMs <= mayWaitMs * waitToleranceFactor) ?? byWait[0];
--- a/src/lib/decisions/slot-queue.test.ts
+++ b/src/lib/decisions/slot-queue.test.ts
@@ -76,7 +76,7 @@
 
 test('property: no more requests run than there are slots, none is lost, and no slot is idle while a request that is in time waits', () => {
 	const step = fc.oneof(
-		fc.record({type: fc.constant('arrive' as const), rank: fc.integer({min: 0, max: 3}), patience: fc.integer({min: 0, max: 500})}),
+		fc.record({type: fc.constant('arrive' as const), rank: fc.integer({min: 0, max: 3}), maxWaitMs: fc.integer({min: 0, max: 500})}),
 		fc.record({type: fc.constant('end' as const)}),
 		fc.record({type: fc.constant('resize' as const), slots: fc.integer({min: 1, max: 4})}),
 	);
@@ -88,7 +88,7 @@
 		for (const [id, event] of steps.entries()) {
 			now += 10;
 			if (event.type === 'arrive') {
-				const admitted = admitToQueue(queue, createRequest(id, event.rank, now + event.patience), now);
+				const admitted = admitToQueue(queue, createRequest(id, event.rank, now + event.maxWaitMs), now);
 				queue = admitted.queue;
 				if (admitted.decision.type !== 'full') {
 					open.add(id);
--- a/src/lib/decisions/slot-queue.ts
+++ b/src/lib/decisions/slot-queue.ts
@@ -94,9 +94,9 @@
 		return {queue: {...queue, running: queue.running + 1}, decision: {type: 'run'}};
 	}
 
-	const wait = estimateWaitMs(queue, request.rank);
-	if (now + wait > request.startBy) {
-		return {queue, decision: {type: 'full', retryAfterMs: Math.max(minRetryAfterMs, Math.ceil(wait))}};
+	const waitMs = estimateWaitMs(queue, request.rank);
+	if (now + waitMs > request.startBy) {
+		return {queue, decision: {type: 'full', retryAfterMs: Math.max(minRetryAfterMs, Math.ceil(waitMs))}};
 	}
 
 	const waiting = insertByRank(queue.waiting, request);
@@ -106,7 +106,7 @@
 
 	const evicted = waiting.at(-1);
 	if (evicted?.id === request.id) {
-		return {queue, decision: {type: 'full', retryAfterMs: Math.max(minRetryAfterMs, Math.ceil(wait))}};
+		return {queue, decision: {type: 'full', retryAfterMs: Math.max(minRetryAfterMs, Math.ceil(waitMs))}};
 	}
 
 	return {queue: {...queue, waiting: waiting.slice(0, -1)}, decision: {type: 'wait', evicted}};
--- a/src/lib/distribution/configuration-keeper.ts
+++ b/src/lib/distribution/configuration-keeper.ts
@@ -29,7 +29,7 @@
 	readonly raiseFloor: (version: number) => void;
 	/** Applies deltas in order up to the first that cannot be applied. */
 	readonly applyDeltas: (deltas: readonly Delta[], from: string) => Result<void, ApplyError>;
-	readonly applyImage: (image: BucketUpdate, from: string) => Result<void, ApplyError>;
+	readonly applyUpdate: (update: BucketUpdate, from: string) => Result<void, ApplyError>;
 	/** Puts a version in force that was read from the store and verified, if it is newer. */
 	readonly applyIfNewer: (configuration: Configuration, deltas: readonly Delta[], from: string) => void;
 	/** Returns the deltas after a version, or `undefined` if they are no longer in the log. */
@@ -105,7 +105,7 @@
 			replaceIfNewer(current, applied, from);
 			return failure === undefined ? ok() : err(failure);
 		},
-		applyImage: (image, from) => applyBucketUpdate(configuration, image)
+		applyUpdate: (update, from) => applyBucketUpdate(configuration, update)
 			.andTee(next => {
 				replaceIfNewer(next, [], from);
 			})
--- a/src/lib/distribution/distribution-tree.test.ts
+++ b/src/lib/distribution/distribution-tree.test.ts
@@ -2,7 +2,7 @@
 import test from 'node:test';
 import fc from 'fast-check';
 import {toNodeId, type NodeId} from '../common/ids.js';
-import {findTreePlace, sortMembers} from './distribution-tree.js';
+import {findTreePosition, sortMembers} from './distribution-tree.js';
 
 test('for any member list, an update from the relay reaches each member exactly once', () => {
 	fc.assert(fc.property(fc.uniqueArray(fc.string({minLength: 1, maxLength: 8}), {minLength: 1, maxLength: 80}), fc.integer({min: 1, max: 9}), (names, fanOut) => {
@@ -10,10 +10,10 @@
 		const reached: NodeId[] = [];
 		const visit = (id: NodeId): void => {
 			reached.push(id);
-			const place = findTreePlace(order, id, fanOut);
-			assert.ok(place.children.length <= fanOut);
-			for (const child of place.children) {
-				assert.equal(findTreePlace(order, child, fanOut).parent, id);
+			const position = findTreePosition(order, id, fanOut);
+			assert.ok(position.children.length <= fanOut);
+			for (const child of position.children) {
+				assert.equal(findTreePosition(order, child, fanOut).parent, id);
 				visit(child);
 			}
 		};
@@ -29,5 +29,5 @@
 });
 
 test('a node that is not among the members is its own relay', () => {
-	assert.equal(findTreePlace([toNodeId('a')], toNodeId('b'), 8).relay, 'b');
+	assert.equal(findTreePosition([toNodeId('a')], toNodeId('b'), 8).relay, 'b');
 });
--- a/src/lib/distribution/distribution-tree.ts
+++ b/src/lib/distribution/distribution-tree.ts
@@ -9,8 +9,8 @@
 import {findBucketIndex} from '../common/digest-tree.js';
 import {type NodeId} from '../common/ids.js';
 
-/** The place of a node in the tree. @internal */
-export type TreePlace = {
+/** The position of a node in the tree. @internal */
+export type TreePosition = {
 	/** The root of the tree: the first member in the order. It watches the store. */
 	readonly relay: NodeId;
 	/** The second member in the order. It becomes the relay when the relay leaves or fails. */
@@ -34,15 +34,15 @@
 }
 
 /**
- * Computes the place of a node in the tree.
+ * Computes the position of a node in the tree.
  *
  * @param order - The members as sorted by {@link sortMembers}.
  * @param self - The node.
  * @param fanOut - Maximum number of children per node.
- * @returns The place. A node that is not among the members is its own relay.
+ * @returns The position. A node that is not among the members is its own relay.
  * @internal
  */
-export function findTreePlace(order: readonly NodeId[], self: NodeId, fanOut: number): TreePlace {
+export function findTreePosition(order: readonly NodeId[], self: NodeId, fanOut: number): TreePosition {
 	const position = order.indexOf(self);
 	const relay = order[0];
 	if (position === -1 || relay === undefined) {
--- a/src/lib/distribution/distributor.ts
+++ b/src/lib/distribution/distributor.ts
@@ -22,7 +22,7 @@
 import {type LamportClock} from '../timeline/lamport-clock.js';
 import {type Timeline} from '../timeline/timeline.js';
 import {type ConfigurationChange, type ConfigurationKeeper} from './configuration-keeper.js';
-import {findTreePlace, type TreePlace} from './distribution-tree.js';
+import {findTreePosition, type TreePosition} from './distribution-tree.js';
 import {peerTimeoutMs, type Peers} from './peers.js';
 import {
 	decodeBuckets, decodeDeltas, decodeRecords, encodeDelta, encodeRecord,
@@ -55,7 +55,7 @@
 
 /** @internal */
 export type Distributor = {
-	readonly getPlace: () => TreePlace;
+	readonly getTreePosition: () => TreePosition;
 	readonly isRelay: () => boolean;
 	/** Pushes a newer version to the children, and also to the relay if its source is `own`. */
 	readonly handleConfigurationChange: (change: ConfigurationChange) => void;
@@ -92,8 +92,8 @@
 	let pullInFlight: Promise<boolean> | undefined;
 	let isDisposed = false;
 
-	const getPlace = (): TreePlace => findTreePlace(members.listAliveMembers(domain), self, settings.fanOut);
-	const isRelay = (): boolean => getPlace().relay === self;
+	const getTreePosition = (): TreePosition => findTreePosition(members.listAliveMembers(domain), self, settings.fanOut);
+	const isRelay = (): boolean => getTreePosition().relay === self;
 	const findAddress = (id: NodeId): Address | undefined => getRecord(directory.getDirectory(), id)?.controlAddress;
 	const findRecords = (ids: readonly NodeId[]): readonly NodeRecord[] => ids.flatMap(id => getRecord(directory.getDirectory(), id) ?? []);
 
@@ -103,7 +103,7 @@
 	const listOtherDomainRelays = (): readonly NodeRecord[] => listFirstOfOtherDomains(1);
 	const listOtherDomainWatchers = (): readonly NodeRecord[] => listFirstOfOtherDomains(2);
 
-	const listChildren = (): readonly Address[] => getPlace().children.flatMap(id => findAddress(id) ?? []);
+	const listChildren = (): readonly Address[] => getTreePosition().children.flatMap(id => findAddress(id) ?? []);
 
 	const pushDeltas = async (address: Address, deltas: readonly Delta[]): Promise<void> => {
 		const request = {
@@ -122,9 +122,9 @@
 		const deltas = pendingDeltas?.items ?? [];
 		pendingDeltas = undefined;
 		const targets = new Set(listChildren());
-		const place = getPlace();
-		if (hasOwnChange && place.relay !== self) {
-			const relayAddress = findAddress(place.relay);
+		const position = getTreePosition();
+		if (hasOwnChange && position.relay !== self) {
+			const relayAddress = findAddress(position.relay);
 			if (relayAddress !== undefined) {
 				targets.add(relayAddress);
 			}
@@ -163,16 +163,16 @@
 	};
 
 	const listRecordTargets = (from: NodeId | undefined): readonly Address[] => {
-		const place = getPlace();
+		const position = getTreePosition();
 		const children = listChildren();
 		const sender = from === undefined ? undefined : getRecord(directory.getDirectory(), from);
-		if (place.relay === self) {
+		if (position.relay === self) {
 			const isFromOutside = sender !== undefined && sender.failureDomain !== domain;
 			return isFromOutside ? children : [...children, ...listOtherDomainRelays().map(record => record.controlAddress)];
 		}
 
-		const relayAddress = findAddress(place.relay);
-		return from !== place.parent && relayAddress !== undefined ? [...children, relayAddress] : children;
+		const relayAddress = findAddress(position.relay);
+		return from !== position.parent && relayAddress !== undefined ? [...children, relayAddress] : children;
 	};
 
 	const handleRecords = (records: readonly NodeRecord[], source: RecordSource): void => {
@@ -233,7 +233,7 @@
 	};
 
 	const applyPulledBuckets = (reply: PulledBuckets, from: string): boolean => decodeBuckets(reply.buckets)
-		.andThen(buckets => configuration.applyImage({
+		.andThen(buckets => configuration.applyUpdate({
 			version: reply.version,
 			digest: toDigest(reply.digest),
 			parentDigest: toDigest(reply.parentDigest),
@@ -272,7 +272,7 @@
 	};
 
 	return {
-		getPlace,
+		getTreePosition,
 		isRelay,
 		handleConfigurationChange,
 		handleRecords,
--- a/src/lib/distribution/status-collector.ts
+++ b/src/lib/distribution/status-collector.ts
@@ -20,8 +20,8 @@
 	readonly record: (from: NodeId, summary: Summary) => void;
 	/** Returns the summary of this node's subtree. */
 	readonly getOwnSummary: () => Summary;
-	/** Returns the summary of every failure domain. With `canAskRelay`, a node that is not the relay calls the relay for them. */
-	readonly getFleetSummaries: (canAskRelay: boolean) => Promise<readonly Summary[]>;
+	/** Returns the summary of every failure domain. With `mayContactRelay`, a node that is not the relay calls the relay for them. */
+	readonly getFleetSummaries: (mayContactRelay: boolean) => Promise<readonly Summary[]>;
 	/** Sets why this node may be behind, or an empty text if it is not. */
 	readonly setLagReason: (reason: string) => void;
 };
@@ -57,7 +57,7 @@
 	};
 
 	const getOwnSummary = (): Summary => {
-		const children = new Set(distributor.getPlace().children);
+		const children = new Set(distributor.getTreePosition().children);
 		const summaries = listUnexpired().filter(([node]) => children.has(node)).map(([, summary]) => summary);
 		return buildSummary({
 			failureDomain: domain, node: self, version: configuration.getConfiguration().version, reason,
@@ -76,8 +76,8 @@
 		return [getOwnSummary(), ...others.values()];
 	};
 
-	const askRelay = async (): Promise<readonly Summary[]> => {
-		const relay = getRecord(directory.getDirectory(), distributor.getPlace().relay);
+	const requestFromRelay = async (): Promise<readonly Summary[]> => {
+		const relay = getRecord(directory.getDirectory(), distributor.getTreePosition().relay);
 		if (relay === undefined) {
 			return listFleetSummaries();
 		}
@@ -101,7 +101,7 @@
 			}
 		},
 		getOwnSummary,
-		getFleetSummaries: async canAskRelay => canAskRelay && !distributor.isRelay() ? askRelay() : listFleetSummaries(),
+		getFleetSummaries: async mayContactRelay => mayContactRelay && !distributor.isRelay() ? requestFromRelay() : listFleetSummaries(),
 		setLagReason(text) {
 			reason = text;
 		},
--- a/src/lib/distribution/summary-sender.ts
+++ b/src/lib/distribution/summary-sender.ts
@@ -48,7 +48,7 @@
 				return undefined;
 			}
 
-			const {parent} = distributor.getPlace();
+			const {parent} = distributor.getTreePosition();
 			const summary = status.getOwnSummary();
 			const isRepeat = sent !== undefined && sent.parent === parent && now - sent.at < resendIntervalMs && isSameSummary(sent.summary, summary);
 			if (isRepeat) {
--- a/src/lib/distribution/summary.ts
+++ b/src/lib/distribution/summary.ts
@@ -44,14 +44,14 @@
  * @internal
  */
 export function buildSummary(own: NodeState, children: readonly Summary[]): Summary {
-	const ownPart: Summary = {
+	const ownSummary: Summary = {
 		failureDomain: own.failureDomain,
 		nodes: 1,
 		lowestVersion: own.version,
 		highestVersion: own.version,
 		laggards: [{node: own.node, version: own.version, reason: own.reason}],
 	};
-	const parts = [ownPart, ...children];
+	const parts = [ownSummary, ...children];
 	return {
 		failureDomain: own.failureDomain,
 		nodes: parts.reduce((total, part) => total + part.nodes, 0),
--- a/src/lib/forwarding/call-progress.ts
+++ b/src/lib/forwarding/call-progress.ts
@@ -63,7 +63,7 @@
 	const tried = new Set<LifetimeKey>();
 	const full = new Set<LifetimeKey>();
 	/** In the order in which the attempts started. */
-	const attemptNotes = new Map<Attempt, AttemptRecord>();
+	const attemptRecords = new Map<Attempt, AttemptRecord>();
 	let verdict: Verdict = 'not-run';
 	let arrivals = 0;
 	let refusals = 0;
@@ -82,7 +82,7 @@
 		}
 	};
 
-	const createOutcome = (result: ForwardResult): CallOutcome => ({result, verdict, attempts: [...attemptNotes.values()]});
+	const createOutcome = (result: ForwardResult): CallOutcome => ({result, verdict, attempts: [...attemptRecords.values()]});
 
 	return {
 		tried,
@@ -95,7 +95,7 @@
 		getFallback: () => fallback,
 		recordStart(attempt) {
 			tried.add(attempt.target.lifetime);
-			attemptNotes.set(attempt, describeAttempt(attempt, 'may-have-run', 'under way'));
+			attemptRecords.set(attempt, describeAttempt(attempt, 'may-have-run', 'under way'));
 		},
 		recordEnd(attempt, result) {
 			const {target, mayWaitMs} = attempt;
@@ -107,9 +107,9 @@
 			arrivals += hasArrived(result) ? 1 : 0;
 			refusals += hasArrived(result) ? 0 : 1;
 			mergeResult(result);
-			const note = describeAttempt(attempt, getVerdict(result), describeOutcome(result));
-			attemptNotes.set(attempt, note);
-			return note;
+			const record = describeAttempt(attempt, getVerdict(result), describeOutcome(result));
+			attemptRecords.set(attempt, record);
+			return record;
 		},
 		recordRefusal(failure) {
 			refusals++;
@@ -117,7 +117,7 @@
 		},
 		finish(result, superseded) {
 			for (const attempt of superseded) {
-				attemptNotes.set(attempt, describeAttempt(attempt, 'may-have-run', 'superseded'));
+				attemptRecords.set(attempt, describeAttempt(attempt, 'may-have-run', 'superseded'));
 			}
 
 			return createOutcome(result);
--- a/src/lib/forwarding/connection-scopes.ts
+++ b/src/lib/forwarding/connection-scopes.ts
@@ -13,7 +13,7 @@
 	/** Adds a call to its connection. Returns a function that removes it. */
 	readonly add: (socket: Socket, scope: CallScope) => () => void;
 	/** Returns the number of connections with response bytes that the caller has not read yet. */
-	readonly countUnsent: () => number;
+	readonly countUnsentConnections: () => number;
 	/** Closes connections without calls and without unsent response bytes. */
 	readonly closeIdle: () => void;
 };
@@ -25,7 +25,7 @@
  * @returns The number of connections with bytes that the operating system has not accepted yet.
  * @internal
  */
-export function countUnsent(sockets: Iterable<Socket>): number {
+export function countUnsentConnections(sockets: Iterable<Socket>): number {
 	let count = 0;
 	for (const {writableLength} of sockets) {
 		count += writableLength > 0 ? 1 : 0;
@@ -75,7 +75,7 @@
 				calls.delete(scope);
 			};
 		},
-		countUnsent: () => countUnsent(scopes.keys()),
+		countUnsentConnections: () => countUnsentConnections(scopes.keys()),
 		closeIdle() {
 			for (const [socket, calls] of scopes) {
 				if (calls.size === 0 && socket.writableLength === 0) {
--- a/src/lib/forwarding/entry-server.ts
+++ b/src/lib/forwarding/entry-server.ts
@@ -57,7 +57,7 @@
 	readonly isConfigOutdated: () => boolean;
 	/** Waits until the newer configuration has been applied, or for a short time at most. */
 	readonly waitForNewerConfig: () => Promise<void>;
-	readonly splitter: WeightedRoundRobin;
+	readonly weightedRoundRobin: WeightedRoundRobin;
 	readonly callerRetryDetector: CallerRetryDetector;
 	readonly nestedCallDetector: NestedCallDetector;
 	readonly log: MeshLog;
@@ -270,7 +270,7 @@
 			return;
 		}
 
-		const service = context.splitter.pick(route);
+		const service = context.weightedRoundRobin.pick(route);
 		if (service === undefined) {
 			refuseAndLog(call, version, 503, 'the route has no service with a weight above 0', unusableRouteRetryMs);
 			return;
@@ -361,7 +361,7 @@
 			server.headersTimeout = limits.headerTimeoutMs;
 		},
 		countCalls: () => calls,
-		countUnsentAnswers: connections.countUnsent,
+		countUnsentAnswers: connections.countUnsentConnections,
 		startClosing() {
 			isClosing = true;
 		},
--- a/src/lib/forwarding/full-link.test.ts
+++ b/src/lib/forwarding/full-link.test.ts
@@ -96,7 +96,7 @@
 	const gate = createGateServer({
 		gate: localGate as LocalGate,
 		getConfig: () => encodeConfigAnswer({type: 'whole', text: 'nine'}),
-		catchUp: createLoopLag().waitForPendingInput,
+		waitForPendingInput: createLoopLag().waitForPendingInput,
 		log: silentLog,
 		refusals: silentRefusalLog,
 		link: createLinkWriter(1000),
--- a/src/lib/forwarding/gate-server.test.ts
+++ b/src/lib/forwarding/gate-server.test.ts
@@ -37,7 +37,7 @@
 	};
 	const {server, dispose} = createGateServer({
 		gate: gate as Gate, getConfig: () => ({head: ['whole'], body: Buffer.alloc(configBytes)}), log: silentLog, link: createLinkWriter(1000),
-		async catchUp() {
+		async waitForPendingInput() {
 			// The event loop does not lag in this test.
 		},
 		refusals: {
--- a/src/lib/forwarding/gate-server.ts
+++ b/src/lib/forwarding/gate-server.ts
@@ -11,7 +11,7 @@
 import {type MeshLog, type RefusalCause} from '../timeline/mesh-log.js';
 import {type RefusalLog} from '../timeline/refusal-log.js';
 import {createCallScope, type CallScope} from './call-scope.js';
-import {countUnsent} from './connection-scopes.js';
+import {countUnsentConnections} from './connection-scopes.js';
 import {
 	createFrameReader, type Frame, type FrameReader,
 } from './frame.js';
@@ -27,7 +27,7 @@
 	/** Returns the response to a node that has the given version of the configuration. */
 	readonly getConfig: (version: number) => EncodedConfigAnswer;
 	/** Waits until pending input has been handled if the event loop of this process lags. */
-	readonly catchUp: LoopLag['waitForPendingInput'];
+	readonly waitForPendingInput: LoopLag['waitForPendingInput'];
 	readonly log: MeshLog;
 	readonly refusals: RefusalLog;
 	/** Writes frames at the rate of this VM's link. */
@@ -38,7 +38,7 @@
 export type GateServer = {
 	readonly server: Server;
 	/** Returns the number of queued large responses plus the number of connections with unsent bytes. */
-	readonly countUnsent: () => number;
+	readonly countUnsentResponses: () => number;
 	/** Closes each connection once the other node has read what was written to it. Resolves when all are closed, or after a timeout. */
 	readonly dispose: () => Promise<void>;
 };
@@ -91,7 +91,7 @@
  * @internal
  */
 export function createGateServer(context: GateServerContext): GateServer {
-	const {gate, getConfig, catchUp, log, refusals, link} = context;
+	const {gate, getConfig, waitForPendingInput, log, refusals, link} = context;
 	const connections = new Set<Connection>();
 	let bufferedBytes = 0;
 
@@ -106,7 +106,7 @@
 
 	const runAtGate = async (connection: Connection, frame: Frame, request: PeerRequest, incoming: IncomingRequest): Promise<GateResult> => {
 		try {
-			await catchUp();
+			await waitForPendingInput();
 			return await gate.run({
 				...request,
 				scope: incoming.scope,
@@ -251,7 +251,7 @@
 
 	return {
 		server,
-		countUnsent: () => link.countQueued() + countUnsent(Array.from(connections, ({socket}) => socket)),
+		countUnsentResponses: () => link.countQueued() + countUnsentConnections(Array.from(connections, ({socket}) => socket)),
 		async dispose() {
 			// Destroying a socket with unread input sends a reset, and the other node then loses bytes that it has not read yet. An orderly end avoids this.
 			const closed = Promise.all(Array.from(connections, async ({socket}) => new Promise(resolve => {
--- a/src/lib/forwarding/leaving-gate.test.ts
+++ b/src/lib/forwarding/leaving-gate.test.ts
@@ -35,7 +35,7 @@
 	const gate = createGateServer({
 		gate: localGate as LocalGate,
 		getConfig: () => encodeConfigAnswer(undefined),
-		catchUp: waitForNothing,
+		waitForPendingInput: waitForNothing,
 		log: silentLog,
 		refusals: {record: (refusal: unknown) => refused.push(refusal), dispose: () => undefined},
 		link: createLinkWriter(1000),
@@ -84,16 +84,16 @@
 	assert.equal(countAnswers(), 2);
 });
 
-for (const [what, isAsked] of [['the other node sends nothing more', false], ['the other node sends a ping meanwhile', true]] as const) {
+for (const [what, sendsPing] of [['the other node sends nothing more', false], ['the other node sends a ping meanwhile', true]] as const) {
 	test(`a response that counts as sent arrives although the gate shuts down, when ${what}`, async context => {
 		const {gate, socket, countAnswers, countBytes} = await startGate(context, 1_500_000);
 		socket.pause();
 		sendRequest(socket, 1);
 		await sleep(300);
-		context.diagnostic(`${gate.countUnsent()} unsent when the gate shuts down`);
-		const wasLeft = gate.countUnsent() === 0;
+		context.diagnostic(`${gate.countUnsentResponses()} unsent when the gate shuts down`);
+		const wasLeft = gate.countUnsentResponses() === 0;
 		gate.dispose();
-		if (isAsked) {
+		if (sendsPing) {
 			writeFrame(socket, {type: 'ping', id: 0});
 		}
 
--- a/src/lib/forwarding/local-gate.test.ts
+++ b/src/lib/forwarding/local-gate.test.ts
@@ -14,7 +14,7 @@
 import {type CallHeaderNames} from './call-headers.js';
 import {createLocalGate, type GateCall, type LocalGate} from './local-gate.js';
 
-const wire: CallHeaderNames = {
+const headerNames: CallHeaderNames = {
 	callId: 'x-call', timeLeft: 'x-left', expectedServer: 'x-server', callerService: 'x-caller', signature: 'x-signature', notRun: 'x-not-run',
 };
 const id = toBackendServerId('i-1');
@@ -26,7 +26,7 @@
 	/** Ids of the calls that arrived. */
 	readonly arrived: string[];
 	/** Closes all connections to the server. */
-	readonly cutAll: () => void;
+	readonly closeConnections: () => void;
 	/** Responds to the oldest unanswered call. */
 	readonly answerNext: () => void;
 	readonly announce: (changes?: Partial<ServerAnnouncement>) => void;
@@ -40,9 +40,9 @@
 	const arrived: string[] = [];
 	const open: ServerResponse[] = [];
 	const server = createServer((request, response) => {
-		arrived.push(String(request.headers[wire.callId]));
-		response.setHeader(wire.callId, String(request.headers[wire.callId]));
-		response.setHeader(wire.signature, 's');
+		arrived.push(String(request.headers[headerNames.callId]));
+		response.setHeader(headerNames.callId, String(request.headers[headerNames.callId]));
+		response.setHeader(headerNames.signature, 's');
 		open.push(response);
 	});
 	await new Promise<void>(resolve => {
@@ -51,7 +51,7 @@
 	const address = toAddress(`127.0.0.1:${(server.address() as AddressInfo).port}`);
 	const quarantine = createSilentQuarantine();
 	const gate = createLocalGate({
-		wire, log: silentLog, handleChange: () => undefined, getMaxConnections: () => 10, quarantine, isLeaving, linkMbps: 7, countQueuedBytes: () => fixture.queuedBytes,
+		headerNames, log: silentLog, handleChange: () => undefined, getMaxConnections: () => 10, quarantine, isLeaving, linkMbps: 7, countQueuedBytes: () => fixture.queuedBytes,
 	});
 	let sequence = 0;
 	const fixture: Fixture = {
@@ -59,7 +59,7 @@
 		quarantine,
 		arrived,
 		queuedBytes: 0,
-		cutAll() {
+		closeConnections() {
 			server.closeAllConnections();
 		},
 		answerNext() {
@@ -187,14 +187,14 @@
 	const sent = sameAddress.gate.run(sameAddress.createCall('first'));
 	await waitForArrival(sameAddress);
 	sameAddress.announce({lifetime: other});
-	sameAddress.cutAll();
+	sameAddress.closeConnections();
 	await sent;
 	assert.equal(sameAddress.quarantine.check(fingerprint).type, 'trial');
 	const moved = await createFixture(context);
 	const sentThere = moved.gate.run(moved.createCall('first'));
 	await waitForArrival(moved);
 	moved.announce({lifetime: other, address: toAddress('127.0.0.1:9')});
-	moved.cutAll();
+	moved.closeConnections();
 	await sentThere;
 	assert.equal(moved.quarantine.check(fingerprint).type, 'free');
 });
@@ -352,15 +352,15 @@
 			return;
 		}
 
-		response.setHeader(wire.callId, String(request.headers[wire.callId]));
-		response.setHeader(wire.signature, 's');
+		response.setHeader(headerNames.callId, String(request.headers[headerNames.callId]));
+		response.setHeader(headerNames.signature, 's');
 		setTimeout(() => response.end('page'), 30);
 	});
 	await new Promise<void>(resolve => {
 		server.listen(0, '127.0.0.1', resolve);
 	});
 	const gate = createLocalGate({
-		wire, log: silentLog, handleChange: () => undefined, getMaxConnections: () => 10, quarantine: createSilentQuarantine(), isLeaving: () => false, linkMbps: 7, countQueuedBytes: () => 0,
+		headerNames, log: silentLog, handleChange: () => undefined, getMaxConnections: () => 10, quarantine: createSilentQuarantine(), isLeaving: () => false, linkMbps: 7, countQueuedBytes: () => 0,
 	});
 	context.after(() => {
 		gate.dispose();
@@ -434,7 +434,7 @@
 		server.listen(0, '127.0.0.1', resolve);
 	});
 	const gate = createLocalGate({
-		wire, log: silentLog, handleChange: () => undefined, getMaxConnections: () => 10, quarantine: createSilentQuarantine(), isLeaving: () => false, linkMbps: 7, countQueuedBytes: () => 0,
+		headerNames, log: silentLog, handleChange: () => undefined, getMaxConnections: () => 10, quarantine: createSilentQuarantine(), isLeaving: () => false, linkMbps: 7, countQueuedBytes: () => 0,
 	});
 	context.after(() => {
 		gate.dispose();
--- a/src/lib/forwarding/local-gate.ts
+++ b/src/lib/forwarding/local-gate.ts
@@ -48,7 +48,7 @@
 
 /** @internal */
 export type LocalGateContext = {
-	readonly wire: CallHeaderNames;
+	readonly headerNames: CallHeaderNames;
 	readonly log: MeshLog;
 	/** Called when a change should be announced to the other nodes at once. */
 	readonly handleChange: () => void;
@@ -87,7 +87,7 @@
  * @internal
  */
 export function createLocalGate(context: LocalGateContext): LocalGate {
-	const {wire, log, handleChange, quarantine} = context;
+	const {headerNames, log, handleChange, quarantine} = context;
 	let state: LocalServerState = noLocalServer;
 	let session: ServerSession | undefined;
 	/** The server of the session, kept after the state has forgotten that server. */
@@ -135,7 +135,7 @@
 			kind: 'server-announced', server: lifetime.id, startedAt: lifetime.startedAt, service, slots, coldMs,
 		});
 		return openServerSession(announcement, {
-			wire,
+			headerNames,
 			log,
 			maxConnections: context.getMaxConnections(service),
 			quarantine,
@@ -239,8 +239,8 @@
 
 		const fingerprint = createCallFingerprint(call, undefined);
 		await quarantine.waitForTrial(fingerprint);
-		const judgement = quarantine.check(fingerprint);
-		return judgement.type === 'refused' ? refuse(call, createNotRun('quarantined', describeQuarantine(judgement), judgement.retryAfterMs)) : undefined;
+		const decision = quarantine.check(fingerprint);
+		return decision.type === 'refused' ? refuse(call, createNotRun('quarantined', describeQuarantine(decision), decision.retryAfterMs)) : undefined;
 	};
 
 	/** Runs a call with a large body. It waits for the link before it takes a slot, so that no slot is idle while bodies queue for the link. */
--- a/src/lib/forwarding/send-call.ts
+++ b/src/lib/forwarding/send-call.ts
@@ -26,9 +26,9 @@
 type PlannedAttempt = Extract<AttemptPlan, {readonly type: 'send'}>;
 
 function computeCallState(call: OutgoingCall, now: number): CallState {
-	const {route, ageMs, isNestedCall: isAwaited} = call;
+	const {route, ageMs, isNestedCall} = call;
 	return {
-		targetLatencyMs: route.targetLatencyMs, ageMs: ageMs + now - call.receivedAt, leftMs: call.scope.deadlineAt - now, isNestedCall: isAwaited, isBulk: isBulk(route.type),
+		targetLatencyMs: route.targetLatencyMs, ageMs: ageMs + now - call.receivedAt, leftMs: call.scope.deadlineAt - now, isNestedCall, isBulk: isBulk(route.type),
 	};
 }
 
@@ -78,16 +78,16 @@
 		return true;
 	};
 
-	const planNext = (judgement: QuarantineDecision): AttemptPlan => {
+	const planNext = (decision: QuarantineDecision): AttemptPlan => {
 		const now = readSteadyMs();
-		const facts = computeCallState(call, now);
+		const callState = computeCallState(call, now);
 		const candidates = context.listCandidates({
-			service, route: route.name, tried: progress.tried, trialOf: judgement.type === 'trial' ? judgement.fingerprint : undefined,
+			service, route: route.name, tried: progress.tried, trialOf: decision.type === 'trial' ? decision.fingerprint : undefined,
 		});
 		const ranked = rankServers(candidates, {
-			domain: context.domain, random: context.random, ...computeRankingThresholds(route, call.isNestedCall, facts.ageMs),
+			domain: context.domain, random: context.random, ...computeRankingThresholds(route, call.isNestedCall, callState.ageMs),
 		});
-		return planAttempt(facts, progress, ranked, standardRules, now);
+		return planAttempt(callState, progress, ranked, standardRules, now);
 	};
 
 	const describeRefusal = (plan: Exclude<AttemptPlan, PlannedAttempt>): ForwardFailure => {
@@ -124,14 +124,14 @@
 	/** Starts the next attempt. If none is allowed, returns the outcome of the call, or `undefined` while another attempt is in flight. */
 	const startNext = (): CallOutcome | undefined => {
 		// Judged anew, because this node may have learned of crashes since the last attempt.
-		const judgement = context.quarantine.check(call.fingerprint);
-		if (judgement.type === 'refused') {
-			return finishIfIdle(createNotRun('quarantined', describeQuarantine(judgement), judgement.retryAfterMs));
+		const decision = context.quarantine.check(call.fingerprint);
+		if (decision.type === 'refused') {
+			return finishIfIdle(createNotRun('quarantined', describeQuarantine(decision), decision.retryAfterMs));
 		}
 
-		const plan = planNext(judgement);
+		const plan = planNext(decision);
 		if (plan.type === 'send') {
-			isTrial = judgement.type === 'trial';
+			isTrial = decision.type === 'trial';
 			start(plan);
 			return undefined;
 		}
@@ -155,7 +155,7 @@
 	};
 
 	const handleEnd = (attempt: Attempt, result: ForwardResult): CallOutcome | undefined => {
-		const note = progress.recordEnd(attempt, result);
+		const record = progress.recordEnd(attempt, result);
 		if (result.type === 'answered' && (result.status < 500 || !isRetryable)) {
 			return progress.finish(result, running.cancelAll());
 		}
@@ -166,7 +166,7 @@
 
 		// Refusals by gates are routine and only logged at debug level; the log line of the finished call contains them.
 		context.log.record(hasArrived(result) ? 'info' : 'debug', {
-			kind: 'attempt-failed', call: call.id, route: route.name, attempt: note, next: 'another server is tried',
+			kind: 'attempt-failed', call: call.id, route: route.name, attempt: record, next: 'another server is tried',
 		});
 		return startNext();
 	};
@@ -185,8 +185,8 @@
 			return;
 		}
 
-		const judgement = context.quarantine.check(call.fingerprint);
-		const plan = judgement.type === 'free' ? planNext(judgement) : undefined;
+		const decision = context.quarantine.check(call.fingerprint);
+		const plan = decision.type === 'free' ? planNext(decision) : undefined;
 		if (plan?.type === 'send' && (hasAllowedArrival() || takeRetry('may-have-run'))) {
 			start(plan);
 		}
--- a/src/lib/forwarding/server-session.ts
+++ b/src/lib/forwarding/server-session.ts
@@ -39,7 +39,7 @@
 
 /** @internal */
 export type ServerSessionContext = {
-	readonly wire: CallHeaderNames;
+	readonly headerNames: CallHeaderNames;
 	readonly log: MeshLog;
 	/** Maximum number of connections that the server accepts from this node. */
 	readonly maxConnections: number;
@@ -150,7 +150,7 @@
  * @internal
  */
 export function openServerSession(announcement: ServerAnnouncement, context: ServerSessionContext): ServerSession {
-	const {wire, log} = context;
+	const {headerNames, log} = context;
 	const {lifetime} = announcement;
 	const slots = createSlotPool(computeConcurrencyLimit(announcement.slots));
 	const pool = createServerConnectionPool({
@@ -176,17 +176,17 @@
 	};
 
 	const handleCrash = (lost: readonly SentCall[]): void => {
-		const atWork = [...lost, ...removeAbandonedCalls()];
-		const logged = atWork.slice(0, maxLoggedSuspectCount);
+		const inFlight = [...lost, ...removeAbandonedCalls()];
+		const logged = inFlight.slice(0, maxLoggedSuspectCount);
 		log.record('warn', {
-			kind: 'server-crashed', server: lifetime.id, atWork: atWork.length,
+			kind: 'server-crashed', server: lifetime.id, atWork: inFlight.length,
 			suspects: logged.map(({fingerprint}) => fingerprint.getFingerprint()), calls: logged.map(({id}) => id),
 		});
-		context.quarantine.recordCrash(lifetime, atWork.map(({fingerprint}) => fingerprint));
+		context.quarantine.recordCrash(lifetime, inFlight.map(({fingerprint}) => fingerprint));
 		context.handleUnreachable(lifetime, 'backend server crashed');
 	};
 
-	const crashWatch = createCrashDetector<SentCall>({
+	const crashDetector = createCrashDetector<SentCall>({
 		hasEnded: async () => hasCrashed || (!isEnded && !context.isLeaving() && isRefusingConnections(announcement.address, crashProbeTimeoutMs)),
 		handleCrash,
 	});
@@ -194,7 +194,7 @@
 	/** Reports abandoned calls to the crash watch, because they may be the only requests that were running when the server ended. */
 	const checkAbandonedCalls = (): void => {
 		for (const call of removeAbandonedCalls()) {
-			void crashWatch.recordLost(call);
+			void crashDetector.recordLost(call);
 		}
 	};
 
@@ -234,7 +234,7 @@
 	 * A request that was recently answered elsewhere is retried as usual.
 	 */
 	const convertLostConnection = async ({id}: SessionCall, fingerprint: LazyFingerprint, failure: ExchangeFailure): Promise<ForwardFailure> => {
-		const isCrash = await crashWatch.recordLost({id, fingerprint});
+		const isCrash = await crashDetector.recordLost({id, fingerprint});
 		const converted = convertFailure(failure);
 		return isCrash && context.quarantine.check(fingerprint).type !== 'free' ? {...converted, reason: 'server-crashed'} : converted;
 	};
@@ -246,12 +246,12 @@
 			return {...createNotRun('gone', 'another backend server responds at the address'), hasArrived: true};
 		}
 
-		if (response.headers[wire.notRun] !== undefined) {
+		if (response.headers[headerNames.notRun] !== undefined) {
 			recordOutcome(true);
 			return {...createNotRun('shed', `backend server responded with status ${response.status} and did not execute the request`), hasArrived: true};
 		}
 
-		if (response.status >= 200 && response.status < 300 && response.headers[wire.signature] === undefined) {
+		if (response.status >= 200 && response.status < 300 && response.headers[headerNames.signature] === undefined) {
 			recordOutcome(true);
 			return createMayHaveRun('wrong-answer', 'successful response without the signature of a backend server');
 		}
@@ -269,8 +269,8 @@
 	};
 
 	const createOwnResponseCheck = (call: SessionCall) => (headers: IncomingHttpHeaders, status: number): boolean => {
-		const id = getStringHeader(headers, wire.callId);
-		const isRefusal = headers[wire.notRun] !== undefined || status === 421;
+		const id = getStringHeader(headers, headerNames.callId);
+		const isRefusal = headers[headerNames.notRun] !== undefined || status === 421;
 		return id === call.id || (id === undefined && isRefusal);
 	};
 
@@ -307,14 +307,14 @@
 			pool, id: call.id, method: call.method, target: call.target, body, scope: call.scope,
 			headers: {
 				...call.headers as Record<string, string | string[]>,
-				[wire.callId]: call.id,
-				[wire.timeLeft]: String(leftMs),
-				[wire.expectedServer]: lifetime.id,
-				[wire.callerService]: call.callerService,
+				[headerNames.callId]: call.id,
+				[headerNames.timeLeft]: String(leftMs),
+				[headerNames.expectedServer]: lifetime.id,
+				[headerNames.callerService]: call.callerService,
 				...body === undefined ? {} : {'content-length': String(body.length)},
 			},
 			isOwnResponse: createOwnResponseCheck(call),
-			readCallId: headers => getStringHeader(headers, wire.callId),
+			readCallId: headers => getStringHeader(headers, headerNames.callId),
 		});
 		finishRequest();
 		admission.end();
@@ -360,7 +360,7 @@
 		describe: () => ({...slots.describe(), failureShare}),
 		recordCrash() {
 			hasCrashed = true;
-			crashWatch.recordReplaced();
+			crashDetector.recordReplaced();
 			checkAbandonedCalls();
 		},
 		retire: stopAccepting,
--- a/src/lib/forwarding/silent-node.test.ts
+++ b/src/lib/forwarding/silent-node.test.ts
@@ -69,10 +69,10 @@
 				return {result: await answerOther(call), load: undefined};
 			}
 
-			const toldResult = new Promise<ForwardResult>(resolve => {
+			const chosenResult = new Promise<ForwardResult>(resolve => {
 				settleFirst = resolve;
 			});
-			return {result: await Promise.race([toldResult, workUntilEnd(call)]), load: undefined};
+			return {result: await Promise.race([chosenResult, workUntilEnd(call)]), load: undefined};
 		},
 	} as unknown as GateClient;
 	const call: OutgoingCall = {
@@ -160,10 +160,10 @@
 test('if the second server answers first, the attempt at the silent first server is cancelled', async context => {
 	let settleOther: (result: ForwardResult) => void = () => undefined;
 	const mesh = createMesh(context, async call => {
-		const toldResult = new Promise<ForwardResult>(resolve => {
+		const chosenResult = new Promise<ForwardResult>(resolve => {
 			settleOther = resolve;
 		});
-		return Promise.race([toldResult, workUntilEnd(call)]);
+		return Promise.race([chosenResult, workUntilEnd(call)]);
 	});
 	const {outcome} = await sendAndReportSilence(mesh);
 	settleOther(createAnswer(200));
--- a/src/lib/forwarding/suspended-gate.test.ts
+++ b/src/lib/forwarding/suspended-gate.test.ts
@@ -30,7 +30,7 @@
 	});
 	const id = toBackendServerId('i-1');
 	const gate = createLocalGate({
-		wire: {
+		headerNames: {
 			callId: 'x-call', timeLeft: 'x-left', expectedServer: 'x-server', callerService: 'x-caller', signature: 'x-signature', notRun: 'x-not-run',
 		},
 		log: silentLog, handleChange: () => undefined, getMaxConnections: () => 10, quarantine: createSilentQuarantine(), isLeaving: () => false, linkMbps: 7, countQueuedBytes: () => 0,
--- a/src/lib/forwarding/upload-limit.ts
+++ b/src/lib/forwarding/upload-limit.ts
@@ -11,7 +11,7 @@
 /** A large request body that holds one place of the limit. @internal */
 export type Upload = {
 	/** Releases the place, when the body is complete or will not arrive. */
-	readonly end: (isWhole: boolean) => void;
+	readonly end: (isComplete: boolean) => void;
 };
 
 /** @internal */
@@ -56,10 +56,10 @@
 			const startedAt = readAwakeMs();
 			let isEnded = false;
 			return {
-				end(isWhole) {
+				end(isComplete) {
 					if (!isEnded) {
 						isEnded = true;
-						slots.release(isWhole ? readAwakeMs() - startedAt : undefined);
+						slots.release(isComplete ? readAwakeMs() - startedAt : undefined);
 					}
 				},
 			};
--- a/src/lib/membership/join-mesh.test.ts
+++ b/src/lib/membership/join-mesh.test.ts
@@ -66,7 +66,7 @@
 		},
 	}) as unknown as PeerClient;
 	const distributor = {
-		getPlace: () => ({
+		getTreePosition: () => ({
 			relay: toNodeId(getRecord(directory.getDirectory(), toNodeId('relay')) === undefined ? 'self' : 'relay'),
 			standby: undefined,
 			parent: undefined,
--- a/src/lib/membership/join-mesh.ts
+++ b/src/lib/membership/join-mesh.ts
@@ -136,8 +136,8 @@
 	};
 
 	/** Returns the relay and the standby, which watch the store, and some other members, which may know the last version of this node. */
-	const listMembersToAsk = (): readonly Address[] => {
-		const {relay, standby} = distributor.getPlace();
+	const listMembersToJoin = (): readonly Address[] => {
+		const {relay, standby} = distributor.getTreePosition();
 		const others = shuffleList([...directory.getDirectory().domains.get(directory.getOwnRecord().failureDomain) ?? []], random);
 		const chosen = new Set<NodeId>([relay, ...standby === undefined ? [] : [standby], ...others.slice(0, membersPerRound)]);
 		chosen.delete(self);
@@ -180,7 +180,7 @@
 	const runRound = async (): Promise<boolean> => {
 		const ownSeeds = seeds.filter(address => address !== directory.getOwnRecord().controlAddress);
 		const seedResults = await joinPeers(shuffleList(ownSeeds, random).slice(0, seedsPerRound));
-		const memberResults = await joinPeers(listMembersToAsk());
+		const memberResults = await joinPeers(listMembersToJoin());
 		await pullFrom([...memberResults, ...seedResults]);
 
 		// The store is read only if no member of this failure domain is ready, so that nodes that restart together do not overload it.
--- a/src/lib/node/node.ts
+++ b/src/lib/node/node.ts
@@ -202,7 +202,7 @@
 
 	const getStatus = (): NodeStatusResponse => {
 		const current = configuration.getConfiguration();
-		const treePlace = distributor.getPlace();
+		const treePosition = distributor.getTreePosition();
 		const memory = process.memoryUsage();
 		const cpu = process.cpuUsage();
 		return {
@@ -212,11 +212,11 @@
 			digest: current.digest,
 			floor: configuration.getFloor(),
 			isReady,
-			isRelay: treePlace.relay === self,
+			isRelay: treePosition.relay === self,
 			isDraining,
-			relay: treePlace.relay,
-			parent: treePlace.parent ?? '',
-			children: treePlace.children,
+			relay: treePosition.relay,
+			parent: treePosition.parent ?? '',
+			children: treePosition.children,
 			knownNodes: directory.getDirectory().tree.size,
 			store: store.getCounts(),
 			controlBytes: meter.getCounts(),
@@ -256,7 +256,7 @@
 
 	/** Starts or stops watching the store. Relay and standby watch it, but only once they are ready: a node that knows no other yet considers itself the relay. */
 	const updateRelayWatch = (): void => {
-		const {relay, standby} = distributor.getPlace();
+		const {relay, standby} = distributor.getTreePosition();
 		relayWatch.update(isReady && !isDraining && (relay === self || standby === self));
 	};
 
--- a/src/lib/peers/peer-link.ts
+++ b/src/lib/peers/peer-link.ts
@@ -40,7 +40,7 @@
 	readonly refusals: RefusalLog;
 	readonly random: () => number;
 	/** Called with each report that is not refused, also if it changed nothing. */
-	readonly handleReport: (report: PeerReport, news: PeerChange) => void;
+	readonly handleReport: (report: PeerReport, change: PeerChange) => void;
 	/** Called before each round of heartbeats, with the delay of its timer in milliseconds. */
 	readonly handleRound: (lateMs: number) => void;
 };
@@ -285,9 +285,9 @@
 	};
 
 	/** Returns whether this node answers a report with its own at once. Takes a token of the rate limit if so. */
-	const mayAnswer = ({node, isProbe}: PeerReport, news: PeerChange): boolean => {
+	const mayAnswer = ({node, isProbe}: PeerReport, change: PeerChange): boolean => {
 		const now = readSteadyMs();
-		const isNew = news === 'joined' || news === 'restarted';
+		const isNew = change === 'joined' || change === 'restarted';
 		if (!isNew && !(isProbe && admitProbe(node, now))) {
 			return false;
 		}
@@ -315,22 +315,22 @@
 			return;
 		}
 
-		const news = table.acceptReport(report, readSteadyMs());
-		if (news !== 'none') {
+		const change = table.acceptReport(report, readSteadyMs());
+		if (change !== 'none') {
 			silentNodes.delete(report.node);
 			// A change of the configuration changes the version on every node, so these lines are logged at debug level only.
-			log.record(news === 'version' ? 'debug' : 'info', {
-				kind: 'peer-seen', peer: report.node, news, version: report.version, isLeaving: report.isLeaving,
+			log.record(change === 'version' ? 'debug' : 'info', {
+				kind: 'peer-seen', peer: report.node, news: change, version: report.version, isLeaving: report.isLeaving,
 				server: report.server?.lifetime.id, service: report.server?.service, state: report.server?.state,
 			});
 		}
 
-		if (mayAnswer(report, news)) {
+		if (mayAnswer(report, change)) {
 			// A new node knows no other nodes, and a node that probes has waiting requests: neither should wait for the next period.
 			send(encodeSelf(), report.gossip);
 		}
 
-		handleReport(report, news);
+		handleReport(report, change);
 	};
 
 	/** Catches unexpected errors, so that a datagram can't end the process. */
--- a/src/lib/peers/peer-report.ts
+++ b/src/lib/peers/peer-report.ts
@@ -102,10 +102,10 @@
 }
 
 /** Encodes an undefined `storeSeenMs`: the last call to the store failed. */
-const storeUnreachableMark = -1;
+const storeUnreachableValue = -1;
 
 function encodeDuties({linkMbps, isFollowing, storeSeenMs, storeEra}: NodeDuties): readonly number[] {
-	return [Math.round(linkMbps), isFollowing ? 1 : 0, storeSeenMs === undefined ? storeUnreachableMark : Math.round(storeSeenMs), storeEra];
+	return [Math.round(linkMbps), isFollowing ? 1 : 0, storeSeenMs === undefined ? storeUnreachableValue : Math.round(storeSeenMs), storeEra];
 }
 
 /**
@@ -183,7 +183,7 @@
 	return {
 		linkMbps: readAmount(linkMbps, 'duties.linkMbps', maximumAmount),
 		isFollowing: readFlag(isFollowing, 'duties.isFollowing'),
-		storeSeenMs: storeSeenMs === storeUnreachableMark ? undefined : readAmount(storeSeenMs, 'duties.storeSeenMs', maximumAmount),
+		storeSeenMs: storeSeenMs === storeUnreachableValue ? undefined : readAmount(storeSeenMs, 'duties.storeSeenMs', maximumAmount),
 		storeEra: readCount(storeEra, 'duties.storeEra'),
 	};
 }
--- a/src/lib/sidecar/config-answer-cache.test.ts
+++ b/src/lib/sidecar/config-answer-cache.test.ts
@@ -25,9 +25,9 @@
 }
 
 test('a node that lacks one known step gets that step, any other node gets the whole configuration', () => {
-	const answerConfig = createConfigAnswerCache(createHolder(7, '{b}'));
+	const getConfigAnswer = createConfigAnswerCache(createHolder(7, '{b}'));
 	const ask = (version: number) => {
-		const {head, body} = answerConfig(version);
+		const {head, body} = getConfigAnswer(version);
 		return decodeConfigAnswer(head, body)?.type;
 	};
 
@@ -35,22 +35,22 @@
 });
 
 test('the whole configuration is encoded once for all requested versions', () => {
-	const answerConfig = createConfigAnswerCache(createHolder(7, '{b}'));
-	const first = answerConfig(0);
+	const getConfigAnswer = createConfigAnswerCache(createHolder(7, '{b}'));
+	const first = getConfigAnswer(0);
 	for (const version of [1, 2, -5, 1e300, 0.5, Number.MAX_SAFE_INTEGER]) {
-		assert.equal(answerConfig(version), first);
+		assert.equal(getConfigAnswer(version), first);
 	}
 });
 
 test('a new version invalidates the cache', () => {
 	let holder = createHolder(7, '{b}');
-	const answerConfig = createConfigAnswerCache({
+	const getConfigAnswer = createConfigAnswerCache({
 		get: () => holder.get(), getVersion: () => holder.getVersion(), listSteps: version => holder.listSteps(version),
 	});
-	answerConfig(0);
-	answerConfig(6);
+	getConfigAnswer(0);
+	getConfigAnswer(6);
 	holder = createHolder(8, '{c}');
-	const {head, body} = answerConfig(0);
+	const {head, body} = getConfigAnswer(0);
 	assert.deepEqual(decodeConfigAnswer(head, body), {type: 'whole', text: '{c}'});
-	assert.deepEqual(answerConfig(6).head, ['whole']);
+	assert.deepEqual(getConfigAnswer(6).head, ['whole']);
 });
--- a/src/lib/sidecar/sidecar.ts
+++ b/src/lib/sidecar/sidecar.ts
@@ -106,12 +106,12 @@
 	let isGateLeaving = false;
 	let wasReady = false;
 
-	const splitter = createWeightedRoundRobin(random);
-	const returningCallers = createCallerRetryDetector();
-	const awaitedRoutes = createNestedCallDetector();
+	const weightedRoundRobin = createWeightedRoundRobin(random);
+	const callerRetryDetector = createCallerRetryDetector();
+	const nestedCallDetector = createNestedCallDetector();
 	const loads = createLoadView();
 	const lag = createLoopLag();
-	const turns = createRequestStartLimiter();
+	const startLimiter = createRequestStartLimiter();
 	/**
 	 * Waits until the input that arrived together with a request has been read. Only a few requests on new connections start in one turn of the event loop.
 	 * Even while turns are short, a new connection may have waited in the accept queue for seconds and its caller may have left. This happens, for example,
@@ -120,7 +120,7 @@
 	const waitForPendingInput = async (isNewConnection: boolean): Promise<void> => {
 		await lag.waitForPendingInput(isNewConnection);
 		if (isNewConnection) {
-			await turns.waitForStart();
+			await startLimiter.waitForStart();
 		}
 	};
 
@@ -134,9 +134,9 @@
 		}
 
 		const routes = new Set(config.routes.map(({name}) => name));
-		splitter.retain(routes);
-		returningCallers.retain(routes);
-		awaitedRoutes.retain(routes);
+		weightedRoundRobin.retain(routes);
+		callerRetryDetector.retain(routes);
+		nestedCallDetector.retain(routes);
 	};
 
 	const quarantine = createQuarantine({
@@ -154,7 +154,7 @@
 
 	const linkWriter = createLinkWriter(settings.linkMbps);
 	const gate = createLocalGate({
-		wire: headerNames,
+		headerNames,
 		log,
 		quarantine,
 		handleChange() {
@@ -171,8 +171,8 @@
 		duties: sync.describeDuties(), suspects: quarantine.listBatch(),
 	});
 
-	const handleReport = (report: PeerReport, news: PeerChange): void => {
-		if (news === 'restarted' || news === 'returned') {
+	const handleReport = (report: PeerReport, change: PeerChange): void => {
+		if (change === 'restarted' || change === 'returned') {
 			gateClient.renewConnections(report.gate, 'back');
 		}
 
@@ -259,16 +259,16 @@
 		getConfig: sync.holder.get,
 		isConfigOutdated: sync.isConfigOutdated,
 		waitForNewerConfig: sync.waitForNewerConfig,
-		splitter,
-		callerRetryDetector: returningCallers,
-		nestedCallDetector: awaitedRoutes,
+		weightedRoundRobin,
+		callerRetryDetector,
+		nestedCallDetector,
 		handleFinished,
 		waitForPendingInput,
 		estimateUnreadMs: lag.estimateUnreadMs,
 	});
-	const waitForLag = async (): Promise<void> => lag.waitForPendingInput();
+	const waitForPendingGateInput = async (): Promise<void> => lag.waitForPendingInput();
 	const gateServer = createGateServer({
-		gate, getConfig: sync.getConfigAnswer, catchUp: waitForLag, log, refusals, link: linkWriter,
+		gate, getConfig: sync.getConfigAnswer, waitForPendingInput: waitForPendingGateInput, log, refusals, link: linkWriter,
 	});
 	const announcementServer = createAnnouncementServer({
 		...createLocalServerMessageHandler({
@@ -324,7 +324,7 @@
 	};
 
 	/** Counts requests in flight. A request whose response is not fully sent is among them: to exit now would truncate the response. */
-	const countInFlight = (): number => entry.countCalls() + gate.countRequests() + entry.countUnsentAnswers() + gateServer.countUnsent();
+	const countInFlight = (): number => entry.countCalls() + gate.countRequests() + entry.countUnsentAnswers() + gateServer.countUnsentResponses();
 
 	return {
 		async start() {
