--- a/bench/experiment/entry.ts
+++ b/bench/experiment/entry.ts
@@ -120,7 +120,7 @@
 		}
 	};
 
-	/** Handles a request that reached a server and was turned away or failed there. */
+	/** Handles a request that reached a server and was refused or failed there. */
 	const handleServerFailure = (target: Candidate, reason: Exclude<RetryReason, 'call-turned-away'>): void => {
 		serverAttempts++;
 		history.tried.add(target.lifetime);
--- a/bench/experiment/pattern.ts
+++ b/bench/experiment/pattern.ts
@@ -11,7 +11,7 @@
 	readonly times: number;
 	/** Share of the requests that make them. */
 	readonly share: number;
-	/** Whether all are sent at once, or one after another. */
+	/** Whether all are sent at the same time, or one after another. */
 	readonly isConcurrent: boolean;
 };
 
@@ -51,11 +51,11 @@
 	| {readonly type: 'burst'; readonly fromMs: number; readonly toMs: number; readonly factor: number}
 	/** Slows a share of the servers of a service down by a factor. */
 	| {readonly type: 'slow'; readonly fromMs: number; readonly toMs: number; readonly service: string; readonly share: number; readonly factor: number}
-	/** The servers of a service turn a share of their requests away. */
+	/** The servers of a service refuse a share of their requests. */
 	| {readonly type: 'shedding'; readonly fromMs: number; readonly toMs: number; readonly service: string; readonly share: number}
 	/** A share of the servers of a service is missing. */
 	| {readonly type: 'gone'; readonly fromMs: number; readonly toMs: number; readonly service: string; readonly share: number}
-	/** A share of the callers ignores the retry delay of a refusal and retries at once. */
+	/** A share of the callers ignores the retry delay of a refusal and retries immediately. */
 	| {readonly type: 'impatient'; readonly fromMs: number; readonly toMs: number; readonly share: number};
 
 /** A pattern of load. */
--- a/bench/node-cost/simulated-peer.ts
+++ b/bench/node-cost/simulated-peer.ts
@@ -132,7 +132,7 @@
 				}
 			});
 			const heartbeatIntervalMs = (isInOwnDomain ? plan.ownDomain : plan.otherDomain) * heartbeatPeriodMs;
-			// A node that starts contacts every node, and each answers at once.
+			// A node that starts contacts every node, and each answers immediately.
 			sendReport(node);
 			const rounds = Math.round(heartbeatIntervalMs / heartbeatPeriodMs);
 			let round = Math.floor(Math.random() * rounds);
--- a/bench/quarantine.ts
+++ b/bench/quarantine.ts
@@ -130,7 +130,7 @@
 }
 
 /**
- * Stops one server, or about half of them at once, for reasons that no request causes, while a few popular pages are in
+ * Stops one server, or about half of them at the same time, for reasons that no request causes, while a few popular pages are in
  * flight on all servers. Returns the number of requests that the quarantine refused although they were innocent.
  */
 async function runUnrelatedCrashes(nodes: number, seconds: number, seed: number): Promise<number> {
--- a/src/lib/admission/gate-state.ts
+++ b/src/lib/admission/gate-state.ts
@@ -48,7 +48,7 @@
 /**
  * Creates the state of an idle gate.
  *
- * @param slots - The number of requests that the server processes at once.
+ * @param slots - The number of requests that the server processes concurrently.
  * @returns The state.
  * @internal
  */
--- a/src/lib/admission/gate.test.ts
+++ b/src/lib/admission/gate.test.ts
@@ -47,7 +47,7 @@
 	assert.equal(releaseSlot(full, settings, {workClass: 'interactive', tookMs: 1}, 200).started[0]?.id, 2);
 });
 
-test('a request that cannot start before its deadline is refused at once', () => {
+test('a request that cannot start before its deadline is refused immediately', () => {
 	const full = {...fillGate(1, 'interactive', 2), serviceMs: 400};
 	const {admission} = admitRequest(full, settings, {...createRequest(5), deadline: 100});
 	assert.equal(admission.type, 'shed');
--- a/src/lib/admission/gate.ts
+++ b/src/lib/admission/gate.ts
@@ -50,7 +50,7 @@
 /**
  * Creates the gate of a server.
  *
- * @param slots - The number of requests that the server processes at once.
+ * @param slots - The number of requests that the server processes concurrently.
  * @param settings - Limits of the queue.
  * @returns The gate.
  * @public
--- a/src/lib/admission/slot-pool.test.ts
+++ b/src/lib/admission/slot-pool.test.ts
@@ -35,7 +35,7 @@
 	assert.equal(pool.describe().running, 1);
 });
 
-test('a request that may not wait is refused at once, with a retry delay', async () => {
+test('a request that may not wait is refused immediately, with a retry delay', async () => {
 	const pool = await createBusyPool();
 	assert.deepEqual(await pool.acquire(createRequest({mayWaitMs: 0})), {type: 'full', reason: 'no slot in time', retryAfterMs: 60});
 });
@@ -64,7 +64,7 @@
 	assert.equal(pool.describe().running, 2);
 });
 
-test('closing the pool ends the wait of queued requests at once', async () => {
+test('closing the pool ends the wait of queued requests immediately', async () => {
 	const pool = await createBusyPool();
 	const waiting = [pool.acquire(createRequest()), pool.acquire(createRequest({rank: 2}))];
 	pool.close();
--- a/src/lib/admission/slot-pool.ts
+++ b/src/lib/admission/slot-pool.ts
@@ -11,7 +11,7 @@
 	type QueuedRequest, type SlotQueue,
 } from '../decisions/slot-queue.js';
 
-/** A request that asks for a slot. @internal */
+/** A request for a slot. @internal */
 export type SlotRequest = {
 	/** Priority; 0 is the highest. */
 	readonly rank: number;
@@ -51,7 +51,7 @@
 /**
  * Creates the slot pool of an idle server.
  *
- * @param count - The number of requests that may be at the server at once.
+ * @param count - The number of requests that may be at the server at the same time.
  * @returns The pool.
  * @internal
  */
--- a/src/lib/calls/announcement-api.ts
+++ b/src/lib/calls/announcement-api.ts
@@ -17,7 +17,7 @@
 export const announcementSchema = z.strictObject({
 	id: z.string().regex(/^[\w.-]{1,60}$/, 'must be 1 to 60 letters, digits, ".", "_" or "-"') as unknown as z.ZodType<BackendServerId>,
 	service: z.string().regex(/^[a-z\d][a-z\d._-]{0,99}$/, 'must be a lower-case name'),
-	address: z.string().refine(isAddress, 'must be an IP number and a port') as unknown as z.ZodType<Address>,
+	address: z.string().refine(isAddress, 'must be an IP address and a port') as unknown as z.ZodType<Address>,
 	slots: z.int().min(1).max(maximumSlots),
 	connections: z.int().min(1).max(maximumSlots),
 }).readonly();
--- a/src/lib/calls/entry-server.ts
+++ b/src/lib/calls/entry-server.ts
@@ -197,7 +197,7 @@
 		const outcome = await send(call, plan, body);
 		const settling = settleClaim(claimed?.claim, outcome);
 		if (outcome.result.type === 'failed') {
-			// The caller may retry at once, so the key is released before the response is sent.
+			// The caller may retry immediately, so the key is released before the response is sent.
 			await settling;
 		}
 
--- a/src/lib/common/clock.ts
+++ b/src/lib/common/clock.ts
@@ -17,7 +17,7 @@
 	return Date.now();
 }
 
-/** The longest delay of a Node.js timer; a timer with a longer delay fires at once. */
+/** The longest delay of a Node.js timer; a timer with a longer delay fires immediately. */
 const maximumTimerMs = 2_147_483_647;
 
 /**
--- a/src/lib/common/listen-at.ts
+++ b/src/lib/common/listen-at.ts
@@ -7,7 +7,7 @@
 import {parseAddress} from './address.js';
 import {type Address} from './ids.js';
 
-/** Longest queue of connections that wait to be accepted: if many callers reconnect at once, a shorter queue would overflow, and the others would retry only seconds later. */
+/** Longest queue of connections that wait to be accepted: if many callers reconnect at the same time, a shorter queue would overflow, and the others would retry only seconds later. */
 const maximumBacklog = 4096;
 
 /**
--- a/src/lib/common/loop-lag.test.ts
+++ b/src/lib/common/loop-lag.test.ts
@@ -46,7 +46,7 @@
 	assert.equal(await isCloseReadFirst(lag.waitForPendingInput), true);
 });
 
-test('without lag, waitForPendingInput returns at once', async () => {
+test('without lag, waitForPendingInput returns immediately', async () => {
 	const lag = createLoopLag();
 	lag.recordTimerDelay(50);
 	let iterations = 0;
--- a/src/lib/common/loop-lag.ts
+++ b/src/lib/common/loop-lag.ts
@@ -14,7 +14,7 @@
 	readonly recordTimerDelay: (delayMs: number) => void;
 	/** Estimates how long a request that was just read may have been waiting unread, in milliseconds: since the previous iteration of the event loop started, if that has only just ended. */
 	readonly estimateUnreadMs: () => number;
-	/** Waits until input that arrived together with a request has been read as well. Returns at once if the process does not lag, unless the request may have waited outside of it, as on a connection that was not accepted yet. */
+	/** Waits until input that arrived together with a request has been read as well. Returns immediately if the process does not lag, unless the request may have waited outside of it, as on a connection that was not accepted yet. */
 	readonly waitForPendingInput: (mayHaveWaited?: boolean) => Promise<void>;
 };
 
--- a/src/lib/common/request-start-limiter.test.ts
+++ b/src/lib/common/request-start-limiter.test.ts
@@ -6,7 +6,7 @@
 import {setImmediate as waitForImmediate} from 'node:timers/promises';
 import {createRequestStartLimiter} from './request-start-limiter.js';
 
-test('the first requests of an iteration start at once, the others in later iterations, in order', async () => {
+test('the first requests of an iteration start immediately, the others in later iterations, in order', async () => {
 	const limiter = createRequestStartLimiter();
 	const started: number[] = [];
 	const all = Array.from({length: 10}, async (_, index) => {
--- a/src/lib/common/request-start-limiter.ts
+++ b/src/lib/common/request-start-limiter.ts
@@ -4,7 +4,7 @@
  * iteration, so during long iterations callers wait to be connected. The close of
  * a connection is also read between iterations only.
  *
- * It is needed when hundreds of callers reconnect at once to a node that has just
+ * It is needed when hundreds of callers reconnect at the same time to a node that has just
  * restarted, or that is the last one of its failure domain.
  *
  * @module
@@ -12,7 +12,7 @@
 
 /** @internal */
 export type RequestStartLimiter = {
-	/** Waits until a request may start. Resolves at once unless enough requests have started in this iteration. */
+	/** Waits until a request may start. Resolves immediately unless enough requests have started in this iteration. */
 	readonly waitForStart: () => Promise<void>;
 };
 
--- a/src/lib/configuration/parse-document.test.ts
+++ b/src/lib/configuration/parse-document.test.ts
@@ -10,7 +10,7 @@
 	}]);
 });
 
-test('all problems are reported at once, each with its line, its field and the allowed values', () => {
+test('all problems are reported together, each with its line, its field and the allowed values', () => {
 	const text = [
 		'routes:',
 		'  - name: Logs',
--- a/src/lib/decisions/load-view.ts
+++ b/src/lib/decisions/load-view.ts
@@ -56,7 +56,7 @@
  * Estimates how long a request would wait for a slot. The queue of the last
  * report is assumed to shrink at the average rate since. If all slots were in use
  * then, they are assumed to be still in use: under load other requests fill them, and a
- * request that needs a slot at once would be refused.
+ * request that needs a slot immediately would be refused.
  *
  * @param view - The known load of a server.
  * @param slots - Concurrency limit of the server.
--- a/src/lib/decisions/plan-attempt.ts
+++ b/src/lib/decisions/plan-attempt.ts
@@ -1,6 +1,6 @@
 /**
  * Plans the next attempt of a call: the backend server that gets it and how long
- * it may wait there for a slot, or that the call is refused at once.
+ * it may wait there for a slot, or that the call is refused immediately.
  *
  * The rules are made for an overloaded service, in which slots are the scarce
  * resource. The value of the work in a slot depends on when it ends: a response
@@ -32,7 +32,7 @@
 export type AttemptHistory = {
 	/** Servers that are excluded: they were tried, or cannot accept the call. */
 	readonly tried: ReadonlySet<LifetimeKey>;
-	/** Servers whose gate had no free slot; they may be asked once more, to queue the call. */
+	/** Servers whose gate had no free slot; the call may be sent to them once more, to be queued. */
 	readonly full: ReadonlySet<LifetimeKey>;
 	/** Number of refusals by gates, which did not reach a server. */
 	readonly refusals: number;
@@ -53,11 +53,11 @@
 /** @internal */
 export type PlanRules = {
 	readonly computeMaxWaitMs: ComputeMaxWaitMs;
-	/** Number of gates that are asked for a free slot before one is asked to queue the call. */
+	/** Number of gates that a call is sent to without permission to queue it, before one may queue it. */
 	readonly immediateTries: number;
 };
 
-/** Number of gates that are asked for a free slot before one is asked to queue the call. Calls with large bodies gain more from another server, and a refusal costs them very little: their bottleneck is the link. */
+/** Number of gates that a call is sent to without permission to queue it, before one may queue it. Calls with large bodies gain more from another server, and a refusal costs them very little: their bottleneck is the link. */
 const immediateTryLimits = {small: 2, bulk: 4} as const;
 
 /** Refusals by gates after which a call is refused: it is better that the caller retries later. */
@@ -135,7 +135,7 @@
  * @param ranked - The servers of its service, the preferred one at the front.
  * @param rules - The rules to apply.
  * @param now - Current time, in milliseconds of the steady clock.
- * @returns The server to ask, or why there is none.
+ * @returns The server to try, or why there is none.
  * @internal
  */
 export function planAttempt(call: CallState, history: AttemptHistory, ranked: readonly Candidate[], rules: PlanRules, now: number): AttemptPlan {
@@ -166,7 +166,7 @@
 /**
  * @param call - The call.
  * @param refusals - Number of refusals by gates so far.
- * @returns Whether another gate may be asked.
+ * @returns Whether another gate may be tried.
  * @internal
  */
 export function mayTryAnotherGate(call: Pick<CallState, 'isBulk'>, refusals: number): boolean {
--- a/src/lib/decisions/slot-queue.test.ts
+++ b/src/lib/decisions/slot-queue.test.ts
@@ -25,7 +25,7 @@
 	assert.deepEqual(finishRequest(queue, 60, 10).started.map(({id}) => id), [3]);
 });
 
-test('a request that could not start in time is refused at once with a retry delay', () => {
+test('a request that could not start in time is refused immediately with a retry delay', () => {
 	const queue = admitAll(createSlotQueue(1), [createRequest(1), createRequest(2)]);
 	const {decision, queue: after} = admitToQueue(queue, createRequest(3, 0, 100), 0);
 	assert.deepEqual(decision, {type: 'full', retryAfterMs: 120});
--- a/src/lib/decisions/slot-queue.ts
+++ b/src/lib/decisions/slot-queue.ts
@@ -36,7 +36,7 @@
 	| {readonly type: 'wait'; readonly evicted: QueuedRequest | undefined}
 	| {readonly type: 'full'; readonly retryAfterMs: number};
 
-/** Weight of the newest sample in the moving average of service times, which covers about twenty requests. The first samples weigh more: after a restart of the node the estimate decides how many may wait while all callers retry at once. */
+/** Weight of the newest sample in the moving average of service times, which covers about twenty requests. The first samples weigh more: after a restart of the node the estimate decides how many may wait while all callers retry at the same time. */
 const smoothingFactor = 0.05;
 
 /** Service time assumed until the first request has ended; of the same order as the service times that the users state. */
--- a/src/lib/directory/directory.ts
+++ b/src/lib/directory/directory.ts
@@ -188,7 +188,7 @@
  * Removes the records of nodes that died or left. Without this, the directory would grow with every replaced node.
  *
  * @param directory - The directory. It is not modified.
- * @param ids - The nodes to remove. Those that are usable are kept.
+ * @param ids - The nodes to remove. Usable nodes are kept.
  * @returns The directory without these nodes.
  * @internal
  */
--- a/src/lib/directory/node-record.ts
+++ b/src/lib/directory/node-record.ts
@@ -12,9 +12,9 @@
 	readonly id: BackendServerId;
 	readonly service: string;
 	readonly address: Address;
-	/** Maximum number of requests that it executes at once. */
+	/** Maximum number of requests that it executes concurrently. */
 	readonly slots: number;
-	/** Maximum number of connections that it accepts at once. */
+	/** Maximum number of connections that it accepts concurrently. */
 	readonly connections: number;
 	/** Start time in milliseconds since the epoch, by the clock of its node. With the ID, it identifies the lifetime of the server. */
 	readonly startedAt: number;
--- a/src/lib/distribution/full-state-limit.ts
+++ b/src/lib/distribution/full-state-limit.ts
@@ -1,6 +1,6 @@
 /**
- * Limits the rate at which a node sends its full state to other nodes. A node
- * that is refused asks another one.
+ * Limits the rate at which a node sends its full state to other nodes. After a
+ * refusal, the requesting node tries another one.
  *
  * @module
  */
--- a/src/lib/distribution/relay-watch.test.ts
+++ b/src/lib/distribution/relay-watch.test.ts
@@ -2,7 +2,7 @@
  * The relay's watch of the store.
  *
  * Guards against a relay that uses up its node's budget of store calls while the key `head` does not exist, as in a store that was restored empty. The store answers
- * a watch of a missing key at once, without a value. If the relay takes that answer for a watch that timed out without a change, it watches again without a pause:
+ * a watch of a missing key immediately, without a value. If the relay takes that answer for a watch that timed out without a change, it watches again without a pause:
  * 68 calls in half a second, with two more refused by the budget. The node then refuses the operator's `republish` with "the snapshot could not be written
  * (unavailable)", although the store is available.
  */
--- a/src/lib/distribution/relay-watch.ts
+++ b/src/lib/distribution/relay-watch.ts
@@ -1,7 +1,7 @@
 /**
  * Watches the store's head on the relay of each failure domain and on its
  * standby. Each node derives these roles from its own member list. If two nodes
- * are relay at once, the store serves one more watch; while there is none, new
+ * are relay at the same time, the store serves one more watch; while there is none, new
  * versions arrive later. Neither affects correctness.
  *
  * @module
@@ -70,7 +70,7 @@
 		setLagReason('');
 	};
 
-	/** Waits before the next watch. A watch that returns nothing before its timeout means that there is no head, as in a store that was restored empty. Watching again at once would use up this node's budget of store calls, which the operator needs to republish the head. */
+	/** Waits before the next watch. A watch that returns nothing before its timeout means that there is no head, as in a store that was restored empty. Watching again immediately would use up this node's budget of store calls, which the operator needs to republish the head. */
 	const waitForMissingHead = async (signal: AbortSignal): Promise<number> => {
 		await waitFor(initialBackoffMs, signal);
 		return missingRevision;
--- a/src/lib/distribution/reported-versions.ts
+++ b/src/lib/distribution/reported-versions.ts
@@ -1,6 +1,6 @@
 /**
  * Records the highest version that each other node has reported, so that a node
- * that restarts without its state can be told which version it had.
+ * that restarts without its state can learn which version it had.
  *
  * @module
  */
--- a/src/lib/forwarding/byte-budget.ts
+++ b/src/lib/forwarding/byte-budget.ts
@@ -17,7 +17,7 @@
 /**
  * Creates a budget with nothing reserved.
  *
- * @param limit - Maximum bytes reserved at once.
+ * @param limit - Maximum bytes reserved at the same time.
  * @returns The budget.
  * @internal
  */
--- a/src/lib/forwarding/call-headers.ts
+++ b/src/lib/forwarding/call-headers.ts
@@ -12,15 +12,15 @@
 export type CallHeaderNames = {
 	/** Id of one attempt by a caller. */
 	readonly callId: string;
-	/** Milliseconds for which the sender still waits for the answer. */
+	/** Milliseconds for which the sender still waits for the response. */
 	readonly timeLeft: string;
 	/** Id of the backend server that the request is addressed to. */
 	readonly expectedServer: string;
 	/** Service of the node at which the request entered. */
 	readonly callerService: string;
-	/** Signature that a backend server adds to its answers; a success without it comes from another process. */
+	/** Signature that a backend server adds to its responses; a success without it comes from another process. */
 	readonly signature: string;
-	/** Set on an answer if the backend server did not run the request. */
+	/** Set on a response if the backend server did not execute the request. */
 	readonly notRun: string;
 };
 
@@ -29,7 +29,7 @@
 }
 
 /**
- * Removes hop-by-hop headers, including those that the `connection` header names.
+ * Removes hop-by-hop headers, including the ones that the `connection` header names.
  *
  * @param headers - The headers as received.
  * @returns The headers that may be forwarded, in a new object.
@@ -50,7 +50,7 @@
 /**
  * Reads a header that holds a non-negative decimal number.
  *
- * @param headers - The headers of a request or an answer.
+ * @param headers - The headers of a request or a response.
  * @param name - The name of the header, in lower case.
  * @returns The number, or `undefined` if the header is missing or holds anything else.
  * @internal
@@ -67,7 +67,7 @@
 /**
  * Reads a header that has a single value.
  *
- * @param headers - The headers of a request or an answer.
+ * @param headers - The headers of a request or a response.
  * @param name - The name of the header, in lower case.
  * @returns The value, or `undefined` if the header is missing or a list.
  * @internal
--- a/src/lib/forwarding/call-progress.ts
+++ b/src/lib/forwarding/call-progress.ts
@@ -25,7 +25,7 @@
 	readonly recordEnd: (attempt: Attempt, result: ForwardResult) => AttemptRecord;
 	/** Records why no further attempt is started. */
 	readonly recordRefusal: (failure: ForwardFailure) => void;
-	/** Ends the call with the answer of one attempt; the superseded attempts were cancelled because of it. */
+	/** Ends the call with the response of one attempt; the superseded attempts were cancelled because of it. */
 	readonly finish: (result: ForwardResult, superseded: readonly Attempt[]) => CallOutcome;
 	/** Ends the call with the fallback. */
 	readonly finishWithFallback: () => CallOutcome;
@@ -42,7 +42,7 @@
 
 const describeOutcome = (result: ForwardResult): string => result.type === 'answered' ? String(result.status) : result.reason;
 
-/** An answer from a server, even an error status, tells the caller more than a failure to get an answer. */
+/** A response from a server, even with an error status, is more informative for the caller than a failure to get one. */
 const isLessInformative = (failure: ForwardResult, fallback: ForwardResult): boolean =>
 	failure.type === 'failed' && fallback.type === 'answered';
 
--- a/src/lib/forwarding/call-scope.ts
+++ b/src/lib/forwarding/call-scope.ts
@@ -7,10 +7,10 @@
  */
 import {readSteadyMs, clampTimerMs, watchResume} from '../common/clock.js';
 
-/** A scope ends this long after the deadline that the backend server is given, because an answer sent right at that deadline is still on its way. @internal */
+/** A scope ends this long after the deadline that the backend server is given, because a response sent right at that deadline is still on its way. @internal */
 export const deadlineGraceMs = 15;
 
-/** Why a call ended before its answer. @internal */
+/** Why a call ended before its response. @internal */
 export type ScopeEndReason = 'timeout' | 'cancelled' | 'superseded';
 
 /** @internal */
@@ -19,7 +19,7 @@
 	readonly deadlineAt: number;
 	readonly getEndReason: () => ScopeEndReason | undefined;
 	readonly end: (reason: ScopeEndReason) => void;
-	/** Calls the handler once when the scope ends, at once if it has ended; returns a function that unsubscribes. */
+	/** Calls the handler once when the scope ends, immediately if it has ended; returns a function that unsubscribes. */
 	readonly subscribe: (handleEnd: (reason: ScopeEndReason) => void) => () => void;
 	/** Stops the timer and removes all handlers, once the call has its result. */
 	readonly dispose: () => void;
--- a/src/lib/forwarding/chunked-body-reader.ts
+++ b/src/lib/forwarding/chunked-body-reader.ts
@@ -17,7 +17,7 @@
 
 /** @internal */
 export type ChunkedBodyReader = {
-	/** Decodes bytes; the caller keeps those that are not consumed and passes them again. Returns the number of consumed bytes. */
+	/** Decodes bytes; the caller keeps the bytes that are not consumed and passes them again. Returns the number of consumed bytes. */
 	readonly read: (held: Uint8Array) => number;
 	readonly isComplete: () => boolean;
 	/** Returns the decoded body; valid once it is complete. */
--- a/src/lib/forwarding/config-messages.ts
+++ b/src/lib/forwarding/config-messages.ts
@@ -99,7 +99,7 @@
 	try {
 		return decodeBody(type, body);
 	} catch {
-		// The requesting node treats a malformed answer like a missing one and asks again.
+		// The requesting node treats a malformed answer like a missing one and repeats its request.
 		return undefined;
 	}
 }
--- a/src/lib/forwarding/entry-server.ts
+++ b/src/lib/forwarding/entry-server.ts
@@ -1,7 +1,7 @@
 /**
  * The HTTP server for callers on this VM and for the backend server beside this
- * node. Answers each request with the complete answer of a backend server, or with
- * a failure that says whether the request may have run.
+ * node. Answers each request with the complete response of a backend server, or with
+ * a failure that says whether the request may have been executed.
  *
  * @module
  */
@@ -73,9 +73,9 @@
 	readonly server: Server;
 	readonly applyLimits: (limits: CallerLimits) => void;
 	readonly countCalls: () => number;
-	/** Returns the number of connections on which bytes of answers have not been sent yet. */
+	/** Returns the number of connections on which bytes of responses have not been sent yet. */
 	readonly countUnsentAnswers: () => number;
-	/** Makes each answer from now on close its connection. */
+	/** Makes each response from now on close its connection. */
 	readonly startClosing: () => void;
 	/** Stops accepting connections and closes the idle ones. */
 	readonly stopListening: () => void;
@@ -113,7 +113,7 @@
 /** Retry delay for a route that cannot be used until the configuration changes, which happens many times an hour, not many times a second. */
 const unusableRouteRetryMs = 1000;
 
-/** Returns the status for a request whose body could not be read. Such a request has not run. */
+/** Returns the status for a request whose body could not be read. Such a request was not executed. */
 function chooseBodyErrorStatus(error: unknown): number {
 	if (error instanceof BodyTimeoutError) {
 		return 408;
@@ -330,7 +330,7 @@
 		try {
 			await runCall(call);
 		} catch (error) {
-			// A bug in this program. Destroys the connection, so that the caller does not take a partial response for an answer.
+			// A bug in this program. Destroys the connection, so that the caller does not take a partial response for a complete one.
 			log.record('error', {kind: 'node-failed', reason: (error as Error).stack ?? String(error)});
 			call.response.destroy();
 		} finally {
@@ -366,7 +366,7 @@
 			isClosing = true;
 		},
 		stopListening() {
-			// The HTTP server's own `close` treats a connection as idle once its answer was handed to the socket, and would cut off bytes that were not sent yet.
+			// The HTTP server's own `close` treats a connection as idle once its response was handed to the socket, and would cut off bytes that were not sent yet.
 			NetServer.prototype.close.call(server);
 			connections.closeIdle();
 		},
--- a/src/lib/forwarding/exchange.ts
+++ b/src/lib/forwarding/exchange.ts
@@ -219,7 +219,7 @@
 		/**
 		 * A response without a length ends when the connection closes. A reset that directly follows the last bytes looks like
 		 * an orderly close, because the event loop reports the hang-up as soon as the bytes are read. A write fails only after
-		 * a reset, so it tells the two apart.
+		 * a reset, which distinguishes the two cases.
 		 */
 		const handleEnd = (): void => {
 			if (isSettled) {
--- a/src/lib/forwarding/frame.ts
+++ b/src/lib/forwarding/frame.ts
@@ -49,7 +49,7 @@
 const fixedHeaderBytes = 9;
 const lengthFieldBytes = 4;
 
-/** Longer frames are rejected. Larger than all request bodies that an entry holds at once plus a head, because answers of backend servers may be larger than these bodies. */
+/** Longer frames are rejected. Larger than all request bodies that an entry holds at the same time plus a head, because responses of backend servers may be larger than these bodies. */
 const maxFrameBytes = 134_217_728;
 
 /** Longer heads are rejected. Enough for the longest headers that callers may send, with each character escaped as six in JSON. */
@@ -86,7 +86,7 @@
 }
 
 /**
- * Writes a frame. Frames written in the same turn of the event loop are sent in one write.
+ * Writes a frame. Frames written in the same iteration of the event loop are sent in one write.
  *
  * @param socket - The connection; if it is destroyed, nothing is written.
  * @param frame - The frame; head and body may be omitted.
--- a/src/lib/forwarding/gate-client.ts
+++ b/src/lib/forwarding/gate-client.ts
@@ -22,7 +22,7 @@
 export type RemoteCall = Omit<PeerRequest, 'hasBody' | 'leftMs'> & {
 	readonly gate: Address;
 	readonly body: Uint8Array | undefined;
-	/** Whether the body or the answer is large. */
+	/** Whether the body or the response is large. */
 	readonly isBulk: boolean;
 	readonly scope: CallScope;
 	/** Called repeatedly while the connection of the request is unresponsive. */
@@ -44,7 +44,7 @@
 	/** Returns when bytes last arrived from a gate, in milliseconds of the steady clock; 0 if none have on its current connections. */
 	readonly getLastReceivedAt: (gate: Address) => number;
 	/**
-	 * Makes new requests use new connections, because requests on the old ones may hang; those that are answered are still delivered. A connection that is being
+	 * Makes new requests use new connections, because requests on the old ones may hang; responses on the old ones are still delivered. A connection that is being
 	 * opened is kept, unless the node is back: its connection request may have been sent, and lost, while the node was away.
 	 */
 	readonly renewConnections: (gate: Address, reason: 'back' | 'unreachable') => void;
--- a/src/lib/forwarding/gate-server.ts
+++ b/src/lib/forwarding/gate-server.ts
@@ -1,6 +1,6 @@
 /**
  * Accepts requests from other nodes for the backend server beside this node, and
- * sends the active configuration to nodes that ask for it.
+ * sends the active configuration to nodes that request it.
  *
  * @module
  */
@@ -46,7 +46,7 @@
 /** A request in flight on a connection. */
 type IncomingRequest = {
 	readonly scope: CallScope;
-	/** Receives the body of an offered request; `undefined` if the gate has not asked for it. */
+	/** Receives the body of an offered request; `undefined` if the gate has not requested it. */
 	handleBody: ((body: Uint8Array) => void) | undefined;
 };
 
@@ -68,11 +68,11 @@
 /** Maximum bytes buffered for incomplete frames over all connections: a third of the memory of a process on the users' smallest VMs, and as much as the entry buffers for request bodies. */
 const maxBufferedBytes = 83_886_080;
 
-/** Maximum unsent response bytes on a connection that asks for the configuration: several times the largest configuration, and more than the users' fastest links carry in a second. */
+/** Maximum unsent response bytes on a connection that requests the configuration: several times the largest configuration, and more than the users' fastest links carry in a second. */
 const maxUnreadBytes = 33_554_432;
 
 /**
- * How long shutdown waits for other nodes to read the last responses. Other nodes read at once unless they hang. A megabyte
+ * How long shutdown waits for other nodes to read the last responses. Other nodes read immediately unless they hang. A megabyte
  * in the system's send buffers takes 0.8 s over the users' slowest links, but most of that time has passed before shutdown.
  */
 const closeTimeoutMs = 300;
@@ -119,7 +119,7 @@
 		}
 	};
 
-	/** Refuses an id that is already in flight, because its responses could not be told apart, and too many requests. */
+	/** Refuses an id that is already in flight, because its responses could not be distinguished, and too many requests. */
 	const checkRequest = ({requests}: Connection, {id}: Frame): void => {
 		if (requests.has(id)) {
 			throw new FieldError('frame.id', id, 'an id that is not in flight on this connection');
--- a/src/lib/forwarding/link-writer.ts
+++ b/src/lib/forwarding/link-writer.ts
@@ -1,6 +1,6 @@
 /**
  * Writes frames to the link of this VM, large ones in pieces and no faster than the
- * link carries them. Large frames written at once would delay everything sent after
+ * link carries them. Large frames written in one piece would delay everything sent after
  * them until all of them are sent: new connections, configuration requests,
  * heartbeats and small responses (head-of-line blocking).
  *
@@ -66,7 +66,7 @@
  */
 export function createLinkWriter(linkMbps: number): LinkWriter {
 	const pacer = createLinkPacer(linkMbps);
-	/** Large frames in the order of arrival. The first one that is not blocked continues, so that few are partly written at once. */
+	/** Large frames in the order of arrival. The first one that is not blocked continues, so that few are partly written at the same time. */
 	let largeFrames: LargeFrame[] = [];
 	/** Queues of the connections on which a large frame is being written. */
 	const queues = new Map<Socket, FrameQueue>();
@@ -155,7 +155,7 @@
 			writePiece(next);
 		}
 
-		// The socket usually accepts a piece at once and its callback continues with the same frame. Otherwise the timer continues with another frame.
+		// The socket usually accepts a piece immediately and its callback continues with the same frame. Otherwise the timer continues with another frame.
 		timer = setTimeout(sendNext, Math.max(waitMs, minWaitMs));
 	};
 
--- a/src/lib/forwarding/local-gate.test.ts
+++ b/src/lib/forwarding/local-gate.test.ts
@@ -128,7 +128,7 @@
 	assert.deepEqual(fixture.arrived, ['first']);
 });
 
-test('a request whose large response would wait too long for the link is refused at once; others run', async context => {
+test('a request whose large response would wait too long for the link is refused immediately; others run', async context => {
 	const fixture = await createFixture(context);
 	fixture.queuedBytes = 1_000_000;
 	const {result} = await fixture.gate.run({...fixture.createCall('late'), answerMayWaitMs: 700});
@@ -239,7 +239,7 @@
 	assert.equal(fixture.quarantine.check(fingerprint).type, 'free');
 });
 
-test('when a server restarts, requests that wait for a slot of the earlier lifetime are refused at once as not executed', async context => {
+test('when a server restarts, requests that wait for a slot of the earlier lifetime are refused immediately as not executed', async context => {
 	const fixture = await createFixture(context);
 	// This request holds the slot until its body arrives.
 	let sendBody = (): void => undefined;
--- a/src/lib/forwarding/local-gate.ts
+++ b/src/lib/forwarding/local-gate.ts
@@ -50,7 +50,7 @@
 export type LocalGateContext = {
 	readonly headerNames: CallHeaderNames;
 	readonly log: MeshLog;
-	/** Called when a change should be announced to the other nodes at once. */
+	/** Called when a change should be announced to the other nodes immediately. */
 	readonly handleChange: () => void;
 	/** Returns the maximum number of connections that the backend server accepts from this node. */
 	readonly getMaxConnections: (service: string) => number;
--- a/src/lib/forwarding/outgoing-call.ts
+++ b/src/lib/forwarding/outgoing-call.ts
@@ -32,7 +32,7 @@
 	readonly fingerprint: LazyFingerprint;
 	/** In milliseconds of the steady clock. */
 	readonly receivedAt: number;
-	/** Whether a backend server made the call. That server holds a slot until it gets the answer. */
+	/** Whether a backend server made the call. That server holds a slot until it gets the response. */
 	readonly isNestedCall: boolean;
 	/** Milliseconds between the first attempt of the caller, as estimated, and the receipt of this one. */
 	readonly ageMs: number;
--- a/src/lib/forwarding/peer-channel.ts
+++ b/src/lib/forwarding/peer-channel.ts
@@ -71,7 +71,7 @@
 const connectionLostMs = 3000;
 
 /**
- * A probe that was not written after this long is queued behind a body that is sent slowly or not at all; the two cases cannot be told apart here. The connection then
+ * A probe that was not written after this long is queued behind a body that is sent slowly or not at all; the two cases cannot be distinguished here. The connection then
  * takes no new requests, and requests that may be retried are also sent elsewhere. It is not closed, because the body may be one that must not be sent twice.
  */
 const probeWriteTimeoutMs = 2000;
@@ -93,11 +93,11 @@
 /** How connections are opened and written to. @internal */
 export type ChannelOptions = {
 	readonly openSocket?: OpenSocket;
-	/** Writes frames at the pace of the network link of this VM. */
+	/** Writes frames at the rate of the network link of this VM. */
 	readonly link?: Pick<LinkWriter, 'write' | 'cancel'>;
 };
 
-/** Used if the speed of the link is unknown: writes everything at once. */
+/** Used if the speed of the link is unknown: writes everything immediately. */
 const unpacedLink: Pick<LinkWriter, 'write' | 'cancel'> = {write: writeFrame, cancel: () => undefined};
 
 type PendingRequest = {
@@ -168,7 +168,7 @@
 		}
 	};
 
-	/** Writes a request. Nothing is written before the connection is open, so that a request that is given up meanwhile is never sent. */
+	/** Writes a request. Nothing is written before the connection is open, so that a request that is cancelled in the meantime is never sent. */
 	const sendFrame = (id: number, pendingRequest: PendingRequest): void => {
 		const {type, head, body} = pendingRequest.request;
 		clearTimeout(pendingRequest.connectWaitTimer);
@@ -357,7 +357,7 @@
 		retire() {
 			isRetired = true;
 			closeIfIdle();
-			// If the process at the other end has restarted, its system answers the ping with a reset, which ends the requests that wait for the earlier process at once.
+			// If the process at the other end has restarted, its system answers the ping with a reset, which ends the requests that wait for the earlier process immediately.
 			link.write(socket, {type: 'ping', id: 0});
 		},
 		dispose() {
--- a/src/lib/forwarding/peer-messages.ts
+++ b/src/lib/forwarding/peer-messages.ts
@@ -30,7 +30,7 @@
 	readonly leftMs: number;
 	/** The gate queues the request only if its expected wait for a slot is at most this long, in milliseconds. */
 	readonly mayWaitMs: number;
-	/** The gate accepts a request with a large answer only if the expected wait of the answer for the link is at most this long, in milliseconds; `undefined` if the answer is not large. */
+	/** The gate accepts a request with a large response only if the expected wait of the response for the link is at most this long, in milliseconds; `undefined` if the response is not large. */
 	readonly answerMayWaitMs?: number | undefined;
 };
 
@@ -129,7 +129,7 @@
 		: {head: [result.verdict, loadPart, result.reason, result.hasArrived ? 1 : 0, Math.round(result.retryAfterMs), result.detail]};
 }
 
-/** Decodes an answer of a backend server. Returns `undefined` if it is malformed or could not be written to a caller unchanged. */
+/** Decodes a response of a backend server. Returns `undefined` if it is malformed or could not be written to a caller unchanged. */
 function decodeAnswered([status, headers]: readonly unknown[], body: Uint8Array): ForwardResponse | undefined {
 	if (!Number.isInteger(status) || (status as number) < minFinalStatus || (status as number) > maxStatus) {
 		return undefined;
@@ -162,7 +162,7 @@
 }
 
 /**
- * Decodes the result of a request. A malformed answer counts as one after which the request may have run.
+ * Decodes the result of a request. A malformed answer counts as one after which the request may have been executed.
  *
  * @param head - The head of the answer's frame.
  * @param body - The body of the answer's frame.
--- a/src/lib/forwarding/running-attempts.ts
+++ b/src/lib/forwarding/running-attempts.ts
@@ -1,5 +1,5 @@
 /**
- * Runs the attempts of one call. Usually one attempt is in flight; a second may be started while the first is unresponsive, and the first answer wins.
+ * Runs the attempts of one call. Usually one attempt is in flight; a second may be started while the first is unresponsive, and the first response wins.
  *
  * @module
  */
@@ -16,7 +16,7 @@
 	readonly target: Candidate;
 	/** The gate queues the request only if its expected wait for a slot is at most this long, in milliseconds. */
 	readonly mayWaitMs: number;
-	/** The gate accepts a request with a large answer only if the expected wait of the answer for the link is at most this long, in milliseconds; `undefined` if the answer is not large. */
+	/** The gate accepts a request with a large response only if the expected wait of the response for the link is at most this long, in milliseconds; `undefined` if the response is not large. */
 	readonly answerMayWaitMs: number | undefined;
 	/** In milliseconds of the steady clock. */
 	readonly startedAt: number;
@@ -39,7 +39,7 @@
 	readonly start: (planned: Pick<Attempt, 'target' | 'mayWaitMs' | 'answerMayWaitMs'>) => Attempt;
 	/** Waits for the next event of any attempt. */
 	readonly waitForEvent: () => Promise<AttemptEvent>;
-	/** Cancels all attempts in flight because the call has its answer, and returns them. */
+	/** Cancels all attempts in flight because the call has its response, and returns them. */
 	readonly cancelAll: () => readonly Attempt[];
 };
 
@@ -130,7 +130,7 @@
 		try {
 			result = await sendAttempt(attempt);
 		} catch (error) {
-			// A bug in this program. The request may have run.
+			// A bug in this program. The request may have been executed.
 			context.log.record('error', {kind: 'node-failed', reason: (error as Error).stack ?? String(error)});
 			result = createMayHaveRun('wrong-answer', 'internal error of this node');
 		}
--- a/src/lib/forwarding/send-call.test.ts
+++ b/src/lib/forwarding/send-call.test.ts
@@ -263,7 +263,7 @@
 
 /**
  * Guards against two crashes by one trial. While a trial of a quarantined request crashes its server, another copy of the request arrives at the
- * gate of that server and finds that the server refuses connections. If that copy is passed on like any refused call, it crashes the next server as well.
+ * gate of that server and finds that the server refuses connections. If that copy is retried on another server like any refused call, it crashes the next server as well.
  */
 test('a trial of a quarantined request that is refused is not sent to another server', async () => {
 	const quarantine = createSilentQuarantine();
--- a/src/lib/forwarding/send-call.ts
+++ b/src/lib/forwarding/send-call.ts
@@ -147,7 +147,7 @@
 		}
 
 		if (!hasArrived(result)) {
-			// A trial is not passed on: another copy of the request may have crashed the server that could not be reached, and this one would be a second trial beside it.
+			// A trial is not retried on another server: another copy of the request may have crashed the server that could not be reached, and this one would be a second trial beside it.
 			return !isTrial && hasAllowedArrival() && mayTryAnotherGate({isBulk: isBulk(route.type)}, progress.refusals);
 		}
 
@@ -220,9 +220,9 @@
 /**
  * Chooses the HTTP status of a failed call.
  *
- * @param failure - Why the call has no answer.
+ * @param failure - Why the call has no response.
  * @param verdict - The verdict over all of its attempts.
- * @returns The status for the caller. Only 503 guarantees that the call has not run.
+ * @returns The status for the caller. Only 503 guarantees that the call was not executed.
  * @internal
  */
 export function chooseFailureStatus(failure: ForwardFailure, verdict: Verdict): number {
--- a/src/lib/forwarding/server-session.ts
+++ b/src/lib/forwarding/server-session.ts
@@ -74,7 +74,7 @@
 	 * were running at the crash: a node that lags learns of the new lifetime before it reads the closed connections.
 	 */
 	readonly recordCrash: () => void;
-	/** Stops new requests because another server has replaced this one. Requests that wait for a slot are refused at once; running requests may still finish. */
+	/** Stops new requests because another server has replaced this one. Requests that wait for a slot are refused immediately; running requests may still finish. */
 	readonly retire: () => void;
 	/** Ends the session and closes its connections. Requests in flight fail as `may-have-run`. */
 	readonly end: () => void;
@@ -105,11 +105,11 @@
 const slotsPerQueuedRequest = 8;
 
 /**
- * Computes how many requests may be at a server at once, more than it executes. Without the extra requests a free slot
+ * Computes how many requests may be at a server at the same time, more than it executes. Without the extra requests a free slot
  * would be idle while its response travels to the gate and the next request to the server, about three milliseconds under
- * load. A request that already waits at the server takes the slot at once.
+ * load. A request that already waits at the server takes the slot immediately.
  *
- * @param slots - Requests that the server executes at once.
+ * @param slots - Requests that the server executes concurrently.
  * @returns The maximum number of requests at the server.
  * @internal
  */
@@ -167,7 +167,7 @@
 		abandonedCalls = [...abandonedCalls, {id, fingerprint, expiresAt}].slice(-maxAbandonedCallCount);
 	};
 
-	/** Removes all abandoned calls and returns those that the server may still execute, since one of them may have crashed it. */
+	/** Removes all abandoned calls and returns the ones that the server may still execute, since one of them may have crashed it. */
 	const removeAbandonedCalls = (): readonly SentCall[] => {
 		const now = readSteadyMs();
 		const current = abandonedCalls.filter(({expiresAt}) => expiresAt > now);
@@ -191,7 +191,7 @@
 		handleCrash,
 	});
 
-	/** Reports abandoned calls to the crash watch, because they may be the only requests that were running when the server ended. */
+	/** Reports abandoned calls to the crash detector, because they may be the only requests that were running when the server ended. */
 	const checkAbandonedCalls = (): void => {
 		for (const call of removeAbandonedCalls()) {
 			void crashDetector.recordLost(call);
--- a/src/lib/forwarding/upload-limit.ts
+++ b/src/lib/forwarding/upload-limit.ts
@@ -1,5 +1,5 @@
 /**
- * Limits how many large request bodies are received over the link of this VM at once.
+ * Limits how many large request bodies are received over the link of this VM at the same time.
  * More concurrent bodies do not increase the throughput of a slow link: they delay each
  * other and every small response sent meanwhile.
  *
@@ -27,7 +27,7 @@
 const minUploadCount = 2;
 
 /**
- * Computes how many large bodies a link carries at once in one direction.
+ * Computes how many large bodies a link carries at the same time in one direction.
  *
  * @param linkMbps - Bandwidth of the link in megabits per second.
  * @returns The maximum number of concurrent uploads.
--- a/src/lib/local-server/local-server-updates.test.ts
+++ b/src/lib/local-server/local-server-updates.test.ts
@@ -121,7 +121,7 @@
 
 const [earliest, middle, latest] = [1000, 2000, 3000] as const;
 
-test('a later start of the same id replaces the earlier one at once, also if that one drained, and inherits none of its state', () => {
+test('a later start of the same id replaces the earlier one immediately, also if that one drained, and inherits none of its state', () => {
 	const before = announce(noLocalServer, {startedAt: earliest, sequence: 90, slots: 4}).state;
 	const drained = announce(before, {startedAt: earliest, sequence: 91, isDraining: true}, 10).state;
 	const left = leave(before, {startedAt: earliest}, 10).state;
--- a/src/lib/local-server/local-server-updates.ts
+++ b/src/lib/local-server/local-server-updates.ts
@@ -3,7 +3,7 @@
  * it sends, which may arrive in any order. Pure functions: the caller passes the
  * time.
  *
- * A later start of an id replaces an earlier one at once, as if that one had
+ * A later start of an id replaces an earlier one immediately, as if that one had
  * crashed, and inherits none of its state. Further messages of the earlier start
  * concern only that start, and never put it back into use while the later one
  * is heard.
--- a/src/lib/local-server/start-time-check.ts
+++ b/src/lib/local-server/start-time-check.ts
@@ -3,7 +3,7 @@
  *
  * If the servers of a mesh announce their start time, an announcement without one comes from another sender. On platforms
  * whose servers don't announce it, each start has its own id, and refusing such announcements would leave the mesh without
- * any server. The node tells the two cases apart by the announcements and peer reports that it receives.
+ * any server. The node distinguishes the two cases by the announcements and peer reports that it receives.
  *
  * @module
  */
--- a/src/lib/membership/member-list.ts
+++ b/src/lib/membership/member-list.ts
@@ -14,7 +14,7 @@
 export type MemberList = {
 	/** Returns the alive members of a domain, in tree order. Suspects are left out, so that distribution does not wait for them. */
 	readonly listAliveMembers: (domain: FailureDomain) => readonly NodeId[];
-	/** Returns the members of a domain that heartbeats are sent to: those that are alive or suspect. */
+	/** Returns the members of a domain that heartbeats are sent to: the alive and the suspect ones. */
 	readonly listProbeTargets: (domain: FailureDomain) => readonly NodeId[];
 	/** Returns all failure domains of the directory. */
 	readonly listDomains: () => readonly FailureDomain[];
--- a/src/lib/peers/announcement-targets.test.ts
+++ b/src/lib/peers/announcement-targets.test.ts
@@ -19,7 +19,7 @@
 	return table;
 }
 
-test('in a mesh of up to 80 nodes every other node is notified at once', () => {
+test('in a mesh of up to 80 nodes every other node is notified immediately', () => {
 	assert.equal(chooseAnnouncementTargets(fillTable(20, 59), Math.random).length, 79);
 });
 
--- a/src/lib/peers/announcement-targets.ts
+++ b/src/lib/peers/announcement-targets.ts
@@ -1,5 +1,5 @@
 /**
- * Chooses the nodes that are notified at once that the backend server beside a
+ * Chooses the nodes that are notified immediately that the backend server beside a
  * node is ready.
  *
  * Each datagram wakes a process, so in a mesh of hundreds of nodes, in which
@@ -12,7 +12,7 @@
  */
 import {type Peer, type PeerTable} from './peer-table.js';
 
-/** The maximum number of nodes that are notified at once. In a mesh of up to 80 nodes, all nodes are. */
+/** The maximum number of nodes that are notified immediately. In a mesh of up to 80 nodes, all nodes are. */
 const maximumTargetCount = 80;
 
 /** The maximum number of them in the own failure domain, whose requests go to this server first. The rest are in other failure domains, so that these are notified too. */
@@ -29,7 +29,7 @@
 }
 
 /**
- * Chooses the nodes to notify at once. The other nodes learn of the change from their next heartbeat.
+ * Chooses the nodes to notify immediately. The other nodes learn of the change from their next heartbeat.
  *
  * @param table - The other nodes.
  * @param random - Returns a random number from 0 to 1, excluding 1.
--- a/src/lib/peers/peer-link.test.ts
+++ b/src/lib/peers/peer-link.test.ts
@@ -51,7 +51,7 @@
 	return {...link, node, address};
 }
 
-test('nodes discover each other through a seed address, and a node answers a probe at once', async context => {
+test('nodes discover each other through a seed address, and a node answers a probe immediately', async context => {
 	const first = await startLink(context, 'n1');
 	const second = await startLink(context, 'n2');
 	first.addSeedAddresses([second.address]);
@@ -77,7 +77,7 @@
 	});
 });
 
-test('in a large mesh all nodes are notified at once that a server drains, and a bounded number that it is ready', async context => {
+test('in a large mesh all nodes are notified immediately that a server drains, and a bounded number that it is ready', async context => {
 	const nodes = 120;
 	let state: ServerState = 'ready';
 	const link = await startLink(context, 'n1', {getState: () => state});
--- a/src/lib/peers/peer-link.ts
+++ b/src/lib/peers/peer-link.ts
@@ -54,11 +54,11 @@
 	readonly table: PeerTableView;
 	/** Sends heartbeats to addresses at which other nodes may listen, until a node is known there or the attempts are used up. */
 	readonly addSeedAddresses: (addresses: readonly Address[]) => void;
-	/** Sends a report at once: to all nodes if the server takes no more requests, to a bounded number if it is ready. */
+	/** Sends a report immediately: to all nodes if the server takes no more requests, to a bounded number if it is ready. */
 	readonly announce: () => void;
-	/** Sends a report at once to the nodes of the own failure domain. */
+	/** Sends a report immediately to the nodes of the own failure domain. */
 	readonly announceToDomain: () => void;
-	/** Sends a report at once to all nodes, for changes that must not wait for the next heartbeat. */
+	/** Sends a report immediately to all nodes, for changes that must not wait for the next heartbeat. */
 	readonly announceToAll: () => void;
 	/** Requests a report from a node, because requests wait for it. */
 	readonly probe: (node: NodeId) => void;
@@ -68,7 +68,7 @@
 	readonly noteUnreachable: (node: NodeId) => void;
 	/** Records that a node answered a request. */
 	readonly noteReached: (node: NodeId) => void;
-	/** Records that this node was paused for so many milliseconds, so that the pause does not count as silence of the other nodes. */
+	/** Records that this node was paused for the given number of milliseconds, so that the pause does not count as silence of the other nodes. */
 	readonly recordPause: (pausedMs: number) => void;
 	readonly dispose: () => void;
 };
@@ -82,13 +82,13 @@
 /** The shortest interval between two answered probes of one node. Nodes probe every 200 milliseconds. */
 const minimumProbeIntervalMs = 50;
 
-/** Rate limit of answers to new nodes and to probes, over all nodes. A mesh that starts at once needs one answer per node, and later a few per second. */
+/** Rate limit of answers to new nodes and to probes, over all nodes. If all nodes of a mesh start at the same time, it needs one answer per node, and later a few per second. */
 const answerRateLimit = {perSecond: 500, burst: 2000} as const;
 
 type Lookup = NonNullable<SocketOptions['lookup']>;
 
 /**
- * Returns an address as it is, since all addresses are numeric. The lookup of Node.js would return it in a later turn of the
+ * Returns an address as it is, since all addresses are numeric. The lookup of Node.js would return it in a later iteration of the
  * event loop, which costs several times as much as sending the datagram.
  */
 const resolveNumericAddress: Lookup = (host, _options, handleFound) => {
@@ -284,7 +284,7 @@
 		return true;
 	};
 
-	/** Returns whether this node answers a report with its own at once. Takes a token of the rate limit if so. */
+	/** Returns whether this node answers a report with its own immediately. Takes a token of the rate limit if so. */
 	const mayAnswer = ({node, isProbe}: PeerReport, change: PeerChange): boolean => {
 		const now = readSteadyMs();
 		const isNew = change === 'joined' || change === 'restarted';
--- a/src/lib/peers/peer-report.ts
+++ b/src/lib/peers/peer-report.ts
@@ -55,9 +55,9 @@
 	readonly server: ServerReport | undefined;
 	readonly duties: NodeDuties;
 	readonly periods: HeartbeatPeriods;
-	/** Whether it requests a report in return at once. */
+	/** Whether it requests a report in return immediately. */
 	readonly isProbe: boolean;
-	/** Requests that were running when servers crashed; a bounded part of those that it knows. */
+	/** Requests that were running when servers crashed; a bounded number of the ones that the node knows. */
 	readonly suspects: readonly SuspectRecord[];
 };
 
@@ -164,7 +164,7 @@
 /** The longest accepted interval between two heartbeats: a node that is silent for this time is forgotten. */
 const maximumPeriodMs = 60_000;
 
-/** Reads the server of a report; 0 stands for none. A malformed server refuses the whole report, so that it can't remove the known server of the node. */
+/** Reads the server of a report; 0 means that there is none. A malformed server refuses the whole report, so that it can't remove the known server of the node. */
 function readServer(value: unknown): ServerReport | undefined {
 	if (value === 0) {
 		return undefined;
--- a/src/lib/peers/peer-table.ts
+++ b/src/lib/peers/peer-table.ts
@@ -67,7 +67,7 @@
 	readonly noteUnreachable: (node: NodeId, now: number) => void;
 	/** Records that a node answered a request, which resets its consecutive failures and counts as heard, like a report. */
 	readonly noteReached: (node: NodeId, now: number) => void;
-	/** Records that this node was paused for so many milliseconds and could hear nothing: shifts the timestamps of all nodes by this time. */
+	/** Records that this node was paused for the given number of milliseconds and could hear nothing: shifts the timestamps of all nodes by this time. */
 	readonly recordPause: (pausedMs: number) => void;
 	/** Drops the nodes that have been silent for longer than `forgetMs`, among all or the given ones; returns the dropped nodes. */
 	readonly dropSilent: (now: number, some?: Iterable<Peer>) => readonly NodeId[];
--- a/src/lib/quarantine/crash-detector.test.ts
+++ b/src/lib/quarantine/crash-detector.test.ts
@@ -85,7 +85,7 @@
 /**
  * Guards against crashes that are not counted. A node that is paused for longer than its server needs to restart reads the ends of its
  * connections when the next lifetime already listens. If a listening address is taken for the same lifetime, the crash looks like a
- * reset, the request is passed on, and it crashes the next server without being recorded.
+ * reset, the request is retried, and it crashes the next server without being recorded.
  */
 test('requests lost while the next lifetime already listened count as in flight at a crash once that lifetime announces itself', async context => {
 	const {detector, crashes, setEnded, advance} = createFixture(context);
--- a/src/lib/quarantine/crash-detector.ts
+++ b/src/lib/quarantine/crash-detector.ts
@@ -23,7 +23,7 @@
 	readonly recordReplaced: () => void;
 };
 
-/** The connections of a process close together when it ends. Within this time this process reads the end of those that it has not read yet. */
+/** The connections of a process close together when it ends. Within this time this process also reads the end of the remaining ones. */
 const gatherWindowMs = 3;
 
 /** Shortest time between probes of a server that was found listening. An overloaded server may reset many connections, and each probe is another connection. */
--- a/src/lib/quarantine/crash-report.ts
+++ b/src/lib/quarantine/crash-report.ts
@@ -11,7 +11,7 @@
 /** @internal */
 export type CrashReport = {
 	readonly crash: CrashKey;
-	/** Requests that were in flight at the crash, without those that were answered shortly before. */
+	/** Requests that were in flight at the crash, without the ones that were answered shortly before. */
 	readonly fingerprints: readonly Fingerprint[];
 };
 
--- a/src/lib/quarantine/fingerprint.ts
+++ b/src/lib/quarantine/fingerprint.ts
@@ -71,7 +71,7 @@
 /**
  * @param head - Digest of the head.
  * @param bodyDigest - Digest of the body; `undefined` if there is none.
- * @returns The whole fingerprint. A `bodyDigest` that is not a digest stands for an unknown body: such a fingerprint matches no other.
+ * @returns The whole fingerprint. A `bodyDigest` that is not a digest means that the body is unknown: such a fingerprint matches no other.
  * @internal
  */
 export const joinBodyDigest = (head: HeadFingerprint, bodyDigest: string | undefined): Fingerprint => `${head}.${bodyDigest ?? noBodyDigest}` as Fingerprint;
--- a/src/lib/quarantine/quarantine.ts
+++ b/src/lib/quarantine/quarantine.ts
@@ -1,6 +1,6 @@
 /**
  * Keeps requests that crash backend servers away from them. A node suspects the requests
- * that were in flight when the server beside it crashed, clears those that the server answers,
+ * that were in flight when the server beside it crashed, clears the ones that the server answers,
  * and merges both with the records of the other nodes.
  *
  * A page that crashes every server and is requested repeatedly at any node crashes three servers. Without a quarantine it would crash all
@@ -22,7 +22,7 @@
 /** @internal */
 export type QuarantineContext = {
 	readonly log: MeshLog;
-	/** Called when the other nodes should receive a change at once. */
+	/** Called when the other nodes should receive a change immediately. */
 	readonly handleUrgentChange: () => void;
 	/** Called for each crash of the server beside this node that makes a request a suspect. */
 	readonly handleCrash: (report: CrashReport) => void;
@@ -38,7 +38,7 @@
 /** @internal */
 export type Quarantine = {
 	readonly check: (request: LazyFingerprint) => QuarantineDecision;
-	/** Waits until a request on trial may be checked at the gate; returns `undefined` if it may be checked at once, as nearly all requests may. */
+	/** Waits until a request on trial may be checked at the gate; returns `undefined` if it may be checked immediately, as nearly all requests may. */
 	readonly waitForTrial: (request: LazyFingerprint) => Promise<void> | undefined;
 	/** Checks a request before it is sent to the server, and admits only one trial per fingerprint at a time. */
 	readonly admitRun: (request: LazyFingerprint) => RunAdmission;
--- a/src/lib/quarantine/suspect-table.ts
+++ b/src/lib/quarantine/suspect-table.ts
@@ -29,14 +29,14 @@
 	readonly recordCrash: (fingerprints: readonly Fingerprint[], crash: CrashKey, now: number) => readonly Fingerprint[];
 	/** Records that a server answered a request; returns of how many crashes it was cleared. */
 	readonly clear: (fingerprint: Fingerprint, now: number) => number;
-	/** Returns for how many milliseconds a trial still waits after the first crash: requests that were under way at the crash may crash another server. */
+	/** Returns for how many milliseconds a trial still waits after the first crash: requests that were in flight at the crash may crash another server. */
 	readonly getTrialDelayMs: (fingerprint: Fingerprint, now: number) => number;
 	/** Records that several callers sent a request shortly after a crash; returns whether that is new. */
 	readonly recordRepeat: (fingerprint: Fingerprint, now: number) => boolean;
 	/** Merges records of another node; returns the requests whose records have changed. */
 	readonly merge: (records: readonly SuspectRecord[], now: number) => readonly Fingerprint[];
 	readonly get: (fingerprint: Fingerprint, now: number) => SuspectRecord | undefined;
-	/** Returns the quarantined requests, including those that may run on trial again after a long time. */
+	/** Returns the quarantined requests, including the ones that may run on trial again after a long time. */
 	readonly listQuarantined: (now: number) => readonly SuspectRecord[];
 	/** Returns a batch of records for one message: alternately the worst with the latest changes, and the next ones of all records in order. */
 	readonly listBatch: (now: number) => readonly SuspectRecord[];
@@ -55,8 +55,8 @@
 const permanentCrashCount = 6;
 
 /**
- * Delay of a trial after the first crash. By its end, requests that were already under way at the crash have reached and possibly crashed
- * another server, and a popular page has been requested again. A popular request without a response is held back at once: its trial would most likely crash
+ * Delay of a trial after the first crash. By its end, requests that were already in flight at the crash have reached and possibly crashed
+ * another server, and a popular page has been requested again. A popular request without a response is held back immediately: its trial would most likely crash
  * a second server while the first one restarts, and most other requests would suffer from the lack of servers.
  */
 const trialDelayMs = 400;
--- a/src/lib/quarantine/trial-delay.ts
+++ b/src/lib/quarantine/trial-delay.ts
@@ -21,7 +21,7 @@
 
 /** @internal */
 export type TrialDelay = {
-	/** Waits until the request may be checked again; returns `undefined` if it may be checked at once. */
+	/** Waits until the request may be checked again; returns `undefined` if it may be checked immediately. */
 	readonly wait: (fingerprint: Fingerprint) => Promise<void> | undefined;
 };
 
--- a/src/lib/route-config/route-config.ts
+++ b/src/lib/route-config/route-config.ts
@@ -5,7 +5,7 @@
  * @module
  */
 
-/** Whether a request of a route may run more than once, and whether its body or answer is large. @public */
+/** Whether a request of a route may run more than once, and whether its body or response is large. @public */
 export type RouteType =
 	/** May run more than once. */
 	| 'safe'
@@ -13,7 +13,7 @@
 	| 'unsafe'
 	/** Has a large body, and runs at most once. */
 	| 'upload'
-	/** Has a large answer, and may run more than once. */
+	/** Has a large response, and may run more than once. */
 	| 'download';
 
 /** A service that receives a share of a route's requests. @public */
--- a/src/lib/sidecar/config-answer-cache.ts
+++ b/src/lib/sidecar/config-answer-cache.ts
@@ -1,6 +1,6 @@
 /**
  * Caches the encoded answers to requests of other nodes for the configuration.
- * Many nodes request the same version at once, so each answer is encoded once.
+ * Many nodes request the same version at the same time, so each answer is encoded once.
  *
  * @module
  */
--- a/src/lib/sidecar/graceful-shutdown.ts
+++ b/src/lib/sidecar/graceful-shutdown.ts
@@ -22,7 +22,7 @@
 /** How long the gate still accepts requests. The backend server keeps working, and the node stays until its callers have left anyway. A request accepted last still has the longest timeout of the callers before the node must exit. */
 const gateOpenMs = 1800;
 
-/** Responses close their connections after this time. By then the readiness check has told callers twice that the node is not ready. */
+/** Responses close their connections after this time. By then the readiness check has reported to callers twice that the node is not ready. */
 const closeConnectionsAfterMs = 2300;
 
 /** The node accepts connections until this time, since callers may still connect. */
--- a/src/lib/sidecar/list-candidates.ts
+++ b/src/lib/sidecar/list-candidates.ts
@@ -95,7 +95,7 @@
 	const {service, route, tried, trialOf} = query;
 	const {own, peers, limits, loads, random} = sources;
 
-	/** Returns whether a server is excluded. A server that refused a trial stays in the choice: to choose among the others would run the trial at several servers at once. */
+	/** Returns whether a server is excluded. A server that refused a trial stays in the choice: to choose among the others would run the trial at several servers at the same time. */
 	const isExcluded = (lifetime: LifetimeKey): boolean => trialOf === undefined && tried.has(lifetime);
 
 	const describeIfUsable = (peer: Peer): Candidate | undefined => {
@@ -132,6 +132,6 @@
 	}
 
 	const sampled = [...localCandidates, ...findSampled(peers.ownDomain), ...findSampled(peers.otherDomains)];
-	// If most servers of a service fail at once, the sample may miss the few that are left.
+	// If most servers of a service fail at the same time, the sample may miss the few that are left.
 	return sampled.length > 0 ? sampled : listAll();
 }
--- a/src/lib/sidecar/liveness-monitor.ts
+++ b/src/lib/sidecar/liveness-monitor.ts
@@ -96,7 +96,7 @@
 		}
 	};
 
-	/** Probes the nodes that requests wait for, and again those that have not answered yet, since a probe or its answer may be lost. */
+	/** Probes the nodes that requests wait for, and repeats the probe to a node that has not answered yet, since a probe or its answer may be lost. */
 	const probeSilentNodes = (now: number): void => {
 		for (const [node, waitingSince] of silenceWatchers.listWatchedNodes()) {
 			const peer = link.table.get(node);
--- a/src/lib/sidecar/sidecar.ts
+++ b/src/lib/sidecar/sidecar.ts
@@ -113,8 +113,8 @@
 	const lag = createLoopLag();
 	const startLimiter = createRequestStartLimiter();
 	/**
-	 * Waits until the input that arrived together with a request has been read. Only a few requests on new connections start in one turn of the event loop.
-	 * Even while turns are short, a new connection may have waited in the accept queue for seconds and its caller may have left. This happens, for example,
+	 * Waits until the input that arrived together with a request has been read. Only a few requests on new connections start in one iteration of the event loop.
+	 * Even while iterations are short, a new connection may have waited in the accept queue for seconds and its caller may have left. This happens, for example,
 	 * at the last node of a failure domain whose other nodes were killed.
 	 */
 	const waitForPendingInput = async (isNewConnection: boolean): Promise<void> => {
--- a/src/lib/sync/crash-entries.ts
+++ b/src/lib/sync/crash-entries.ts
@@ -3,7 +3,7 @@
  * Heartbeats between nodes are faster, but a network partition blocks them:
  * each side would then count its own crashes, and a request could crash three
  * backend servers on each. The nodes that reach the store enforce the limit
- * together, and still know the crashes after all nodes were killed at once.
+ * together, and still know the crashes after all nodes were killed at the same time.
  *
  * @module
  */
--- a/src/lib/sync/suspect-entries.ts
+++ b/src/lib/sync/suspect-entries.ts
@@ -1,6 +1,6 @@
 /**
  * Keeps quarantined requests in the store, so that they survive when all nodes
- * end at once. Running nodes learn of them faster through heartbeats; the
+ * end at the same time. Running nodes learn of them faster through heartbeats; the
  * entries are for nodes that start.
  *
  * @module
--- a/src/lib/timeline/mesh-log.ts
+++ b/src/lib/timeline/mesh-log.ts
@@ -64,7 +64,7 @@
 	| {readonly kind: 'configuration-applied'; readonly version: number; readonly from: string; readonly routes: number}
 	/** Another node reported a version that is newer than any known version. */
 	| {readonly kind: 'configuration-heard'; readonly version: number; readonly from: string; readonly held: number}
-	/** Another node was asked for its configuration and did not return a usable one. */
+	/** The configuration was requested from another node, which did not return a usable one. */
 	| {readonly kind: 'configuration-not-fetched'; readonly version: number; readonly from: string; readonly held: number; readonly outcome: string; readonly reason: string; readonly tookMs: number}
 	/** The configuration, or its changes, were read from the store. */
 	| {readonly kind: 'configuration-read'; readonly call: string; readonly version: number; readonly tookMs: number}
--- a/src/lib/timeline/refusal-log.test.ts
+++ b/src/lib/timeline/refusal-log.test.ts
@@ -25,7 +25,7 @@
 	};
 }
 
-test('the first refusal is logged at once, further ones once per second with their count', context => {
+test('the first refusal is logged immediately, further ones once per second with their count', context => {
 	const {refusals, counted, takeLines, tick} = startFixture(context);
 	for (let sent = 0; sent < 1000; sent++) {
 		refusals.record(heartbeat);
--- a/src/lib/timeline/refusal-log.ts
+++ b/src/lib/timeline/refusal-log.ts
@@ -1,7 +1,7 @@
 /**
  * Logs refused input at a limited rate, since a sender may send thousands of
  * invalid messages per second. Each refusal is counted in the metrics. The first
- * of a kind and cause is logged at once, then at most one line per second, with
+ * of a kind and cause is logged immediately, then at most one line per second, with
  * the number of refusals since the last line.
  *
  * @module
--- a/stand-ins/backend-server/backend-server.ts
+++ b/stand-ins/backend-server/backend-server.ts
@@ -70,9 +70,9 @@
 	readonly address: string;
 	readonly getRequestCounts: () => RequestCounts;
 	readonly setBehaviour: (changes: Partial<BackendBehaviour>) => void;
-	/** Tells the node that it drains, waits for the requests in flight, withdraws its announcement and stops. */
+	/** Notifies the node that it drains, waits for the requests in flight, withdraws its announcement and stops. */
 	readonly drain: () => Promise<void>;
-	/** Stops at once and closes all connections, without telling the node. */
+	/** Stops immediately and closes all connections, without notifying the node. */
 	readonly kill: () => Promise<void>;
 	/** Whether it listens on its address. */
 	readonly isUp: () => boolean;
--- a/stand-ins/store/memory-store.ts
+++ b/stand-ins/store/memory-store.ts
@@ -49,7 +49,7 @@
 	readonly getFaults: () => StoreFaults;
 	readonly getCallCounts: () => StoreCallCounts;
 	readonly createBackup: () => StoreBackup;
-	/** Removes all leased keys at once, as if the platform had lost its leases. */
+	/** Removes all leased keys at the same time, as if the platform had lost its leases. */
 	readonly expireLeases: () => void;
 	/** Replaces the content of the store by a backup. */
 	readonly restoreBackup: (backup: StoreBackup) => void;
