--- a/scripts/faults.ts
+++ b/scripts/faults.ts
@@ -173,7 +173,7 @@
 	{
 		promise: 'sidecar: a node that shuts down waits until its responses are sent',
 		file: `${library}/sidecar/sidecar.js`,
-		from: ' + entry.countUnsentAnswers() + gateServer.countUnsent()',
+		from: ' + entry.countUnsentAnswers() + gateServer.countUnsentResponses()',
 		to: '',
 		tests: 'platform',
 	},
@@ -264,14 +264,14 @@
 	{
 		promise: 'sidecar: a request to a backend server names the server that is expected',
 		file: `${library}/forwarding/server-session.js`,
-		from: '[wire.expectedServer]: lifetime.id,',
+		from: '[headerNames.expectedServer]: lifetime.id,',
 		to: '',
 		tests: 'platform',
 	},
 	{
 		promise: 'sidecar: a backend server receives the service of the caller from the node, so that it cannot be forged',
 		file: `${library}/forwarding/server-session.js`,
-		from: '[wire.callerService]: call.callerService,',
+		from: '[headerNames.callerService]: call.callerService,',
 		to: '',
 		tests: 'platform',
 	},
@@ -740,7 +740,7 @@
 	{
 		promise: 'quarantine: requests in flight at a crash become suspects',
 		file: `${library}/forwarding/server-session.js`,
-		from: 'context.quarantine.recordCrash(lifetime, atWork.map(({ fingerprint }) => fingerprint));',
+		from: 'context.quarantine.recordCrash(lifetime, inFlight.map(({ fingerprint }) => fingerprint));',
 		to: '',
 		tests: 'platform/crashing-requests.test.js',
 	},
--- a/src/lib/forwarding/call-progress.ts
+++ b/src/lib/forwarding/call-progress.ts
@@ -25,7 +25,7 @@
 	readonly recordEnd: (attempt: Attempt, result: ForwardResult) => AttemptRecord;
 	/** Records why no further attempt is started. */
 	readonly recordRefusal: (failure: ForwardFailure) => void;
-	/** Ends the call with the answer of one attempt; the superseded attempts were cancelled because of it. */
+	/** Ends the call with the response of one attempt; the superseded attempts were cancelled because of it. */
 	readonly finish: (result: ForwardResult, superseded: readonly Attempt[]) => CallOutcome;
 	/** Ends the call with the fallback. */
 	readonly finishWithFallback: () => CallOutcome;
@@ -42,7 +42,7 @@
 
 const describeOutcome = (result: ForwardResult): string => result.type === 'answered' ? String(result.status) : result.reason;
 
-/** An answer from a server, even an error status, tells the caller more than a failure to get an answer. */
+/** A response from a server, even with an error status, is more informative for the caller than a failure to get one. */
 const isLessInformative = (failure: ForwardResult, fallback: ForwardResult): boolean =>
 	failure.type === 'failed' && fallback.type === 'answered';
 
@@ -63,7 +63,7 @@
 	const tried = new Set<LifetimeKey>();
 	const full = new Set<LifetimeKey>();
 	/** In the order in which the attempts started. */
-	const attemptNotes = new Map<Attempt, AttemptRecord>();
+	const attemptRecords = new Map<Attempt, AttemptRecord>();
 	let verdict: Verdict = 'not-run';
 	let arrivals = 0;
 	let refusals = 0;
@@ -82,7 +82,7 @@
 		}
 	};
 
-	const createOutcome = (result: ForwardResult): CallOutcome => ({result, verdict, attempts: [...attemptNotes.values()]});
+	const createOutcome = (result: ForwardResult): CallOutcome => ({result, verdict, attempts: [...attemptRecords.values()]});
 
 	return {
 		tried,
@@ -95,7 +95,7 @@
 		getFallback: () => fallback,
 		recordStart(attempt) {
 			tried.add(attempt.target.lifetime);
-			attemptNotes.set(attempt, describeAttempt(attempt, 'may-have-run', 'under way'));
+			attemptRecords.set(attempt, describeAttempt(attempt, 'may-have-run', 'under way'));
 		},
 		recordEnd(attempt, result) {
 			const {target, mayWaitMs} = attempt;
@@ -107,9 +107,9 @@
 			arrivals += hasArrived(result) ? 1 : 0;
 			refusals += hasArrived(result) ? 0 : 1;
 			mergeResult(result);
-			const note = describeAttempt(attempt, getVerdict(result), describeOutcome(result));
-			attemptNotes.set(attempt, note);
-			return note;
+			const record = describeAttempt(attempt, getVerdict(result), describeOutcome(result));
+			attemptRecords.set(attempt, record);
+			return record;
 		},
 		recordRefusal(failure) {
 			refusals++;
@@ -117,7 +117,7 @@
 		},
 		finish(result, superseded) {
 			for (const attempt of superseded) {
-				attemptNotes.set(attempt, describeAttempt(attempt, 'may-have-run', 'superseded'));
+				attemptRecords.set(attempt, describeAttempt(attempt, 'may-have-run', 'superseded'));
 			}
 
 			return createOutcome(result);
--- a/src/lib/forwarding/gate-server.ts
+++ b/src/lib/forwarding/gate-server.ts
@@ -1,6 +1,6 @@
 /**
  * Accepts requests from other nodes for the backend server beside this node, and
- * sends the active configuration to nodes that ask for it.
+ * sends the active configuration to nodes that request it.
  *
  * @module
  */
@@ -11,7 +11,7 @@
 import {type MeshLog, type RefusalCause} from '../timeline/mesh-log.js';
 import {type RefusalLog} from '../timeline/refusal-log.js';
 import {createCallScope, type CallScope} from './call-scope.js';
-import {countUnsent} from './connection-scopes.js';
+import {countUnsentConnections} from './connection-scopes.js';
 import {
 	createFrameReader, type Frame, type FrameReader,
 } from './frame.js';
@@ -27,7 +27,7 @@
 	/** Returns the response to a node that has the given version of the configuration. */
 	readonly getConfig: (version: number) => EncodedConfigAnswer;
 	/** Waits until pending input has been handled if the event loop of this process lags. */
-	readonly catchUp: LoopLag['waitForPendingInput'];
+	readonly waitForPendingInput: LoopLag['waitForPendingInput'];
 	readonly log: MeshLog;
 	readonly refusals: RefusalLog;
 	/** Writes frames at the rate of this VM's link. */
@@ -38,7 +38,7 @@
 export type GateServer = {
 	readonly server: Server;
 	/** Returns the number of queued large responses plus the number of connections with unsent bytes. */
-	readonly countUnsent: () => number;
+	readonly countUnsentResponses: () => number;
 	/** Closes each connection once the other node has read what was written to it. Resolves when all are closed, or after a timeout. */
 	readonly dispose: () => Promise<void>;
 };
@@ -46,7 +46,7 @@
 /** A request in flight on a connection. */
 type IncomingRequest = {
 	readonly scope: CallScope;
-	/** Receives the body of an offered request; `undefined` if the gate has not asked for it. */
+	/** Receives the body of an offered request; `undefined` if the gate has not requested it. */
 	handleBody: ((body: Uint8Array) => void) | undefined;
 };
 
@@ -68,11 +68,11 @@
 /** Maximum bytes buffered for incomplete frames over all connections: a third of the memory of a process on the users' smallest VMs, and as much as the entry buffers for request bodies. */
 const maxBufferedBytes = 83_886_080;
 
-/** Maximum unsent response bytes on a connection that asks for the configuration: several times the largest configuration, and more than the users' fastest links carry in a second. */
+/** Maximum unsent response bytes on a connection that requests the configuration: several times the largest configuration, and more than the users' fastest links carry in a second. */
 const maxUnreadBytes = 33_554_432;
 
 /**
- * How long shutdown waits for other nodes to read the last responses. Other nodes read at once unless they hang. A megabyte
+ * How long shutdown waits for other nodes to read the last responses. Other nodes read immediately unless they hang. A megabyte
  * in the system's send buffers takes 0.8 s over the users' slowest links, but most of that time has passed before shutdown.
  */
 const closeTimeoutMs = 300;
@@ -91,7 +91,7 @@
  * @internal
  */
 export function createGateServer(context: GateServerContext): GateServer {
-	const {gate, getConfig, catchUp, log, refusals, link} = context;
+	const {gate, getConfig, waitForPendingInput, log, refusals, link} = context;
 	const connections = new Set<Connection>();
 	let bufferedBytes = 0;
 
@@ -106,7 +106,7 @@
 
 	const runAtGate = async (connection: Connection, frame: Frame, request: PeerRequest, incoming: IncomingRequest): Promise<GateResult> => {
 		try {
-			await catchUp();
+			await waitForPendingInput();
 			return await gate.run({
 				...request,
 				scope: incoming.scope,
@@ -119,7 +119,7 @@
 		}
 	};
 
-	/** Refuses an id that is already in flight, because its responses could not be told apart, and too many requests. */
+	/** Refuses an id that is already in flight, because its responses could not be distinguished, and too many requests. */
 	const checkRequest = ({requests}: Connection, {id}: Frame): void => {
 		if (requests.has(id)) {
 			throw new FieldError('frame.id', id, 'an id that is not in flight on this connection');
@@ -251,7 +251,7 @@
 
 	return {
 		server,
-		countUnsent: () => link.countQueued() + countUnsent(Array.from(connections, ({socket}) => socket)),
+		countUnsentResponses: () => link.countQueued() + countUnsentConnections(Array.from(connections, ({socket}) => socket)),
 		async dispose() {
 			// Destroying a socket with unread input sends a reset, and the other node then loses bytes that it has not read yet. An orderly end avoids this.
 			const closed = Promise.all(Array.from(connections, async ({socket}) => new Promise(resolve => {
--- a/src/lib/forwarding/upload-limit.ts
+++ b/src/lib/forwarding/upload-limit.ts
@@ -1,5 +1,5 @@
 /**
- * Limits how many large request bodies are received over the link of this VM at once.
+ * Limits how many large request bodies are received over the link of this VM at the same time.
  * More concurrent bodies do not increase the throughput of a slow link: they delay each
  * other and every small response sent meanwhile.
  *
@@ -11,7 +11,7 @@
 /** A large request body that holds one place of the limit. @internal */
 export type Upload = {
 	/** Releases the place, when the body is complete or will not arrive. */
-	readonly end: (isWhole: boolean) => void;
+	readonly end: (isComplete: boolean) => void;
 };
 
 /** @internal */
@@ -27,7 +27,7 @@
 const minUploadCount = 2;
 
 /**
- * Computes how many large bodies a link carries at once in one direction.
+ * Computes how many large bodies a link carries at the same time in one direction.
  *
  * @param linkMbps - Bandwidth of the link in megabits per second.
  * @returns The maximum number of concurrent uploads.
@@ -56,10 +56,10 @@
 			const startedAt = readAwakeMs();
 			let isEnded = false;
 			return {
-				end(isWhole) {
+				end(isComplete) {
 					if (!isEnded) {
 						isEnded = true;
-						slots.release(isWhole ? readAwakeMs() - startedAt : undefined);
+						slots.release(isComplete ? readAwakeMs() - startedAt : undefined);
 					}
 				},
 			};
--- a/src/lib/peers/peer-report.ts
+++ b/src/lib/peers/peer-report.ts
@@ -55,9 +55,9 @@
 	readonly server: ServerReport | undefined;
 	readonly duties: NodeDuties;
 	readonly periods: HeartbeatPeriods;
-	/** Whether it requests a report in return at once. */
+	/** Whether it requests a report in return immediately. */
 	readonly isProbe: boolean;
-	/** Requests that were running when servers crashed; a bounded part of those that it knows. */
+	/** Requests that were running when servers crashed; a bounded number of the ones that the node knows. */
 	readonly suspects: readonly SuspectRecord[];
 };
 
@@ -102,10 +102,10 @@
 }
 
 /** Encodes an undefined `storeSeenMs`: the last call to the store failed. */
-const storeUnreachableMark = -1;
+const storeUnreachableValue = -1;
 
 function encodeDuties({linkMbps, isFollowing, storeSeenMs, storeEra}: NodeDuties): readonly number[] {
-	return [Math.round(linkMbps), isFollowing ? 1 : 0, storeSeenMs === undefined ? storeUnreachableMark : Math.round(storeSeenMs), storeEra];
+	return [Math.round(linkMbps), isFollowing ? 1 : 0, storeSeenMs === undefined ? storeUnreachableValue : Math.round(storeSeenMs), storeEra];
 }
 
 /**
@@ -164,7 +164,7 @@
 /** The longest accepted interval between two heartbeats: a node that is silent for this time is forgotten. */
 const maximumPeriodMs = 60_000;
 
-/** Reads the server of a report; 0 stands for none. A malformed server refuses the whole report, so that it can't remove the known server of the node. */
+/** Reads the server of a report; 0 means that there is none. A malformed server refuses the whole report, so that it can't remove the known server of the node. */
 function readServer(value: unknown): ServerReport | undefined {
 	if (value === 0) {
 		return undefined;
@@ -183,7 +183,7 @@
 	return {
 		linkMbps: readAmount(linkMbps, 'duties.linkMbps', maximumAmount),
 		isFollowing: readFlag(isFollowing, 'duties.isFollowing'),
-		storeSeenMs: storeSeenMs === storeUnreachableMark ? undefined : readAmount(storeSeenMs, 'duties.storeSeenMs', maximumAmount),
+		storeSeenMs: storeSeenMs === storeUnreachableValue ? undefined : readAmount(storeSeenMs, 'duties.storeSeenMs', maximumAmount),
 		storeEra: readCount(storeEra, 'duties.storeEra'),
 	};
 }
