--- a/src/lib/decisions/nested-call-detector.ts
+++ b/src/lib/decisions/nested-call-detector.ts
@@ -12,7 +12,7 @@
 
 /** @internal */
 export type NestedCallDetector = {
-	/** Records a request of a route to a service; returns whether it is taken for a nested call. */
+	/** Records a request of a route to a service; returns whether it is considered a nested call. */
 	readonly recordCall: (service: string, route: string, targetLatencyMs: number) => boolean;
 	/** Removes all routes but these. */
 	readonly retain: (routes: ReadonlySet<string>) => void;
--- a/src/lib/decisions/ranking-thresholds.ts
+++ b/src/lib/decisions/ranking-thresholds.ts
@@ -16,7 +16,7 @@
 	otherNode: 0.1,
 	/** A server in another failure domain: traffic between failure domains is billed. */
 	crossDomain: 0.15,
-	/** The same for large bodies, which make most of that traffic. With a larger share, a failure domain whose only link is full would keep requests for which others have capacity. */
+	/** A server in another failure domain, for requests with large bodies, which cause most of the traffic between failure domains. With a larger share, a failure domain whose only link is saturated would keep requests for which other failure domains have capacity. */
 	crossDomainBulk: 0.4,
 } as const;
 
--- a/src/lib/forwarding/entry-server.ts
+++ b/src/lib/forwarding/entry-server.ts
@@ -278,7 +278,7 @@
 
 		const callerTimeoutMs = getNumberHeader(request.headers, headerNames.timeLeft) ?? route.timeoutMs;
 		const isNestedCall = context.nestedCallDetector.recordCall(service, route.name, route.targetLatencyMs);
-		// A call that a backend server makes passes on the remaining time of its own caller, which says nothing about a retry.
+		// A backend server gives its nested calls the remaining time of the request that it executes, so a short time does not indicate a retry.
 		const ageMs = isNestedCall ? 0 : context.callerRetryDetector.recordCall(route.name, callerTimeoutMs);
 		const timeLeftMs = Math.min(callerTimeoutMs, route.timeoutMs);
 		let bufferedBytes = 0;
--- a/src/lib/forwarding/frame.ts
+++ b/src/lib/forwarding/frame.ts
@@ -52,7 +52,7 @@
 /** Longer frames are rejected. Larger than all request bodies that an entry holds at the same time plus a head, because responses of backend servers may be larger than these bodies. */
 const maxFrameBytes = 134_217_728;
 
-/** Longer heads are rejected. Enough for the longest headers that callers may send, with each character escaped as six in JSON. */
+/** Longer heads are rejected. The limit fits the longest headers that callers may send, even if JSON escapes each character to six. */
 const maxHeadBytes = 1_048_576;
 
 /** Beyond this count small chunks are joined: kept apart, chunks of a few bytes would take about a hundred times their size. */
--- a/src/lib/forwarding/half-open-detector.ts
+++ b/src/lib/forwarding/half-open-detector.ts
@@ -17,7 +17,7 @@
 /** A request is considered lost after this multiple of the mean service time. The longest requests of the users take six times the mean. */
 const suspectFactor = 8;
 
-/** Lower bound of that limit, because the mean of short requests varies more. Replacing a good connection costs the server one millisecond of a slot. */
+/** Minimum wait before a request is considered lost, because the mean service time of short requests varies more. Replacing a working connection by mistake costs the server one millisecond of a slot. */
 const minSuspectMs = 500;
 
 /**
--- a/src/lib/forwarding/link-writer.ts
+++ b/src/lib/forwarding/link-writer.ts
@@ -155,7 +155,7 @@
 			writePiece(next);
 		}
 
-		// The socket usually accepts a piece immediately and its callback continues with the same frame. Otherwise the timer continues with another frame.
+		// The socket usually accepts a piece immediately, and the callback of the write continues with the same frame. Otherwise the timer continues with another frame.
 		timer = setTimeout(sendNext, Math.max(waitMs, minWaitMs));
 	};
 
--- a/src/lib/forwarding/local-gate.ts
+++ b/src/lib/forwarding/local-gate.ts
@@ -32,7 +32,7 @@
 
 /** A request at the gate. @internal */
 export type GateCall = SessionCall & {
-	/** Backend server that the sender chose. Any lifetime of it may execute the request, since the request was not sent to an earlier one. */
+	/** Backend server that the sender chose. Any lifetime of this server may execute the request, since the request has not been sent to an earlier lifetime. */
 	readonly server: BackendServerId;
 	/** Priority; 0 is the highest. */
 	readonly rank: number;
--- a/src/lib/forwarding/outgoing-call.ts
+++ b/src/lib/forwarding/outgoing-call.ts
@@ -34,7 +34,7 @@
 	readonly receivedAt: number;
 	/** Whether a backend server made the call. That server holds a slot until it gets the response. */
 	readonly isNestedCall: boolean;
-	/** Milliseconds between the first attempt of the caller, as estimated, and the receipt of this one. */
+	/** Estimated time from the caller's first attempt to the receipt of this one, in milliseconds. */
 	readonly ageMs: number;
 	readonly scope: CallScope;
 };
--- a/src/lib/forwarding/peer-channel.ts
+++ b/src/lib/forwarding/peer-channel.ts
@@ -43,8 +43,8 @@
 	/** Returns when bytes last arrived, in milliseconds of the steady clock; 0 if none have. */
 	readonly getLastReceivedAt: () => number;
 	/**
-	 * Probes the connection if nothing arrives while requests are in flight. Without an answer it takes the connection out of use, and closes it later, provided that
-	 * the other node was heard after the probe was sent. Must be called periodically. `getHeardAt` returns when that node was last heard, in milliseconds
+	 * Probes the connection if nothing arrives while requests are in flight. If the probe remains unanswered although the other node was heard after the probe was
+	 * sent, stops using the connection, and closes it later. Must be called periodically. `getHeardAt` returns when the other node was last heard, in milliseconds
 	 * of the steady clock.
 	 */
 	readonly checkLiveness: (now: number, getHeardAt: () => number | undefined) => void;
--- a/src/lib/forwarding/running-attempts.ts
+++ b/src/lib/forwarding/running-attempts.ts
@@ -57,7 +57,7 @@
 		});
 }
 
-/** Reports whether the node could be reached: what a call observed takes precedence over the node's own reports. */
+/** Records whether the target node could be reached. The result of a call takes precedence over the node's own reports. */
 function reportReachability(context: SendContext, target: Candidate, result: ForwardResult): void {
 	if (target.isLocal) {
 		return;
--- a/src/lib/forwarding/server-session.ts
+++ b/src/lib/forwarding/server-session.ts
@@ -101,7 +101,7 @@
 /** Subtracted from the remaining time that is forwarded to the server: the grace period of the call scope, and the latency to the server. */
 const deadlineMarginMs = deadlineGraceMs + 1;
 
-/** One extra request is sent to the server per this many slots. It waits there for about an eighth of a service time, without regard to its rank. */
+/** One request more than the server executes is sent to it per this many slots. The extra request waits there for about an eighth of a service time, whatever its rank. */
 const slotsPerQueuedRequest = 8;
 
 /**
--- a/src/lib/local-server/lifetime-succession.ts
+++ b/src/lib/local-server/lifetime-succession.ts
@@ -39,10 +39,10 @@
 }
 
 /**
- * Decides on an announcement of a lifetime that is not in use, whose sequence number is higher than that of its last one.
+ * Decides whether a lifetime that is not in use replaces the one in use. Called for an announcement with a higher sequence number than the previous announcement of the same lifetime.
  *
  * @param state - The state of the local server.
- * @param before - The lifetime with its announcement before this one.
+ * @param before - The lifetime, with its previous announcement.
  * @param now - Steady milliseconds.
  * @returns Whether the lifetime replaces the one in use.
  * @internal
--- a/src/lib/local-server/local-server-updates.ts
+++ b/src/lib/local-server/local-server-updates.ts
@@ -231,10 +231,10 @@
 }
 
 /**
- * Ends a lifetime because another server has its address. The next announcement names that server.
+ * Ends a lifetime because another server now responds at its address. The next announcement identifies that server.
  *
  * @param state - The state of the local server.
- * @param lifetime - The lifetime to which a request was sent, and which did not answer it.
+ * @param lifetime - The lifetime to which the request was sent that the other server answered.
  * @param now - Steady milliseconds.
  * @returns The next state.
  * @internal
--- a/src/lib/peers/peer-link.ts
+++ b/src/lib/peers/peer-link.ts
@@ -73,10 +73,10 @@
 	readonly dispose: () => void;
 };
 
-/** The number of heartbeats that a seed address gets if no node answers there; sent every `silentNodeRounds` rounds, as to silent nodes. */
+/** The number of heartbeats sent to a seed address at which no node answers. One is sent every `silentNodeRounds` rounds, as to silent nodes. */
 const seedAttemptCount = 60;
 
-/** The maximum number of nodes in the table: several times the largest mesh, about ten megabytes. More node names are invented by a sender. */
+/** The maximum number of nodes in the table: several times the largest mesh, about ten megabytes. Only a sender that invents node names exceeds it. */
 const maximumPeerCount = 4000;
 
 /** The shortest interval between two answered probes of one node. Nodes probe every 200 milliseconds. */
--- a/src/lib/quarantine/quarantine.test.ts
+++ b/src/lib/quarantine/quarantine.test.ts
@@ -12,9 +12,9 @@
 type Fixture = {
 	readonly quarantine: Quarantine;
 	readonly countUrgentChanges: () => number;
-	/** Records passed on to be stored. */
+	/** Records passed to `handleQuarantined`, which stores them. */
 	readonly stored: readonly SuspectRecord[];
-	/** Crashes passed on to be reported through the store. */
+	/** Crashes passed to `handleCrash`, which reports them through the store. */
 	readonly reported: readonly CrashReport[];
 	readonly setNow: (now: number) => void;
 };
--- a/src/lib/quarantine/quarantine.ts
+++ b/src/lib/quarantine/quarantine.ts
@@ -44,7 +44,7 @@
 	readonly admitRun: (request: LazyFingerprint) => RunAdmission;
 	/** Records that the server beside this node crashed while these requests were in flight. */
 	readonly recordCrash: (server: ServerLifetime, inFlight: readonly LazyFingerprint[]) => void;
-	/** Records that the server beside this node answered a request. Do not call it for a status of 500 or above: the server may have failed before it came to what crashes it. */
+	/** Records that the server beside this node answered a request. Do not call it for a status of 500 or above: the server may have failed before it reached the code that crashes it. */
 	readonly recordResponse: (request: LazyFingerprint) => void;
 	/** Merges records of another node or of the store; `from` names the source. */
 	readonly merge: (records: readonly SuspectRecord[], from: string) => void;
--- a/src/lib/quarantine/suspect-table.ts
+++ b/src/lib/quarantine/suspect-table.ts
@@ -38,7 +38,7 @@
 	readonly get: (fingerprint: Fingerprint, now: number) => SuspectRecord | undefined;
 	/** Returns the quarantined requests, including the ones that may run on trial again after a long time. */
 	readonly listQuarantined: (now: number) => readonly SuspectRecord[];
-	/** Returns a batch of records for one message: alternately the worst with the latest changes, and the next ones of all records in order. */
+	/** Returns a batch of records for one message: all if they fit. Otherwise every other batch holds the records with the most crashes and the most recently changed ones, and the batches in between go through all records in order. */
 	readonly listBatch: (now: number) => readonly SuspectRecord[];
 };
 
@@ -92,7 +92,7 @@
 	readonly repeated: Set<CrashKey>;
 	/** When this node learned of the newest crash. */
 	crashedAt: number;
-	/** When the request was last in flight at a crash or refused. */
+	/** When the request was last in flight at a crash, or last refused. */
 	activeAt: number;
 	/** When this node last changed the record. */
 	changedAt: number;
@@ -125,7 +125,7 @@
 	const entries = new Map<Fingerprint, Entry>();
 	/** Number of records per head. */
 	const heads = new Map<HeadFingerprint, number>();
-	/** Index at which the next batch of all records starts. */
+	/** Index of the first record of the next batch that `listBatch` takes from all records in order. */
 	let nextIndex = 0;
 	let isWorstNext = false;
 
--- a/src/lib/sidecar/config-sync.ts
+++ b/src/lib/sidecar/config-sync.ts
@@ -84,7 +84,7 @@
 /** A node that has been stalled for this long reads the store itself: it may receive heartbeats of other nodes without being able to connect to them. The rest of the time in which a change must become active is enough for the read. */
 const stalledReadAfterMs = 1000;
 
-/** How long a request waits for a newer version. Nearly all versions arrive within this time, and it is only a part of the shortest latency objective. */
+/** How long a request waits for a newer version of the configuration. Nearly all versions arrive within this time, and the wait takes only part of the shortest latency objective. */
 const newerConfigWaitMs = 200;
 
 /** Minimum interval between two resyncs with the store that are caused by reports of other nodes. */
--- a/src/lib/sidecar/graceful-shutdown.ts
+++ b/src/lib/sidecar/graceful-shutdown.ts
@@ -19,7 +19,7 @@
 	readonly countInFlight: () => number;
 };
 
-/** How long the gate still accepts requests. The backend server keeps working, and the node stays until its callers have left anyway. A request accepted last still has the longest timeout of the callers before the node must exit. */
+/** How long the gate accepts requests after the shutdown begins. The backend server still works during this time, and the node has to run until its callers have disconnected anyway. A request accepted at the end of this time can still use the longest timeout of the callers before the node must exit. */
 const gateOpenMs = 1800;
 
 /** Responses close their connections after this time. By then the readiness check has reported to callers twice that the node is not ready. */
--- a/src/lib/sidecar/liveness-monitor.ts
+++ b/src/lib/sidecar/liveness-monitor.ts
@@ -47,10 +47,10 @@
 /** How long a node that does not answer is probed. After that, only its heartbeats show that it is alive again. */
 const probeDurationMs = 3000;
 
-/** A timer that fires later than this shows that the process was paused, not just busy. */
+/** A timer that fires late by more than this shows that the process was paused, not just busy. */
 const pauseThresholdMs = 400;
 
-/** The same for a heartbeat round of an idle node. The pause may have begun up to one period earlier, and must not make the other nodes look silent. */
+/** Pause threshold for the heartbeat rounds of an idle node. It is lower because the pause may have begun up to one period before the round was due, and a pause of this node must not make the other nodes look silent. */
 const idlePauseThresholdMs = 150;
 
 /**
--- a/src/lib/sidecar/newer-config-fetcher.test.ts
+++ b/src/lib/sidecar/newer-config-fetcher.test.ts
@@ -206,7 +206,7 @@
 	assert.equal(fixture.getStalledMs(now), 0);
 	await fixture.fetch(claim);
 	assert.deepEqual([fixture.fetches.length, fixture.getStalledMs(now + 2000)], [1, 0]);
-	// Not ignored: another node, another version, and the same version after the active one has changed.
+	// Reports of another node, of another version, and of the same version after a change of the active one are not ignored.
 	await fixture.fetch(newer);
 	assert.equal(fixture.fetches.length, 2);
 	await fixture.fetch({...claim, version: 91});
--- a/src/lib/sidecar/newer-config-fetcher.ts
+++ b/src/lib/sidecar/newer-config-fetcher.ts
@@ -48,7 +48,7 @@
 
 const maxConcurrentFetches = 2;
 
-/** Equal to the maximum number of nodes in the peer table. */
+/** Maximum number of claims, of which each node has at most one. Equal to the maximum number of nodes in the peer table. */
 const maxClaims = 4000;
 
 /** A version that a node reported; refuted once a read of the store that started later returned nothing newer than the active version. */
--- a/src/lib/sync/node-entry-tracker.ts
+++ b/src/lib/sync/node-entry-tracker.ts
@@ -32,7 +32,7 @@
  */
 const unansweredContactMs = 300_000;
 
-/** Maximum number of addresses contacted per update: several times the size of the largest mesh whose nodes all start at the same time. */
+/** Maximum number of addresses contacted per update: several times the number of nodes of the largest mesh, which may all start at the same time. */
 const maxContactCount = 2000;
 
 /** State of an entry at one revision. */
--- a/src/lib/sync/registration.ts
+++ b/src/lib/sync/registration.ts
@@ -175,7 +175,7 @@
 		return true;
 	};
 
-	/** Ends the pause before the next check early. */
+	/** Aborts the pause before the next check. */
 	let pauseAbort = new AbortController();
 	let isCheckRequested = false;
 
@@ -191,7 +191,7 @@
 		}
 	};
 
-	/** Returns the number of checks per list. Lists most often while heartbeats of some nodes are missing: during a network partition, these nodes can share data only through the store. */
+	/** Returns the number of checks per list of the entries. It is lowest while heartbeats of some nodes are missing: during a network partition, these nodes can share data only through the store. */
 	const countChecksPerList = (): number => countSilent() > 0 ? minChecksPerList : Math.max(minChecksPerList, Math.ceil((countPeers() + 1) / listedNodesPerCheck));
 
 	const isListDue = (): boolean => checkCount % countChecksPerList() === 0;
--- a/src/lib/sync/relay-duty.test.ts
+++ b/src/lib/sync/relay-duty.test.ts
@@ -48,7 +48,7 @@
 	assert.equal(isRelay(self, others.map(node => ({...node, storeSeenMs: 1650})), 1), true);
 	assert.equal(isRelay(self, others.map(node => ({...node, isFollowing: false})), 1), true);
 	assert.equal(isRelay(self, [], 1), true);
-	// In a failure domain so large that heartbeats arrive every 1.2 s, older reports still count as fresh.
+	// If a failure domain is so large that heartbeats arrive only every 1.2 s, a relay still counts as fresh when its last report is older.
 	const seldom = others.map(node => ({
 		...node, storeSeenMs: 1100, heardMsAgo: 1150, periodMs: 1200,
 	}));
