--- a/apps/cli/read-log-files.ts
+++ b/apps/cli/read-log-files.ts
@@ -7,7 +7,7 @@
 import {parseLogLine, type LogLine} from '../../src/index.js';
 import {CommandError, exitCodes} from './exit-codes.js';
 
-/** Characters of a line that an error shows. */
+/** Maximum number of characters of a line that an error message quotes. */
 const maximumShownLength = 60;
 
 /** The file descriptor of the standard input. */
--- a/bench/calls/calls.ts
+++ b/bench/calls/calls.ts
@@ -25,7 +25,7 @@
 
 const nodeCount = 3;
 const slotsPerServer = 12;
-/** Long enough that one load process can send three times the capacity. */
+/** Processing time of a request. It limits the capacity of the servers, so that one load process can send three times as many calls. */
 const workMs = 120;
 /** Calls a second that fill the slots of all servers. */
 const capacityPerSecond = nodeCount * slotsPerServer * 1000 / workMs;
@@ -78,7 +78,7 @@
 	readonly design: Design;
 	readonly name: string;
 	readonly result: LoadResult;
-	/** Requests at servers for each call. */
+	/** Number of requests that the servers receive for each call. */
 	readonly amplification: number;
 };
 
--- a/bench/capacity/model.ts
+++ b/bench/capacity/model.ts
@@ -82,7 +82,7 @@
 		: Math.max(0, slope.intercept + (slope.slope * x));
 }
 
-/** @returns Levels below the root of a tree with this number of nodes. */
+/** @returns The number of levels below the root of a tree with this number of nodes. */
 export function countLevels(nodes: number): number {
 	let levels = 0;
 	for (let reached = 1, width = fanOut; reached < nodes; reached += width, width *= fanOut) {
@@ -185,7 +185,7 @@
 	];
 }
 
-/** Calls to the store of the platform. */
+/** Load of a fleet on the platform's store. */
 export type StoreLoad = {
 	readonly waitingWatches: number;
 	readonly readsPerSecond: number;
--- a/bench/experiment/quarantine-curve.ts
+++ b/bench/experiment/quarantine-curve.ts
@@ -28,9 +28,9 @@
 
 /** Parameters of a simulation. */
 type SimulatedCase = {
-	/** Crashes of other causes a second. */
+	/** Crashes a second that are not caused by a fatal page. */
 	readonly crashRate: number;
-	/** Pages whose requests crash the server, each with `fatalRequestsPerSecond`. */
+	/** Number of pages whose requests crash the server. Each is requested `fatalRequestsPerSecond` times a second. */
 	readonly fatalPageCount: number;
 };
 
@@ -39,11 +39,11 @@
 	innocentRequests: number;
 	/** Innocent requests that were refused, or had to wait for a trial of the same page. */
 	heldRequests: number;
-	/** Servers that each fatal page crashed. */
+	/** For each fatal page, the number of its requests that were running on a server when it crashed. */
 	crashesByPage: number[];
 };
 
-/** A service of a production deployment, and its load. */
+/** The simulated service and its load, as in a production deployment. */
 const service = {
 	servers: 6, slots: 13, requestsPerSecond: 330, popularPages: 50, workMs: 120, crashAfterMs: 70, downMs: 3000,
 } as const;
--- a/bench/node-cost/node-cost.ts
+++ b/bench/node-cost/node-cost.ts
@@ -24,11 +24,11 @@
 import {createSimulatedPeer, type SimulatedPeer} from './simulated-peer.js';
 
 export type NodeCostOptions = {
-	/** Numbers of nodes, this one included. */
+	/** Sizes of the mesh to measure: numbers of nodes, including the measured node. */
 	readonly sizes: readonly number[];
-	/** Seconds of each phase. */
+	/** Duration of each phase in seconds. */
 	readonly seconds: number;
-	/** Requests a second from callers at this node, and the same number from other nodes at its gate. */
+	/** Requests a second that the measured node receives from callers. Its gate receives the same number from other nodes. */
 	readonly rate: number;
 	/** Milliseconds that requests take at backend servers. */
 	readonly workMs: number;
@@ -36,7 +36,7 @@
 	readonly routes: number;
 	/** Maximum difference between the clocks of the other nodes, in milliseconds. A heartbeat period means unsynchronized clocks. */
 	readonly clocksApartMs: number;
-	/** Also measures calls. Otherwise measures only the start and an idle node. */
+	/** Whether to measure calls too, and not only the start and the idle node. */
 	readonly load: boolean;
 	/** Path of the bundle that the deploy file builds. */
 	readonly program: string;
@@ -46,7 +46,7 @@
 	readonly profile: string | undefined;
 };
 
-/** One phase of one size. */
+/** Measurements of the node in one phase, at one size of the mesh. */
 type Phase = {
 	readonly cpuMsPerSecond: number;
 	/** Voluntary context switches a second: how often the process slept and woke up. */
--- a/bench/server-restart.ts
+++ b/bench/server-restart.ts
@@ -12,7 +12,7 @@
 
 /** @internal */
 export type ServerRestartOptions = {
-	/** Restarts of each kind. */
+	/** Number of restarts of each kind. */
 	readonly rounds: number;
 	/** Milliseconds after which a restart counts as failed. */
 	readonly limitMs: number;
@@ -26,7 +26,7 @@
 	/** Sends the last message of the server, if any, before it stops. */
 	readonly sendBeforeStop: (gateNode: TestNode) => Promise<unknown>;
 	readonly hasNewAddress: boolean;
-	/** Step of the server's clock between stop and restart, in milliseconds. */
+	/** Milliseconds by which the server's clock is set forward between stop and restart; negative if it is set back. */
 	readonly clockStepMs: number;
 };
 
--- a/demo/callers.ts
+++ b/demo/callers.ts
@@ -18,7 +18,7 @@
 	readonly complete: number;
 	/** Responses with status 200 and any other body. */
 	readonly wrong: number;
-	/** Other responses with the verdict `not-run`. */
+	/** Responses with another status and the verdict `not-run`. */
 	readonly notRun: number;
 	/** All other responses. */
 	readonly mayHaveRun: number;
--- a/scenarios/world.ts
+++ b/scenarios/world.ts
@@ -74,7 +74,7 @@
 	readonly dispose: () => Promise<void>;
 };
 
-/** Number of loopback IP addresses that one process uses. */
+/** Maximum number of loopback IP addresses that one process uses. */
 const maximumHosts = 250;
 
 /** The last number of the next loopback IP address. Each node of a process gets another address, so that no port is still in use by an earlier scenario. Test files run concurrently in processes of their own, each with its own range of addresses. */
@@ -90,7 +90,7 @@
 function createHost(): string {
 	const {pid} = process;
 	const host = `127.${32 + (Math.floor(pid / 256) % 8)}.${pid % 256}.${nextHost}`;
-	// Wraps around to the addresses of scenarios that have ended.
+	// After the last address, start again at the first: the scenarios that used it have ended.
 	nextHost = (nextHost % maximumHosts) + 1;
 	return host;
 }
--- a/soak/link-proxy.ts
+++ b/soak/link-proxy.ts
@@ -10,7 +10,7 @@
 import {parseAddress} from '../src/lib/common/address.js';
 import {toAddress} from '../src/lib/common/ids.js';
 
-/** How the link treats connections and bytes. */
+/** How the proxy handles connections and forwards bytes. */
 export type LinkMode =
 	| 'pass'
 	/** Delays bytes in both directions. */
@@ -124,7 +124,7 @@
 			});
 		});
 		from.once('end', () => {
-			// A reset directly after the last bytes is reported as an ordinary end; only a write fails after a reset and not after an end.
+			// A reset directly after the last bytes is reported as an ordinary end. Only a write distinguishes them: it fails after a reset, but not after an end.
 			const isReset = direction === 'to-client' && !from.writableEnded && !from.destroyed ? checkForReset(from) : Promise.resolve(false);
 			queueAction(async () => {
 				if (await isReset) {
--- a/soak/plan.ts
+++ b/soak/plan.ts
@@ -13,7 +13,7 @@
 const storeFaultModes = ['busy', 'many', 'reset', 'silent', 'lost', 'slow', 'deaf'] as const;
 export type StoreFaultMode = typeof storeFaultModes[number];
 
-/** Faults of the store that happen at one moment. */
+/** Faults of the store that are injected once and have no duration. */
 const storeEvents = ['leases-end', 'history-forgotten', 'watches-muted'] as const;
 export type StoreEvent = typeof storeEvents[number];
 
@@ -28,7 +28,7 @@
 	| {readonly type: 'pause'; readonly node: number; readonly forMs: number}
 	| {readonly type: 'kill'; readonly node: number; readonly forMs: number}
 	| {readonly type: 'stop'; readonly node: number; readonly forMs: number}
-	/** SIGHUP several times in a row; the settings file may be malformed at that time. */
+	/** The node receives SIGHUP several times in a row; its settings file may be malformed at that time. */
 	| {readonly type: 'hang-up'; readonly node: number; readonly times: number; readonly isUnreadable: boolean}
 	| {readonly type: 'store-link'; readonly node: number; readonly mode: Exclude<LinkMode, 'pass'>; readonly forMs: number}
 	| {readonly type: 'server-link'; readonly node: number; readonly mode: Exclude<LinkMode, 'pass' | 'turn-away'>; readonly forMs: number}
@@ -75,7 +75,7 @@
 /** Restores of the store from a backup, per second. */
 const restoresPerSecond = 0.03;
 
-/** Faults last between these times. */
+/** Shortest and longest duration of a fault. */
 const shortestFaultMs = 200;
 const longestFaultMs = 5000;
 
--- a/soak/record.ts
+++ b/soak/record.ts
@@ -51,9 +51,9 @@
 		readonly signal: string | undefined;
 		readonly at: number;
 		readonly askedAt: number;
-		/** Whether it was paused (SIGSTOP) between SIGTERM and its end. */
+		/** Whether the process was paused (SIGSTOP) between SIGTERM and its end. */
 		readonly wasHeld: boolean;
-		/** Whether it had been ready. Before that, it has no requests in flight and may not have installed its signal handlers. */
+		/** Whether the node had been ready. Before that, it has no requests in flight and may not have installed its signal handlers. */
 		readonly wasReady: boolean;
 	}
 	| {readonly type: 'killed'; readonly at: number}
@@ -102,7 +102,7 @@
 	readonly what: string;
 	/** Unix milliseconds. */
 	readonly at: number;
-	/** Id of the request that shows it. */
+	/** Id of the request that shows the violation, if any. */
 	readonly call?: string;
 };
 
--- a/soak/soak-config.ts
+++ b/soak/soak-config.ts
@@ -39,13 +39,13 @@
 	createSteadyRoute('/upload/', 'logview', false, 2),
 ];
 
-/** Attempts that all routes but the steady ones allow. */
+/** Number of attempts that every route except the steady ones allows. */
 const changingRouteAttempts = 2;
 
 /** Time limit of a request on every route. */
 export const routeTimeoutMs = 2000;
 
-/** Difference between the versions of two configurations, on average: versions are neither consecutive nor evenly spaced. */
+/** Average difference between the versions of successive configurations. The versions are neither consecutive nor evenly spaced. */
 const versionIncrement = 3;
 
 /** @returns The service that a route leads to in the configuration with an index; `undefined` if the route does not exist there. */
--- a/soak/soak-node.ts
+++ b/soak/soak-node.ts
@@ -29,15 +29,15 @@
 	readonly isReady: () => Promise<boolean>;
 	/** Waits until the node is ready or closed, or the wait times out. */
 	readonly waitUntilReady: () => Promise<boolean>;
-	/** SIGSTOP, and SIGCONT when the last of overlapping pauses is over. */
+	/** Sends SIGSTOP, and SIGCONT when the last of overlapping pauses ends. */
 	readonly pause: (forMs: number) => Promise<void>;
-	/** SIGKILL, and a new process after `downMs`; waits until that is ready. */
+	/** Sends SIGKILL, starts a new process after `downMs`, and waits until it is ready. */
 	readonly killAndRestart: (downMs: number) => Promise<void>;
-	/** SIGTERM, SIGKILL when the grace period is over, and a new process after `downMs`; waits until that is ready. */
+	/** Sends SIGTERM, and SIGKILL when the grace period is over. Starts a new process after `downMs`, and waits until it is ready. */
 	readonly stopAndRestart: (downMs: number) => Promise<void>;
-	/** SIGHUP several times, with changed or malformed settings; then writes the original settings. */
+	/** Sends SIGHUP several times, with changed or malformed settings, then writes the original settings. */
 	readonly reloadSettings: (times: number, isUnreadable: boolean) => Promise<void>;
-	/** SIGKILL, without a restart. */
+	/** Sends SIGKILL and does not restart the node. */
 	readonly close: () => Promise<void>;
 };
 
@@ -48,11 +48,11 @@
 	/** When SIGTERM was sent, in Unix milliseconds. */
 	askedAt: number | undefined;
 	isKilled: boolean;
-	/** Whether it was paused between SIGTERM and its end. */
+	/** Whether the process was paused between SIGTERM and its end. */
 	wasPausedWhileStopping: boolean;
-	/** Whether it has been ready. Before that it may not have installed its signal handlers. */
+	/** Whether the node has been ready. Before that, it may not have installed its signal handlers. */
 	wasReady: boolean;
-	/** Pauses in effect. */
+	/** Number of overlapping pauses that have not ended. */
 	pauseCount: number;
 };
 
--- a/soak/soak-server.ts
+++ b/soak/soak-server.ts
@@ -21,11 +21,11 @@
 	readonly crash: (downMs: number, keepsId: boolean) => Promise<void>;
 	/** Announces draining (or, without `saysDraining`, only the leave), serves for a while, and starts a server with a new id after `downMs`. */
 	readonly drain: (saysDraining: boolean, downMs: number) => Promise<void>;
-	/** Each request takes `workMs`. */
+	/** Sets the processing time of each request to `workMs`, for `forMs`. */
 	readonly slowDown: (workMs: number, forMs: number) => Promise<void>;
-	/** The next requests get these behaviours, one each. */
+	/** Sets the behaviours of the next requests, one for each. */
 	readonly misbehave: (behaviours: readonly PlatformServerBehaviour[]) => void;
-	/** Announces more slots than the server has. */
+	/** Announces more slots than the server has, for `forMs`. */
 	readonly claimExtraSlots: (forMs: number) => Promise<void>;
 	readonly delayHeartbeats: (delayMs: number, forMs: number) => Promise<void>;
 	readonly stopHeartbeats: (forMs: number) => Promise<void>;
@@ -46,7 +46,7 @@
 	sequence: number;
 };
 
-/** Requests that the server executes at the same time. */
+/** Maximum number of requests that the server executes at the same time. */
 const slots = 4;
 
 /** Slots that the server announces while it overstates them. */
@@ -107,7 +107,7 @@
 		return isAcknowledged;
 	};
 
-	/** Sends heartbeats until the lifetime ends. They do not wait for each other, so delayed ones may arrive out of order. */
+	/** Sends heartbeats until the lifetime ends. A heartbeat does not wait for the response to the previous one, so delayed heartbeats may arrive out of order. */
 	const announcePeriodically = async (lifetime: ServerLifetime): Promise<void> => {
 		while (current === lifetime && !lifetime.hasLeft && !isClosed) {
 			if (!areHeartbeatsStopped) {
--- a/src/lib/calls/call-metrics.ts
+++ b/src/lib/calls/call-metrics.ts
@@ -6,7 +6,7 @@
 import {build, type Histogram} from 'hdr-histogram-js';
 import {type Verdict, verdicts} from '../common/verdict.js';
 
-/** One finished call. @internal */
+/** Measurements of one finished call. @internal */
 export type CallMeasurement = {
 	readonly route: string;
 	readonly status: number;
--- a/src/lib/calls/gate-server.ts
+++ b/src/lib/calls/gate-server.ts
@@ -22,7 +22,7 @@
 /** Path of slot reservations; they are never forwarded to a backend server. @internal */
 export const reservePath = '/stonemoor/reserve';
 
-/** Applies if a request has no timeout header; nodes of the mesh always send one. */
+/** Timeout of a request without a timeout header. Nodes of the mesh always send one. */
 const defaultTimeoutMs = 10_000;
 
 /** Idle timeout of connections from other nodes. It is longer than the idle timeout of the senders, so the senders close idle connections first. */
@@ -41,7 +41,7 @@
 	return request.headers['transfer-encoding'] !== undefined || (getNumberHeader(request.headers, 'content-length') ?? 0) > 0;
 }
 
-/** The gate receives the body as a stream and uses the body digest that the entry sent. A body without a digest has no fingerprint. */
+/** Returns the fingerprint of a request, or `undefined` if it has a body without a digest. The gate receives the body as a stream, so it uses the digest that the entry sent. */
 function readFingerprint(request: IncomingMessage): LazyFingerprint | undefined {
 	const digest = getHeader(request.headers, meshHeaders.bodyDigest);
 	if (digest === undefined && hasBody(request)) {
--- a/src/lib/calls/problem-response.ts
+++ b/src/lib/calls/problem-response.ts
@@ -63,7 +63,7 @@
 		call,
 	});
 	const retryAfter = problem.retryAfterMs === undefined ? {} : {'retry-after': String(Math.ceil(problem.retryAfterMs / 1000))};
-	// The unread rest of an upload would be parsed as the next request on the connection.
+	// Close the connection after an incomplete upload: its unread rest would be parsed as the next request.
 	const close = response.req.complete ? {} : {connection: 'close'};
 	response.writeHead(problem.status, {
 		'content-type': 'application/problem+json',
--- a/src/lib/calls/run-tracker.ts
+++ b/src/lib/calls/run-tracker.ts
@@ -48,7 +48,7 @@
 export function createRunTracker(quarantine: RunQuarantine, server: BackendServer, isClosing: () => boolean): RunTracker {
 	let crashedAt = 0;
 
-	/** A server may restart under the same id, so crashes are distinguished by their time. */
+	/** Returns the time of the current crash. A server may restart under the same id, so crashes are distinguished by their time. */
 	const recordCrashTime = (): number => {
 		const now = readNow();
 		crashedAt = now - crashedAt > sameCrashWindowMs ? now : crashedAt;
--- a/src/lib/common/elapsed-clock.ts
+++ b/src/lib/common/elapsed-clock.ts
@@ -16,13 +16,13 @@
 	readonly readAwakeMs: () => number;
 	/** Reads the time of day, in milliseconds since the epoch. */
 	readonly readNow: () => number;
-	/** Reads the milliseconds since the system started, with suspensions; `undefined` if not available. Its resolution is coarse, and a call takes about 3 µs, a hundred times as long as for the other clocks. */
+	/** Reads the milliseconds since the system started, including suspensions; `undefined` if not available. Its resolution is coarse, and a call takes about 3 µs, a hundred times as long as for the other clocks. */
 	readonly readUptimeMs: () => number | undefined;
 };
 
 /** @internal */
 export type ElapsedClock = {
-	/** Returns the milliseconds since the process started, with suspensions. */
+	/** Returns the milliseconds since the process started, including suspensions. */
 	readonly read: () => number;
 	/** Returns the total time of the suspensions detected so far, in milliseconds. */
 	readonly getSuspendedMs: () => number;
--- a/src/lib/common/young-generation-tuner.ts
+++ b/src/lib/common/young-generation-tuner.ts
@@ -16,7 +16,7 @@
 /** Above this rate the young generation may grow: a small one costs no processor time at 13 requests per second, and 4% more at 45. */
 const busyRequestsPerSecond = 40;
 
-/** Factors by which the young generation grows when too much of it is in use. */
+/** Factors by which V8 multiplies the size of the young generation when too much of it is in use; 1 keeps the size. */
 const growthFactors = {small: 1, growing: 2} as const;
 
 /** Sets the growth factor of the young generation. V8 reads the flag at each garbage collection. @internal */
--- a/src/lib/distribution/accept-submissions.ts
+++ b/src/lib/distribution/accept-submissions.ts
@@ -28,14 +28,14 @@
 	readonly store: Store;
 	/** Returns the newest version that this node holds. */
 	readonly getConfiguration: () => Configuration;
-	/** Applies a version that acceptance read or wrote, if it is newer than the one in force. */
+	/** Applies a configuration that was read or written while accepting submissions, if it is newer than the active one. */
 	readonly applyIfNewer: (configuration: Configuration, deltas: readonly Delta[]) => void;
 	/** Returns a random number from 0 (inclusive) to 1 (exclusive). */
 	readonly random: () => number;
 	readonly limits?: HeadLimits;
 };
 
-/** Attempts to read and write the head before a submission fails. */
+/** Maximum number of attempts to read and write the head before a submission fails. */
 const maximumAttemptCount = 12;
 
 /** Upper bound of the jittered delay before the second attempt; it doubles with each attempt up to {@link maximumBackoffMs}. */
--- a/src/lib/distribution/distributor.ts
+++ b/src/lib/distribution/distributor.ts
@@ -30,7 +30,7 @@
 
 /** @public */
 export type DistributionSettings = {
-	/** Children of each node in the tree. */
+	/** Maximum number of children of a node in the distribution tree. */
 	readonly fanOut: number;
 	/** Time for which the relay collects newer versions before it pushes them. */
 	readonly batchWindowMs: number;
--- a/src/lib/distribution/status-collector.ts
+++ b/src/lib/distribution/status-collector.ts
@@ -38,7 +38,7 @@
 
 type ReceivedSummary = {readonly summary: Summary; readonly at: number};
 
-/** A summary that is not sent again within this time expires. */
+/** Time after which a received summary expires unless its node sends a new one. */
 const summaryTtlMs = 7000;
 
 /**
--- a/src/lib/membership/gossip.ts
+++ b/src/lib/membership/gossip.ts
@@ -1,6 +1,6 @@
 /**
  * Sends and receives heartbeats over UDP. They carry the messages of the
- * failure detector, and with each of them the digests that the anti-entropy
+ * failure detector. Each message also contains the digests that the anti-entropy
  * check of configuration and directory compares.
  *
  * @module
--- a/src/lib/membership/join-mesh.test.ts
+++ b/src/lib/membership/join-mesh.test.ts
@@ -22,7 +22,7 @@
 	last = step.next;
 }
 
-/** Responses of one other node. */
+/** The responses that another node gives to the joining node. */
 type Peer = {
 	readonly version: number;
 	readonly floor?: number;
--- a/src/lib/timeline/explain-version.ts
+++ b/src/lib/timeline/explain-version.ts
@@ -6,7 +6,7 @@
  */
 import {type LogLine} from './explain-call.js';
 
-/** When one node applied a version, or a later one. @public */
+/** How late one node applied a version or a newer one, and why. @public */
 export type VersionAtNode = {
 	readonly node: string;
 	/** Milliseconds after the first node applied the version; `undefined` if the logs do not show that this node applied it. */
@@ -29,7 +29,7 @@
 	return lines.filter((line): line is LineOfKind<Kind> => line.kind === kind);
 }
 
-/** A shorter delay needs no explanation: one heartbeat period. */
+/** One heartbeat period. A shorter delay needs no explanation. */
 const expectedDelayMs = 400;
 
 const getTime = ({time}: LogLine): number => Date.parse(time);
--- a/src/lib/timeline/line-log.ts
+++ b/src/lib/timeline/line-log.ts
@@ -30,7 +30,7 @@
 	readonly flush: () => Promise<void>;
 };
 
-/** Limit on the buffered lines while the output is not read. */
+/** Maximum size of the lines that are buffered while the output is not read. */
 const maximumBufferedBytes = 262_144;
 
 /** When more than this share of the buffer is in use, only lines of level `warn` or higher are kept. */
@@ -42,7 +42,7 @@
 /** Rate limit for lines of one kind that report the end of a failed request. It is higher, since a failure cannot be explained without its line. A node that refuses more requests per second logs the count of the others. */
 const maximumFinalLinesPerSecond = 200;
 
-/** Kinds that report the end of a request. */
+/** Kinds of events that report the end of a request. */
 const finalKinds: ReadonlySet<MeshEvent['kind']> = new Set<MeshEvent['kind']>(['call-finished', 'request-refused', 'caller-left']);
 
 /** Time for which lines are collected before they are written. */
--- a/src/lib/timeline/refusal-log.ts
+++ b/src/lib/timeline/refusal-log.ts
@@ -8,7 +8,7 @@
  */
 import {type MeshLog, type RefusalCause, type RefusalKind} from './mesh-log.js';
 
-/** Input that was refused. @internal */
+/** A refused input, and why it was refused. @internal */
 export type Refusal = {
 	readonly kind: RefusalKind;
 	readonly cause: RefusalCause;
@@ -28,7 +28,7 @@
 /** Interval between lines of one kind and cause: short enough to see which sender sends what, at a few hundred bytes per second. */
 const lineIntervalMs = 1000;
 
-/** Characters of a place that a line shows: a path may be as long as the whole head of a request. */
+/** Maximum number of characters of a place in a log line: a path may be as long as the whole head of a request. */
 const maximumPlaceLength = 200;
 
 /** The refusals of one kind and cause since the last line. */
--- a/stand-ins/platform-server/platform-server.ts
+++ b/stand-ins/platform-server/platform-server.ts
@@ -12,9 +12,9 @@
 
 /** How the server handles a request. */
 export type PlatformServerBehaviour =
-	/** Runs it and responds with status 200. */
+	/** Runs the request and responds with status 200. */
 	| 'answer'
-	/** Runs it and closes the connection without a response. */
+	/** Runs the request and closes the connection without a response. */
 	| 'lose'
 	/** Sends fewer body bytes than its `Content-Length` says, then closes the connection. */
 	| 'truncate'
@@ -28,24 +28,24 @@
 	| 'unframed-reset'
 	/** Like `unframed`, but resets the connection right after the first bytes of the body. */
 	| 'unframed-cut'
-	/** Rejects it with status 503 and states that it was not executed. */
+	/** Rejects the request with status 503 and states that it was not executed. */
 	| 'shed'
-	/** Runs it and responds with status 500. */
+	/** Runs the request and responds with status 500. */
 	| 'fail'
-	/** Runs it and responds with status 200, without a signature. */
+	/** Runs the request and responds with status 200, without a signature. */
 	| 'unsigned'
-	/** Runs it and sends bytes that are not HTTP. */
+	/** Runs the request and sends bytes that are not HTTP. */
 	| 'garbage'
-	/** Runs it and responds before it has read the body. */
+	/** Runs the request and responds before it has read the body. */
 	| 'early'
-	/** Runs it and never responds. */
+	/** Runs the request and never responds. */
 	| 'hang';
 
 /** A request that the server ran. */
 export type PlatformServerRun = {
 	/** Unix milliseconds. */
 	readonly at: number;
-	/** How the server handled it. */
+	/** How the server handled the request. */
 	readonly behaviour: PlatformServerBehaviour;
 	/** The attempt id. */
 	readonly id: string;
--- a/stand-ins/platform-store/platform-store.ts
+++ b/stand-ins/platform-store/platform-store.ts
@@ -34,7 +34,7 @@
 	readonly setFault: (fault: StoreFault, slowMs?: number) => void;
 	/** While set, watches get no events: they end without events after their waiting time. */
 	readonly setWatchEventsSuppressed: (isSuppressed: boolean) => void;
-	/** Sends nothing more on the connections of the pending watches, without closing them, as on half-open connections. Other and new connections work. */
+	/** Stops sending on the connections of the pending watches without closing them, as on half-open connections. Other and new connections are not affected. */
 	readonly stallWatchConnections: () => void;
 	/** Restores a backup: closes the connections of pending watches and increases the era, which each response states in its header `store-era`. */
 	readonly restore: (backup: KeySpaceBackup) => void;
@@ -62,7 +62,7 @@
 	return text === '' ? {} : JSON.parse(text) as JsonBody;
 }
 
-/** Connections on which the store sends nothing more. */
+/** Open connections on which the store no longer sends anything. */
 const stalledSockets = new WeakSet<Socket>();
 
 function sendJson(response: ServerResponse, status: number, body: unknown): void {
