--- a/src/lib/calls/attempt.ts
+++ b/src/lib/calls/attempt.ts
@@ -82,7 +82,7 @@
 	};
 }
 
-/** Error codes of undici with which no byte of the request has left this process. */
+/** Codes of connection errors of undici, with which no byte of the request has been sent. */
 const connectErrorCodes: ReadonlySet<string> = new Set(['ECONNREFUSED', 'EHOSTUNREACH', 'ENETUNREACH', 'EADDRNOTAVAIL', 'UND_ERR_CONNECT_TIMEOUT']);
 
 /**
--- a/src/lib/calls/call-metrics.ts
+++ b/src/lib/calls/call-metrics.ts
@@ -33,7 +33,7 @@
 
 const maximumTrackableMicroseconds = 60_000_000;
 
-/** Number of routes with metrics of their own; calls of all further routes are counted together. */
+/** Maximum number of routes that have their own metrics; calls of all further routes are counted together. */
 const maximumRoutes = 200;
 
 const otherRoutesLabel = '(other)';
--- a/src/lib/calls/call-signal.ts
+++ b/src/lib/calls/call-signal.ts
@@ -20,7 +20,7 @@
 	}, timeoutMs);
 	response.once('close', () => {
 		clearTimeout(timer);
-		// After a complete response nothing listens to the signal, and an abort has a cost: it creates an error with a stack trace.
+		// After a complete response, nothing listens to the signal. Aborting it would only cost time, because it creates an error with a stack trace.
 		if (!response.writableFinished) {
 			controller.abort();
 		}
--- a/src/lib/calls/gate-client.ts
+++ b/src/lib/calls/gate-client.ts
@@ -28,12 +28,12 @@
 	readonly dispose: () => Promise<void>;
 };
 
-/** Connections from this node to one gate. */
+/** Maximum number of connections from this node to one gate. */
 const maximumConnectionsPerGate = 64;
 
 const connectTimeoutMs = 1000;
 
-/** Gates with an open connection pool; when there are more, the pool that was opened first is closed. */
+/** Maximum number of gates with an open connection pool. When there are more, the pool that was opened first is closed. */
 const maximumGatePools = 256;
 
 function readFailure(headers: HeaderMap): FailedAttempt {
--- a/src/lib/calls/request-body.ts
+++ b/src/lib/calls/request-body.ts
@@ -44,7 +44,7 @@
 }
 
 function openStream(request: IncomingMessage): Readable {
-	// The HTTP client destroys the stream that it sends if the request fails. The stream in between keeps the caller's connection open for the response.
+	// If the request fails, the HTTP client destroys the stream that it was given. Giving it a PassThrough instead of the caller's request keeps the caller's connection open for the response.
 	const passThrough = new PassThrough();
 	request.once('error', error => {
 		passThrough.destroy(error);
--- a/src/lib/calls/run-attempts.ts
+++ b/src/lib/calls/run-attempts.ts
@@ -1,6 +1,6 @@
 /**
- * Sends a call until it is answered or no further attempt is allowed. No
- * other module of this folder sends a request again.
+ * Sends a call until it is answered or no further attempt is allowed. No other
+ * module of this folder retries requests.
  *
  * @module
  */
@@ -131,7 +131,7 @@
 	}
 }
 
-/** Updates the load and ejection of a server from the result of an attempt. They take precedence over the directory. */
+/** Updates the load and ejection of a server from the result of an attempt. The load and ejection that this node observes take precedence over the directory. */
 function recordResult(context: AttemptContext, target: DirectoryServer, call: CallId, result: AttemptResult): void {
 	const {loads, settings, timeline} = context;
 	const {id} = target.server;
@@ -197,7 +197,7 @@
 			pool: plan.pool,
 			domain: context.domain,
 			tried,
-			// After a lost connection the same server may still answer; a server that sheds requests or is gone would fail again.
+			// After a lost connection, the same server may answer a retry. A server that shed the request or is unreachable would probably fail again.
 			mayReuse: lastFailure.reason === 'connection-lost',
 			getLoad: context.loads.get,
 			now: readNow(),
@@ -241,7 +241,7 @@
 
 type StreamBody = Extract<RequestBody, {readonly type: 'stream'}>;
 
-/** Reports when the stream is opened: from then on, it cannot be sent again from its beginning. */
+/** Returns a body that calls `handleOpen` before it opens the stream. An opened stream cannot be sent again from its beginning. */
 function createWatchedBody(body: StreamBody, handleOpen: () => void): StreamBody {
 	return {
 		type: 'stream',
--- a/src/lib/calls/run-tracker.ts
+++ b/src/lib/calls/run-tracker.ts
@@ -33,7 +33,7 @@
 /** A server on the same VM accepts or refuses a connection in well under a millisecond. */
 const connectionProbeTimeoutMs = 100;
 
-/** Requests lost within this time count as lost in the same crash: a server does not restart faster. */
+/** Requests that are lost within this time count as lost in the same crash, because a server takes longer than this to restart. */
 const sameCrashWindowMs = 300;
 
 /**
@@ -41,14 +41,14 @@
  *
  * @param quarantine - Decides whether a request may be sent, and records how it ended.
  * @param server - The server.
- * @param isClosing - Returns whether the server is being removed: its end does not count as a crash then.
+ * @param isClosing - Returns whether the server is being removed. If so, the end of its process does not count as a crash.
  * @returns The tracker.
  * @internal
  */
 export function createRunTracker(quarantine: RunQuarantine, server: BackendServer, isClosing: () => boolean): RunTracker {
 	let crashedAt = 0;
 
-	/** A server may restart under the same id, so crashes are distinguished by their time. */
+	/** Returns the time that identifies the current crash: a server may restart under the same id, so the id does not distinguish its crashes. */
 	const recordCrashTime = (): number => {
 		const now = readNow();
 		crashedAt = now - crashedAt > sameCrashWindowMs ? now : crashedAt;
@@ -78,7 +78,7 @@
 				return;
 			}
 
-			// A status of 500 or above does not clear a request of suspicion: the server may have failed before it reached what crashes it.
+			// A status of 500 or above does not clear a request of suspicion: the server may have failed before it reached the code that crashes.
 			body.once('end', () => {
 				if (status < 500) {
 					quarantine.recordResponse(fingerprint);
--- a/src/lib/configuration/configuration.ts
+++ b/src/lib/configuration/configuration.ts
@@ -52,7 +52,7 @@
 	| {readonly type: 'wrong-digest'; readonly version: number}
 	| {readonly type: 'dangling'; readonly version: number; readonly references: readonly DanglingReference[]};
 
-/** Number of accepted submissions that a configuration remembers. @internal */
+/** Maximum number of accepted submissions that a configuration remembers. @internal */
 export const maximumRememberedSubmissions = 1024;
 
 const genesisDigest = computeDigest('stonemoor');
--- a/src/lib/configuration/evaluate-submission.ts
+++ b/src/lib/configuration/evaluate-submission.ts
@@ -22,7 +22,7 @@
 	| {readonly type: 'ready'; readonly changes: readonly ItemChange[]; readonly tree: DigestTree<ConfiguredItem>}
 	| {readonly type: 'settled'; readonly outcome: SubmissionOutcome};
 
-/** Number of items of all kinds in one configuration. */
+/** Maximum number of items of all kinds in one configuration. */
 const maximumItems = 60_000;
 
 function findPolicyProblems(item: Item): readonly Problem[] {
--- a/src/lib/configuration/problem.ts
+++ b/src/lib/configuration/problem.ts
@@ -12,7 +12,7 @@
 	/** Path of the field within the item, such as `methods.0`; empty for the item as a whole. */
 	readonly field: string;
 	readonly message: string;
-	/** Line and column count from 1; absent if the submission was not a document. */
+	/** Line and column, counted from 1; absent if the submission was not a document. */
 	readonly line?: number;
 	readonly column?: number;
 };
--- a/src/lib/directory/directory-keeper.ts
+++ b/src/lib/directory/directory-keeper.ts
@@ -87,7 +87,7 @@
 			const claim = records.find(record => record.id === own.id && compareRecords(record, own) > 0);
 			if (claim !== undefined) {
 				// Another node has a newer record of this node: either it suspects this node or declared it dead, or the record is from an
-				// earlier run, before the clock was set back. The own record is made newer than that one.
+				// earlier run, before the clock was set back. This node makes its own record newer than that one.
 				own = {...own, epoch: Math.max(own.epoch, claim.epoch), sequence: claim.sequence + 1};
 			}
 
--- a/src/lib/distribution/control-service.ts
+++ b/src/lib/distribution/control-service.ts
@@ -41,7 +41,7 @@
 	readonly isReady: () => boolean;
 };
 
-/** Nodes that a joining node is referred to for the full state, so that many joining nodes do not all fetch it from the few seeds. */
+/** Number of nodes that a joining node is referred to for the full state, so that many joining nodes do not all fetch it from the few seeds. */
 const helperCount = 8;
 
 /** A directory response with more records than this counts as full state. */
--- a/src/lib/distribution/distributor.ts
+++ b/src/lib/distribution/distributor.ts
@@ -1,7 +1,7 @@
 /**
  * Pushes newer configuration versions and newer directory records along the
  * distribution tree of this failure domain, and records between relays. Pulls
- * what other nodes have newer.
+ * newer versions and records from other nodes.
  *
  * Pushes are best effort. Anti-entropy finds updates that were lost and pulls
  * them.
--- a/src/lib/distribution/full-state-limit.ts
+++ b/src/lib/distribution/full-state-limit.ts
@@ -10,7 +10,7 @@
 /** @internal */
 export type FullStateLimit = {readonly tryAcquire: () => boolean};
 
-/** Full-state replies per second, and the burst. At 2 MB each they use some tens of megabits per second. */
+/** Full-state replies per second, and the burst. At 2 MB per reply, this limits them to some tens of megabits per second. */
 const limits = {perSecond: 4, burst: 4} as const;
 
 /**
--- a/src/lib/distribution/peers.ts
+++ b/src/lib/distribution/peers.ts
@@ -20,7 +20,7 @@
 	readonly dispose: () => void;
 };
 
-/** A connection without a request for this long is closed. */
+/** Idle timeout of a connection to another node. */
 const idleTimeoutMs = 15_000;
 
 /** Timeout of a call to another node. */
@@ -28,7 +28,7 @@
 
 type Peer = {readonly client: PeerClient; readonly manager: Http2SessionManager};
 
-/** Cached clients; beyond this the one created first is evicted. */
+/** Maximum number of cached clients. When there are more, the client that was created first is evicted. */
 const maximumPeerCount = 64;
 
 /**
--- a/src/lib/distribution/relay-watch.ts
+++ b/src/lib/distribution/relay-watch.ts
@@ -27,7 +27,7 @@
 	readonly timeline: Timeline;
 	readonly domain: string;
 	readonly random: () => number;
-	/** Sets why this node may be behind, or an empty text if it is not. */
+	/** Sets the reason why this node may be behind; an empty string if it is not behind. */
 	readonly setLagReason: (reason: string) => void;
 };
 
--- a/src/lib/distribution/reported-versions.ts
+++ b/src/lib/distribution/reported-versions.ts
@@ -17,7 +17,7 @@
 
 type VersionReport = {readonly version: number; readonly at: number};
 
-/** A node without a report for this long may be removed. */
+/** How long the report of a node is kept. Older reports are removed. */
 const reportTtlMs = 3_600_000;
 
 /**
--- a/src/lib/distribution/status-collector.ts
+++ b/src/lib/distribution/status-collector.ts
@@ -22,7 +22,7 @@
 	readonly getOwnSummary: () => Summary;
 	/** Returns the summary of every failure domain. With `mayContactRelay`, a node that is not the relay calls the relay for them. */
 	readonly getFleetSummaries: (mayContactRelay: boolean) => Promise<readonly Summary[]>;
-	/** Sets why this node may be behind, or an empty text if it is not. */
+	/** Sets the reason why this node may be behind; an empty string if it is not behind. */
 	readonly setLagReason: (reason: string) => void;
 };
 
--- a/src/lib/distribution/summary.ts
+++ b/src/lib/distribution/summary.ts
@@ -28,7 +28,7 @@
 	readonly failureDomain: FailureDomain;
 	readonly node: NodeId;
 	readonly version: number;
-	/** Why the node may be behind, or an empty text. */
+	/** The reason why the node may be behind; an empty string if it is not behind. */
 	readonly reason: string;
 };
 
--- a/src/lib/drain/drain-node.ts
+++ b/src/lib/drain/drain-node.ts
@@ -1,5 +1,6 @@
 /**
- * Graceful shutdown of a node: takes it out of the mesh without losing work.
+ * Graceful shutdown of a node: rejects new requests, and lets calls in flight
+ * end before the node leaves the mesh.
  *
  * @module
  */
@@ -21,7 +22,7 @@
 	readonly drainMs: number;
 };
 
-/** How long a draining node still accepts connections, so that callers that are connecting reach it, and how long it stays up after it has left. */
+/** How long a draining node still accepts connections, so that callers that are just connecting do not fail, and how long it keeps running after it has published that it left. */
 const lingerMs = 300;
 
 const pollIntervalMs = 20;
--- a/src/lib/membership/failure-detector.ts
+++ b/src/lib/membership/failure-detector.ts
@@ -143,7 +143,7 @@
 	}
 
 	const suspects = new Map([...state.suspects].filter(([, deadline]) => deadline > now));
-	// The probe of a member that has just been declared dead is of no more use.
+	// Drop the probe in flight if its target has just been declared dead.
 	const probe = state.probe !== undefined && expired.includes(state.probe.target) ? undefined : state.probe;
 	return {state: {...state, suspects, probe}, effects: expired.map(member => ({type: 'dead', member}))};
 }
--- a/src/lib/membership/gossip.ts
+++ b/src/lib/membership/gossip.ts
@@ -48,7 +48,7 @@
 	readonly start: () => void;
 	/** Updates the suspects of the failure detector from changed records. */
 	readonly handleRecords: (records: readonly NodeRecord[]) => void;
-	/** Pings some members immediately, with data that must not wait for the next heartbeats. Their own heartbeats forward it. */
+	/** Pings some members immediately, with data that must not wait for the next heartbeats. These members forward it with their own heartbeats. */
 	readonly sendUrgentPings: () => void;
 	readonly dispose: () => Promise<void>;
 };
--- a/src/lib/membership/join-mesh.ts
+++ b/src/lib/membership/join-mesh.ts
@@ -43,7 +43,7 @@
 const initialBackoffMs = 300;
 const maximumBackoffMs = 5000;
 
-/** Interval of join requests to unknown seeds, before jitter: while this node knows no other node, and later. */
+/** Interval of join requests to unknown seeds, before jitter, while this node knows no other node. Once it knows one, `seedCheckMs` applies. */
 const isolatedSeedCheckMs = 500;
 const seedCheckMs = 10_000;
 
@@ -135,7 +135,7 @@
 		return results.flatMap(result => result ?? []);
 	};
 
-	/** Returns the relay and the standby, which watch the store, and some other members, which may know the last version of this node. */
+	/** Returns the relay and the standby, which watch the store, and some other members, which may know the version that this node last reported. */
 	const listMembersToJoin = (): readonly Address[] => {
 		const {relay, standby} = distributor.getTreePosition();
 		const others = shuffleList([...directory.getDirectory().domains.get(directory.getOwnRecord().failureDomain) ?? []], random);
@@ -144,7 +144,7 @@
 		return [...chosen].flatMap(id => getRecord(directory.getDirectory(), id)?.controlAddress ?? []);
 	};
 
-	/** Lists the helpers before the nodes that responded: nodes that start together and know only the seeds would overload these. */
+	/** Lists the helpers before the nodes that responded: nodes that start together and know only the seeds would otherwise overload the seeds. */
 	const listSources = (results: readonly PeerJoinResult[]): readonly Address[] => {
 		const helpers = results.flatMap(result => result.helpers).filter(address => address !== directory.getOwnRecord().controlAddress);
 		return [...new Set([...shuffleList(helpers, random), ...results.map(({address}) => address)])];
--- a/src/lib/node/node.ts
+++ b/src/lib/node/node.ts
@@ -1,5 +1,5 @@
 /**
- * Creates a node: wires together everything that runs beside a backend server.
+ * Creates a node, the process beside a backend server, from its components.
  *
  * @module
  */
@@ -127,7 +127,7 @@
 		handleUrgentChange() {
 			gossip.sendUrgentPings();
 		},
-		// The store of this node holds only the configuration and idempotency keys. Requests that crash backend servers are shared by gossip.
+		// Crashes and quarantined requests are not written to the store, which holds only the configuration and idempotency keys. Gossip sends the requests that crash backend servers to the other nodes.
 		handleCrash: () => undefined,
 		handleQuarantined: () => undefined,
 	});
--- a/src/lib/routing/choose-server.ts
+++ b/src/lib/routing/choose-server.ts
@@ -24,7 +24,7 @@
 	readonly random: () => number;
 };
 
-/** If a smaller share of the servers looks healthy, health is ignored and all of them are candidates. */
+/** If the share of healthy servers is smaller than this, health is ignored and all servers that are not draining are candidates. */
 const panicThresholdShare = 0.5;
 
 /** Share of its normal load that a server gets at the beginning of slow start. */
@@ -63,7 +63,7 @@
 function chooseOfTwo(servers: readonly DirectoryServer[], context: ChoiceContext): DirectoryServer | undefined {
 	const firstIndex = Math.floor(context.random() * servers.length);
 	const first = servers[firstIndex];
-	// The second candidate is drawn from the others. A server drawn twice would be chosen whatever its load.
+	// The second candidate is drawn from the others. If the same server were drawn twice, it would be chosen regardless of its load.
 	const step = 1 + Math.floor(context.random() * (servers.length - 1));
 	const second = servers[(firstIndex + step) % servers.length];
 	if (first === undefined || second === undefined) {
@@ -98,7 +98,7 @@
 	const notDraining = context.servers.filter(({server}) => !server.isDraining);
 	const isEjected = ({server}: DirectoryServer): boolean => context.getLoad(server.id).ejectedUntil > context.now;
 	const healthy = notDraining.filter(entry => !isEjected(entry) && entry.node.status === 'alive');
-	// If most of a pool looks unhealthy, it is more likely that this node's own observations are wrong.
+	// If most of a pool looks unhealthy, this node's own observations are probably wrong, so ignore health.
 	return healthy.length < notDraining.length * panicThresholdShare ? notDraining : healthy;
 }
 
--- a/src/lib/routing/server-load.ts
+++ b/src/lib/routing/server-load.ts
@@ -1,6 +1,7 @@
 /**
  * Load and failures of each backend server, as observed by this node on its own
- * calls. These take precedence over the directory and over health endpoints.
+ * calls. These observations take precedence over the directory and over health
+ * endpoints.
  *
  * @module
  */
@@ -57,9 +58,9 @@
 }
 
 /**
- * Creates the loads, without any server.
+ * Creates an empty table of server loads.
  *
- * @returns The loads.
+ * @returns The table.
  * @internal
  */
 export function createServerLoads(): ServerLoads {
