--- a/src/lib/decisions/caller-retry-detector.ts
+++ b/src/lib/decisions/caller-retry-detector.ts
@@ -10,7 +10,7 @@
 export type CallerRetryDetector = {
 	/** Records the time left of a caller; returns how many milliseconds ago it sent its first request, 0 if this is the first one. */
 	readonly recordCall: (route: string, timeLeftMs: number) => number;
-	/** Removes all routes but these. */
+	/** Removes the state of all routes except these. */
 	readonly retain: (routes: ReadonlySet<string>) => void;
 };
 
--- a/src/lib/decisions/link-demand.ts
+++ b/src/lib/decisions/link-demand.ts
@@ -20,7 +20,7 @@
 	return linkMbps > 0 ? linkMbps * 1000 / 8 * usableLinkShare : Number.POSITIVE_INFINITY;
 }
 
-/** A response that is already late may still wait this long for a link that is nearly idle. */
+/** Wait for the link that is acceptable even for a response that is already late, so that it can still use a nearly idle link. */
 const minWaitMs = 100;
 
 /**
@@ -35,7 +35,7 @@
 
 /** Large responses that the server beside this node is producing. @internal */
 export type LinkDemand = {
-	/** Records that the server starts to work on one; returns a function to call at the end with the size of the response in bytes, 0 if there was none. */
+	/** Records that the server starts to produce a large response. Returns a function to call when it ends, with the size of the response in bytes; 0 if there was no response. */
 	readonly begin: () => (bytes: number) => void;
 	/** Returns for how many milliseconds the response to a request that starts now will wait, if `heldBytes` are queued for the link and the server takes `serviceMs`. */
 	readonly estimateWaitMs: (heldBytes: number, serviceMs: number) => number;
--- a/src/lib/decisions/mesh-retry-budget.ts
+++ b/src/lib/decisions/mesh-retry-budget.ts
@@ -52,13 +52,13 @@
 
 /**
  * Share of the budget for retries of requests that may have been executed. A second execution repeats its nested calls,
- * and these count as retries at the called service. A request that fails because of a nested call adds the most: two nested calls
- * at the users' services, so that this share counts twice at the called service.
+ * and these count as retries at the called service. A request that fails because of a nested call adds the most:
+ * its second execution repeats two nested calls at the users' services, so that this share counts twice at the called service.
  */
 const rerunShare = 0.2;
 
 /**
- * Creates a retry budget of which nothing is used.
+ * Creates an unused retry budget.
  *
  * @param getLimits - Returns the current limits of the operators.
  * @param countNodes - Returns the number of nodes that share the slack.
--- a/src/lib/decisions/nested-call-detector.ts
+++ b/src/lib/decisions/nested-call-detector.ts
@@ -14,7 +14,7 @@
 export type NestedCallDetector = {
 	/** Records a request of a route to a service; returns whether it is considered a nested call. */
 	readonly recordCall: (service: string, route: string, targetLatencyMs: number) => boolean;
-	/** Removes all routes but these. */
+	/** Removes the state of all routes except these. */
 	readonly retain: (routes: ReadonlySet<string>) => void;
 };
 
--- a/src/lib/decisions/plan-attempt.ts
+++ b/src/lib/decisions/plan-attempt.ts
@@ -53,11 +53,11 @@
 /** @internal */
 export type PlanRules = {
 	readonly computeMaxWaitMs: ComputeMaxWaitMs;
-	/** Number of gates that a call is sent to without permission to queue it, before one may queue it. */
+	/** Number of gates that may only give a call a free slot. After them, a gate may also queue the call. */
 	readonly immediateTries: number;
 };
 
-/** Number of gates that a call is sent to without permission to queue it, before one may queue it. Calls with large bodies gain more from another server, and a refusal costs them very little: their bottleneck is the link. */
+/** Number of gates that may only give a call a free slot. After them, a gate may also queue the call. Calls with large bodies gain more from another server, and a refusal costs them very little: their bottleneck is the link. */
 const immediateTryLimits = {small: 2, bulk: 4} as const;
 
 /** Refusals by gates after which a call is refused: it is better that the caller retries later. */
@@ -69,7 +69,7 @@
 /** No attempt starts with less time left than this: it could not be answered. */
 const minAttemptMs = 15;
 
-/** No attempt starts with less time left than this share of the average service time. If service times vary widely, a tenth of the requests is that short, and the others would hold a slot in vain. */
+/** No attempt starts with less time left than this share of the average service time. If service times vary widely, about a tenth of the requests take no longer than this share; the others would hold a slot without being answered in time. */
 const minWorkShare = 0.25;
 
 /** Margin on the average service time, as a share, within which about four in five responses are in time. */
--- a/src/lib/decisions/rank-servers.ts
+++ b/src/lib/decisions/rank-servers.ts
@@ -28,11 +28,11 @@
 /** @internal */
 export type RankingContext = {
 	readonly domain: FailureDomain;
-	/** How much faster a server behind another node in the same failure domain has to be, in milliseconds. */
+	/** Milliseconds by which a server behind another node in the same failure domain has to be faster to be preferred. */
 	readonly otherNodePenaltyMs: number;
-	/** How much faster a server in another failure domain has to be, in milliseconds. */
+	/** Milliseconds by which a server in another failure domain has to be faster to be preferred. */
 	readonly crossDomainPenaltyMs: number;
-	/** Faster responses than this are not preferred, in milliseconds; 0 if the fastest one is always preferred. */
+	/** Response time in milliseconds below which a faster server is not preferred; 0 if the fastest one is always preferred. */
 	readonly fastEnoughMs: number;
 	readonly random: () => number;
 };
--- a/src/lib/decisions/ranking-thresholds.ts
+++ b/src/lib/decisions/ranking-thresholds.ts
@@ -10,7 +10,7 @@
 /** Thresholds for the choice of a server besides its load. @internal */
 export type RankingThresholds = Pick<RankingContext, 'otherNodePenaltyMs' | 'crossDomainPenaltyMs' | 'fastEnoughMs'>;
 
-/** How much faster a server elsewhere has to be, as a share of the latency objective. */
+/** Share of the latency objective by which a server behind another node has to be faster to be preferred. */
 const penaltyShares = {
 	/** A server behind another node: forwarding costs CPU time on both VMs. */
 	otherNode: 0.1,
--- a/src/lib/decisions/retry-after.ts
+++ b/src/lib/decisions/retry-after.ts
@@ -30,8 +30,8 @@
 const jitterShare = 0.5;
 
 /**
- * Computes the retry delay: until a slot may be free, and not before the burst
- * that filled the slots has had time to be answered.
+ * Computes the retry delay. It lasts at least until a slot may be free and, if no slot was free,
+ * until the burst of requests that filled the slots has had time to be answered.
  *
  * @param refusal - The refused call.
  * @param random - Returns numbers from 0 up to 1.
--- a/src/lib/decisions/slot-queue.ts
+++ b/src/lib/decisions/slot-queue.ts
@@ -134,7 +134,7 @@
  * Releases the slot of a request that has ended and starts requests that wait.
  *
  * @param queue - The queue.
- * @param tookMs - Milliseconds for which it held the slot; `undefined` if they are no sample of the service time.
+ * @param tookMs - Milliseconds for which it held the slot; `undefined` if this time must not count as a sample of the service time.
  * @param now - Current time, in milliseconds of the steady clock.
  * @returns The next state and the requests that start.
  * @internal
--- a/src/lib/quarantine/crash-detector.test.ts
+++ b/src/lib/quarantine/crash-detector.test.ts
@@ -8,7 +8,7 @@
 	readonly crashes: ReadonlyArray<readonly string[]>;
 	readonly countProbes: () => number;
 	readonly setEnded: (isOver: boolean) => void;
-	/** Advances the clock and runs what waits for it. */
+	/** Advances the clock and the timers, and lets the callbacks that become due run. */
 	readonly advance: (milliseconds: number) => Promise<void>;
 };
 
--- a/src/lib/quarantine/crash-detector.ts
+++ b/src/lib/quarantine/crash-detector.ts
@@ -23,7 +23,7 @@
 	readonly recordReplaced: () => void;
 };
 
-/** The connections of a process close together when it ends. Within this time this process also reads the end of the remaining ones. */
+/** All connections of the server close at about the same time when its process ends. After the end of the first one, the node reads the end of the others within this time. */
 const gatherWindowMs = 3;
 
 /** Shortest time between probes of a server that was found listening. An overloaded server may reset many connections, and each probe is another connection. */
--- a/src/lib/quarantine/fingerprint.ts
+++ b/src/lib/quarantine/fingerprint.ts
@@ -103,7 +103,7 @@
 
 /**
  * @param value - A value from the network.
- * @returns The fingerprint, or `undefined` if the value is none.
+ * @returns The fingerprint, or `undefined` if the value is not a fingerprint.
  * @internal
  */
 export function parseFingerprint(value: unknown): Fingerprint | undefined {
--- a/src/lib/quarantine/suspect-record.ts
+++ b/src/lib/quarantine/suspect-record.ts
@@ -60,7 +60,7 @@
 
 /**
  * @param value - A value from the store.
- * @returns The crash key, or `undefined` if the value is none.
+ * @returns The crash key, or `undefined` if the value is not a crash key.
  * @internal
  */
 export function parseCrashKey(value: unknown): CrashKey | undefined {
--- a/src/lib/quarantine/suspect-table.ts
+++ b/src/lib/quarantine/suspect-table.ts
@@ -15,7 +15,7 @@
 /** Decision whether a request may run. @internal */
 export type QuarantineDecision =
 	| {readonly type: 'free'}
-	/** The request may run once at a time in the whole mesh, at a server that all nodes choose alike. */
+	/** The request may run, but only once at a time in the whole mesh, at the server that all nodes choose for it. */
 	| {readonly type: 'trial'; readonly fingerprint: Fingerprint}
 	| {readonly type: 'refused'; readonly fingerprint: Fingerprint; readonly crashes: number; readonly retryAfterMs: number};
 
--- a/src/lib/quarantine/trial-delay.ts
+++ b/src/lib/quarantine/trial-delay.ts
@@ -27,7 +27,7 @@
 
 /**
  * @param context - The delay, and the handler of repeated requests.
- * @returns A delay at which no request waits.
+ * @returns A trial delay without waiting requests.
  * @internal
  */
 export function createTrialDelay({getDelayMs, handleRepeat}: TrialDelayContext): TrialDelay {
--- a/src/lib/route-config/config-history.ts
+++ b/src/lib/route-config/config-history.ts
@@ -15,7 +15,7 @@
 
 /** @internal */
 export type ConfigHistory = {
-	/** Adds the step to a version that was applied. With `undefined`, for an unknown step, clears the history. */
+	/** Adds the step that leads to a version that was applied. Clears the history if the step is `undefined`, that is, unknown. */
 	readonly add: (step: ConfigStep | undefined) => void;
 	/** Returns the steps from a version to the newest one; `undefined` if the history does not reach back to it. */
 	readonly listSteps: (from: number) => readonly ConfigStep[] | undefined;
--- a/src/lib/sidecar/config-sync.ts
+++ b/src/lib/sidecar/config-sync.ts
@@ -81,7 +81,7 @@
 	readonly dispose: () => void;
 };
 
-/** A node that has been stalled for this long reads the store itself: it may receive heartbeats of other nodes without being able to connect to them. The rest of the time in which a change must become active is enough for the read. */
+/** A node that has been stalled for this long reads the store itself: it may receive heartbeats of other nodes without being able to connect to them. This delay leaves enough of the time in which a change must become active for the read. */
 const stalledReadAfterMs = 1000;
 
 /** How long a request waits for a newer version of the configuration. Nearly all versions arrive within this time, and the wait takes only part of the shortest latency objective. */
@@ -191,7 +191,7 @@
 	let lastReportedEra = noEra;
 	let eraCheckedAt = Number.NEGATIVE_INFINITY;
 
-	/** Resyncs with the store if another node reports a later era, since a watch that hangs does not notice that the store was restored. Only the store decides which era holds, so a node that reports a wrong era costs at most one resync per interval. */
+	/** Resyncs with the store if another node reports a later era, since a watch that hangs does not notice that the store was restored. Only the store decides which era is current, so a node that reports a wrong era costs at most one resync per interval. */
 	const checkReportedEra = (era: StoreEra): void => {
 		const known = store.getEra();
 		const now = readSteadyMs();
--- a/src/lib/sidecar/list-candidates.ts
+++ b/src/lib/sidecar/list-candidates.ts
@@ -45,12 +45,12 @@
 };
 
 /**
- * Peers that are sampled from the own failure domain, and as many from the others. The cost of a choice is then the same for 60 servers of a
+ * Number of peers that are sampled from the own failure domain, and again from the others. The cost of a choice is then the same for 60 servers of a
  * service as for 600. A list of up to this length is searched completely.
  */
 const maxSampledPeers = 12;
 
-/** The search of the own failure domain, or of the others, ends after this many servers with a free slot. The ranking compares three and four. */
+/** The search of the own failure domain, or of the others, ends after this many servers with a free slot. The ranking compares three servers of the own failure domain and four of the others. */
 const enoughFreeServers = 4;
 
 /** Describes the server beside this node. Its numbers come from the local gate, so they are exact and current. */
@@ -95,7 +95,7 @@
 	const {service, route, tried, trialOf} = query;
 	const {own, peers, limits, loads, random} = sources;
 
-	/** Returns whether a server is excluded. A server that refused a trial stays in the choice: to choose among the others would run the trial at several servers at the same time. */
+	/** Returns whether a server is excluded. A server that refused a trial remains in the list from which the trial server is chosen: choosing among the others would run the trial at several servers at the same time. */
 	const isExcluded = (lifetime: LifetimeKey): boolean => trialOf === undefined && tried.has(lifetime);
 
 	const describeIfUsable = (peer: Peer): Candidate | undefined => {
--- a/src/lib/sidecar/liveness-monitor.test.ts
+++ b/src/lib/sidecar/liveness-monitor.test.ts
@@ -179,7 +179,7 @@
 
 test('an idle node does not consider other nodes silent after a pause', context => {
 	const {advance, beginRound, isHeard} = createFixture(context);
-	// Checks the time directly, since heartbeats with a long period are not due yet.
+	// The clock advances without a round, since rounds of heartbeats with a long period are not due yet.
 	advance(10_400);
 	assert.equal(isHeard(), true);
 	advance(700);
--- a/src/lib/sidecar/mesh-metrics.ts
+++ b/src/lib/sidecar/mesh-metrics.ts
@@ -27,7 +27,7 @@
 	readonly format: (gauges: readonly Gauge[]) => string;
 };
 
-/** Longer latencies are recorded as this one. With two significant digits a histogram takes about ten kilobytes. */
+/** Longer latencies are recorded as this value. With two significant digits a histogram takes about ten kilobytes. */
 const maxLatencyMs = 60_000;
 const significantDigits = 2;
 
--- a/src/lib/sidecar/newer-config-fetcher.ts
+++ b/src/lib/sidecar/newer-config-fetcher.ts
@@ -58,7 +58,7 @@
 export type NewerConfigFetcher = {
 	/** Handles a report of another node, and fetches its configuration if that is newer. */
 	readonly handleReport: (report: PeerReport) => Promise<void>;
-	/** Records a read of the store that started at a time in steady milliseconds: newer versions that nodes reported before that do not exist. */
+	/** Records a finished read of the store, with its start in steady milliseconds. Versions newer than the active one that nodes reported before the start do not exist. */
 	readonly recordStoreRead: (startedAt: number) => void;
 	/** Returns whether this node knows of a newer version than its active one. */
 	readonly isOutdated: () => boolean;
@@ -77,7 +77,7 @@
 	const fetchStartTimes = new Map<NodeId, number>();
 	let hasDelayedFetch = false;
 	let newestKnownVersion = 0;
-	/** Since when this node has been at a version although a newer one is known, in steady milliseconds, and that version. */
+	/** When the last stall (see `isStalled`) began, in steady milliseconds, and the version that was active then. */
 	let stalledSince = 0;
 	let stalledVersion = 0;
 	/** Newer versions that nodes reported while the active version was `claimsBaseVersion`. */
--- a/src/lib/sidecar/sidecar.ts
+++ b/src/lib/sidecar/sidecar.ts
@@ -323,7 +323,7 @@
 		}
 	};
 
-	/** Counts requests in flight. A request whose response is not fully sent is among them: to exit now would truncate the response. */
+	/** Counts requests in flight. A request whose response is not fully sent is among them: exiting now would truncate the response. */
 	const countInFlight = (): number => entry.countCalls() + gate.countRequests() + entry.countUnsentAnswers() + gateServer.countUnsentResponses();
 
 	return {
