--- a/src/lib/local-server/local-server-updates.test.ts
+++ b/src/lib/local-server/local-server-updates.test.ts
@@ -184,7 +184,7 @@
 	assert.equal(late.current, undefined);
 	assert.equal(announce(late, {startedAt: earliest, sequence: 8}, 2000).state.current, undefined);
 	assert.equal(announce(late, {startedAt: middle}, 2000).state.current?.announcement.lifetime.startedAt, middle);
-	// Messages are seconds late: a server that is first heard long after the leave is another one.
+	// Messages arrive at most seconds late, so a server that is first heard long after the leave is another one.
 	assert.equal(announce(state, {startedAt: earliest, sequence: 7}, 60_000).state.current?.isLeaving, false);
 });
 
--- a/src/lib/local-server/local-server-updates.ts
+++ b/src/lib/local-server/local-server-updates.ts
@@ -17,7 +17,7 @@
 } from './local-server.js';
 import {isSuperseded, mayReplaceCurrent} from './lifetime-succession.js';
 
-/** A message may arrive this much later than messages sent after it: messages of users' servers arrive seconds late, and servers restart within a second. */
+/** The longest time by which a message may arrive after messages that were sent later: messages of users' servers arrive seconds late, and servers restart within a second. */
 const maximumMessageDelayMs = 5000;
 
 function withoutLifetime(servers: readonly LocalServer[], lifetime: ServerLifetime): readonly LocalServer[] {
@@ -60,7 +60,7 @@
 	};
 }
 
-/** Applies an announcement of a lifetime that was replaced, or for whose id a later start is known. */
+/** Applies an announcement of a lifetime that is not in use: it was replaced, or a later start of its id is known. */
 function acceptInactive(state: LocalServerState, announcement: ServerAnnouncement, now: number): ServerTransition {
 	const {lifetime, sequence, isDraining} = announcement;
 	if (isDraining) {
@@ -161,8 +161,8 @@
 
 /**
  * Returns whether a leave may be a late message of an earlier start: it has no start time, and the lifetime in use has just
- * replaced another one of the same id. Applying it could exclude the new lifetime until that ends. It must not be
- * acknowledged either, because the new lifetime may have sent it.
+ * replaced another one of the same id. Applying it could exclude the new lifetime from requests for as long as
+ * it runs. The leave must not be acknowledged either, because the new lifetime may have sent it.
  *
  * @param state - The state of the local server.
  * @param leave - The leave.
@@ -234,7 +234,7 @@
  * Ends a lifetime because another server now responds at its address. The next announcement identifies that server.
  *
  * @param state - The state of the local server.
- * @param lifetime - The lifetime to which the request was sent that the other server answered.
+ * @param lifetime - The lifetime that ends. A request to it was answered by the other server.
  * @param now - Steady milliseconds.
  * @returns The next state.
  * @internal
--- a/src/lib/local-server/local-server.ts
+++ b/src/lib/local-server/local-server.ts
@@ -14,7 +14,7 @@
 	readonly address: Address;
 	readonly slots: number;
 	readonly isDraining: boolean;
-	/** Milliseconds after its start for which the server stays slow. */
+	/** How long the server stays slow after its start, in milliseconds. */
 	readonly coldMs: number;
 	/** Increases with each announcement of a lifetime, so that a late announcement is recognised. */
 	readonly sequence: number;
@@ -32,7 +32,7 @@
 	readonly announcement: ServerAnnouncement;
 	/** When that announcement arrived, in steady milliseconds. */
 	readonly heardAt: number;
-	/** Whether it announced that it drains, or left: final for this lifetime. */
+	/** Whether it has announced a drain or has left. Never reset for this lifetime. */
 	readonly isLeaving: boolean;
 	/** When it may get requests again after it could not be reached, in steady milliseconds; 0 if it was reachable. */
 	readonly avoidUntil: number;
@@ -51,7 +51,7 @@
 export type LocalServerState = {
 	/** The lifetime that is in use. */
 	readonly current: LocalServer | undefined;
-	/** Lifetimes that left, or whose address another server has: their further messages are ignored. */
+	/** Lifetimes that left, or whose address is used by another server. Their further messages are ignored. */
 	readonly ended: readonly EndedLifetime[];
 	/** Lifetimes that were replaced or never used, and that have not left. */
 	readonly inactive: readonly LocalServer[];
--- a/src/lib/local-server/start-time-check.ts
+++ b/src/lib/local-server/start-time-check.ts
@@ -27,7 +27,7 @@
 /** The number of servers beside other nodes that are sampled: enough that one node with a wrong report does not decide the result. */
 const maximumSampleCount = 15;
 
-/** Whether most of the sampled servers announce when they started. */
+/** Returns whether most of the sampled servers announce their start time. */
 function isStartTimeUsual(lifetimes: Iterable<ServerLifetime>): boolean {
 	let sampled = 0;
 	let withStartTime = 0;
--- a/src/lib/peers/announcement-targets.ts
+++ b/src/lib/peers/announcement-targets.ts
@@ -2,11 +2,11 @@
  * Chooses the nodes that are notified immediately that the backend server beside a
  * node is ready.
  *
- * Each datagram wakes a process, so in a mesh of hundreds of nodes, in which
- * nodes start all day, notifying every node would cost more the larger the mesh
- * is. That a server takes no more requests is sent to all nodes, because a node
- * that misses it sends requests that are refused. That a server is ready may
- * arrive late: until then, the server is only not used yet.
+ * Each datagram wakes a process, so the cost of notifying every node grows with
+ * the mesh, and in a mesh of hundreds of nodes, nodes start all day. If a
+ * server takes no more requests, all nodes are notified, because a node without
+ * this notification sends requests that are refused. If a server is ready, the
+ * notification may arrive late: until then, the server only gets no requests.
  *
  * @module
  */
@@ -15,7 +15,7 @@
 /** The maximum number of nodes that are notified immediately. In a mesh of up to 80 nodes, all nodes are. */
 const maximumTargetCount = 80;
 
-/** The maximum number of them in the own failure domain, whose requests go to this server first. The rest are in other failure domains, so that these are notified too. */
+/** The maximum number of notified nodes in the own failure domain, which send their requests to this server first. The other notified nodes are in other failure domains, so that these learn of the server too. */
 const maximumOwnDomainCount = 60;
 
 /** Picks `count` consecutive items from a random position of a list, in time that does not grow with the list. */
--- a/src/lib/peers/peer-link.ts
+++ b/src/lib/peers/peer-link.ts
@@ -62,7 +62,7 @@
 	readonly announceToAll: () => void;
 	/** Requests a report from a node, because requests wait for it. */
 	readonly probe: (node: NodeId) => void;
-	/** Returns the number of silent nodes. A node counts once its turn in the rotation found it silent, until it is heard or forgotten. */
+	/** Returns the number of silent nodes. A node counts from the turn of the rotation that finds it silent until it is heard or forgotten. */
 	readonly countSilent: () => number;
 	/** Records that a node could not be reached. */
 	readonly noteUnreachable: (node: NodeId) => void;
--- a/src/lib/peers/peer-report.ts
+++ b/src/lib/peers/peer-report.ts
@@ -26,7 +26,7 @@
 	readonly service: string;
 	readonly slots: number;
 	readonly state: ServerState;
-	/** Milliseconds after its start for which the server stays slow. */
+	/** How long the server stays slow after its start, in milliseconds. */
 	readonly coldMs: number;
 	readonly running: number;
 	readonly waiting: number;
--- a/src/lib/sync/config-follower.ts
+++ b/src/lib/sync/config-follower.ts
@@ -110,7 +110,7 @@
 
 		const decoded = decode(text);
 		if (decoded.isErr()) {
-			// Logged once per text. The active configuration stays in force unchanged.
+			// Logged once per text. The node keeps its active configuration.
 			rejectedText = text;
 			log.record('error', {
 				kind: 'configuration-refused', version: holder.getVersion(), from: source, reason: decoded.error,
--- a/src/lib/sync/crash-entries.ts
+++ b/src/lib/sync/crash-entries.ts
@@ -2,7 +2,7 @@
  * Shares crashes of backend servers through the store, one entry per crash.
  * Heartbeats between nodes are faster, but a network partition blocks them:
  * each side would then count its own crashes, and a request could crash three
- * backend servers on each. The nodes that reach the store enforce the limit
+ * backend servers on each side. The nodes that reach the store enforce the limit
  * together, and still know the crashes after all nodes were killed at the same time.
  *
  * @module
@@ -48,7 +48,7 @@
 
 /**
  * @param context - The store, the logs, and the handler of records.
- * @returns The crash entries, without any of this node.
+ * @returns The crash entries, with none of this node yet.
  * @internal
  */
 export function createCrashEntries({store, log, refusals, handleRecords}: CrashEntriesContext): CrashEntries {
--- a/src/lib/sync/node-entry-tracker.ts
+++ b/src/lib/sync/node-entry-tracker.ts
@@ -1,8 +1,8 @@
 /**
  * Tracks the entries of nodes in the store, and selects the addresses to
  * contact. Any client of the store can write under the prefix of the nodes, so
- * an entry without a valid address, or whose address does not answer, must cost
- * little; it is reported once.
+ * entries without a valid address, or with an address that does not answer,
+ * must cost little. Each of them is reported once.
  *
  * @module
  */
@@ -27,8 +27,8 @@
 };
 
 /**
- * Time for which an address without an answer is contacted, from when its entry is first seen at its current revision. Longer than network partitions between nodes
- * last; the cost is one datagram every few seconds. A node that restarts rewrites its entry. An address that has answered is contacted for as long as its entry exists.
+ * An address that does not answer is contacted for this time after its entry was first seen at its current revision. Network partitions between nodes are shorter; the
+ * cost is one datagram every few seconds. A node that restarts rewrites its entry. An address that has answered is contacted for as long as its entry exists.
  */
 const unansweredContactMs = 300_000;
 
--- a/src/lib/sync/put-leased.ts
+++ b/src/lib/sync/put-leased.ts
@@ -14,7 +14,7 @@
  * @param key - The key.
  * @param value - Its value.
  * @param ttlMs - TTL of the lease, in milliseconds.
- * @returns The position of the write, or the reason for which the key may not have been written.
+ * @returns The position of the write, or the reason why the key may not have been written.
  * @internal
  */
 export async function putLeased(store: Pick<MeshStore, 'putItem' | 'grantLease'>, key: string, value: string, ttlMs: number): Promise<Result<StorePosition, string>> {
--- a/src/lib/sync/registration.ts
+++ b/src/lib/sync/registration.ts
@@ -54,7 +54,7 @@
 /** Prefix of the keys with the addresses of nodes. */
 const nodePrefix = `${meshPrefix}nodes/`;
 
-/** TTL of the entry of a node that ended without withdrawing. */
+/** TTL of a node's entry. The store removes the entry after this time if the node ends without withdrawing it. */
 const leaseTtlMs = 12_000;
 
 /**
@@ -75,7 +75,7 @@
 /** Interval between checks on other nodes. */
 const checkIntervalMs = 2000;
 
-/** Jitter per node of the mesh when all nodes may rewrite their entries. Each node needs two writes, and the smallest stores accept 400 writes per second. */
+/** Jitter when all nodes may rewrite their entries at the same time, per node of the mesh. Each node needs two writes, and the smallest stores accept 400 writes per second. */
 const jitterPerNodeMs = 5;
 
 /** Upper bound of this jitter, since entries must be rewritten within two seconds. */
--- a/src/lib/sync/relay-duty.test.ts
+++ b/src/lib/sync/relay-duty.test.ts
@@ -12,7 +12,7 @@
 
 const createDomain = (count: number): readonly DomainNode[] => Array.from({length: count}, (_, index) => createNode(`n${String(index).padStart(3, '0')}`));
 
-/** Names of the relays when each node decides by the reports of all others. Two rounds, since the second one sees the relays of the first. */
+/** Returns the names of the relays if each node decides by the reports of all others. Runs two rounds, since the relays of the first round are visible only in the second. */
 function listRelays(nodes: readonly DomainNode[], domains = 1): readonly string[] {
 	const decide = (all: readonly DomainNode[]): readonly DomainNode[] =>
 		all.map(self => ({...self, isFollowing: isRelay(self, all.filter(other => other !== self), domains)}));
