--- a/src/lib/forwarding/call-progress.ts
+++ b/src/lib/forwarding/call-progress.ts
@@ -25,7 +25,7 @@
 	readonly recordEnd: (attempt: Attempt, result: ForwardResult) => AttemptRecord;
 	/** Records why no further attempt is started. */
 	readonly recordRefusal: (failure: ForwardFailure) => void;
-	/** Ends the call with the response of one attempt; the superseded attempts were cancelled because of it. */
+	/** Ends the call with the response of one attempt. `superseded` holds the attempts that were cancelled because of this response. */
 	readonly finish: (result: ForwardResult, superseded: readonly Attempt[]) => CallOutcome;
 	/** Ends the call with the fallback. */
 	readonly finishWithFallback: () => CallOutcome;
--- a/src/lib/forwarding/config-messages.ts
+++ b/src/lib/forwarding/config-messages.ts
@@ -41,10 +41,10 @@
 /** Head and body of the frame of an answer. @internal */
 export type EncodedConfigAnswer = {readonly head: readonly [string]; readonly body: Uint8Array};
 
-/** Routes resemble each other: the fastest compression level makes a configuration about eight times smaller. */
+/** Routes resemble each other, so even the fastest compression level makes a configuration about eight times smaller. */
 const compressionOptions = {level: 1} as const;
 
-/** Larger texts from another node are rejected while they are decompressed. Several times the largest value of the users' store. */
+/** Larger texts from another node are rejected while they are decompressed. The limit is several times the largest value of the users' store. */
 const maxInflatedBytes = 16_777_216;
 
 const compressText = (text: string): Uint8Array => getZlib().deflateRawSync(Buffer.from(text), compressionOptions);
--- a/src/lib/forwarding/entry-server.ts
+++ b/src/lib/forwarding/entry-server.ts
@@ -61,7 +61,7 @@
 	readonly callerRetryDetector: CallerRetryDetector;
 	readonly nestedCallDetector: NestedCallDetector;
 	readonly log: MeshLog;
-	/** If this process lags behind, waits until input that had already arrived was read, so that the disconnect of a caller is noticed before work on its request starts. */
+	/** If this process lags behind, waits until input that has already arrived is read, so that the disconnect of a caller is noticed before work on its request starts. */
 	readonly waitForPendingInput: (isNewConnection: boolean) => Promise<void>;
 	/** Estimates how long a request that was read just now may have waited unread, in milliseconds. */
 	readonly estimateUnreadMs: LoopLag['estimateUnreadMs'];
@@ -95,7 +95,7 @@
 /** The largest request head that is accepted. */
 const maxHeaderBytes = 65_536;
 
-/** Idle connections are kept this much longer than the configured idle timeout, because a request may be on its way when that expires. */
+/** Idle connections are kept this much longer than the configured idle timeout, because a request may be in transit when that timeout expires. */
 const keepAliveGraceMs = 1000;
 
 /** Limit for the bodies of all requests together: a third of the memory that a process has on the smallest VMs of the users. */
@@ -110,7 +110,7 @@
 /** Retry delay while this node has an outdated configuration. Most nodes get the newer one within this time. */
 const outdatedConfigRetryMs = 300;
 
-/** Retry delay for a route that cannot be used until the configuration changes, which happens many times an hour, not many times a second. */
+/** Retry delay for a route that cannot be used until the configuration changes. That happens many times an hour, not many times a second, so an earlier retry would rarely succeed. */
 const unusableRouteRetryMs = 1000;
 
 /** Returns the status for a request whose body could not be read. Such a request was not executed. */
@@ -205,7 +205,7 @@
 		call.sendContinue();
 		try {
 			return await readBody(call.request, maxBodyBytes, bodyBudget, handleEnd => scope.subscribe(reason => {
-				// If the connection closes, the request itself reports that.
+				// A closed connection needs no handling here: `readBody` handles the `close` event of the request.
 				if (reason === 'timeout') {
 					handleEnd();
 				}
--- a/src/lib/forwarding/exchange.ts
+++ b/src/lib/forwarding/exchange.ts
@@ -53,7 +53,7 @@
 /** Characters that would end a header line or the head (header injection). */
 const lineBreakPattern = /[\r\n\0]/;
 
-/** Characters allowed in the request target. Any other would end or split the request line. */
+/** Characters allowed in the request target. Any other character would end or split the request line. */
 const targetPattern = /^[\u0021-\u00FF]+$/;
 
 const methodPattern = /^[\w!#$%&'*+.^`|~-]+$/;
--- a/src/lib/forwarding/forward-result.ts
+++ b/src/lib/forwarding/forward-result.ts
@@ -23,7 +23,7 @@
 	| 'connection-lost'
 	/** The backend server crashed while it executed the request, possibly because of it. */
 	| 'server-crashed'
-	/** Backend servers crashed while they executed such requests, so it is not sent to another one. */
+	/** Backend servers crashed while they executed requests with this fingerprint, so the request is not sent to another server. */
 	| 'quarantined'
 	| 'wrong-answer'
 	| 'no-server'
--- a/src/lib/forwarding/frame.ts
+++ b/src/lib/forwarding/frame.ts
@@ -38,9 +38,9 @@
 /** @internal */
 export type Frame = {
 	readonly type: FrameType;
-	/** Chosen by the node that opened the connection. */
+	/** Id of the request, chosen by the node that opened the connection. */
 	readonly id: number;
-	/** Any JSON; `undefined` if the frame has no head. */
+	/** Any JSON value; `undefined` if the frame has no head. */
 	readonly head: unknown;
 	readonly body: Uint8Array;
 };
@@ -55,7 +55,7 @@
 /** Longer heads are rejected. The limit fits the longest headers that callers may send, even if JSON escapes each character to six. */
 const maxHeadBytes = 1_048_576;
 
-/** Beyond this count small chunks are joined: kept apart, chunks of a few bytes would take about a hundred times their size. */
+/** Small chunks are joined when more than this many are buffered. Separate chunks of a few bytes would take about a hundred times their size. */
 const maxUnjoinedChunkCount = 64;
 
 /** Memory that a chunk takes in addition to its bytes. */
@@ -67,7 +67,7 @@
 const emptyBody = Buffer.alloc(0);
 
 /**
- * Encodes everything of a frame but its body.
+ * Encodes the part of a frame that precedes its body.
  *
  * @param frame - The frame; head and body may be omitted.
  * @returns The bytes that precede the body.
--- a/src/lib/forwarding/full-link.test.ts
+++ b/src/lib/forwarding/full-link.test.ts
@@ -37,7 +37,7 @@
 /** Bytes that the link carries in the given time. */
 const countCarriedBytes = (ms: number): number => slowMbps * 1000 / 8 * ms;
 
-/** Maximum queueing delay on the link behind large responses. A new connection, a request and its response are three such delays, and a call waits at most 300 ms for a connection. */
+/** Maximum queueing delay on the link behind large responses. Opening a connection, sending a request and receiving its response take three such delays, and a call waits at most 300 ms for a connection. */
 const maxQueueMs = 100;
 
 // Guards against nodes that keep routing by an old configuration because everything that they send waits behind their own large responses.
@@ -111,7 +111,7 @@
 	const client = createGateClient({openSocket: createSlowOpening(500)});
 	context.after(client.dispose);
 	const startedAt = readSteadyMs();
-	// A node that keeps hearing of a newer version retries until the version must be active.
+	// Retries as a node does that is repeatedly notified of a newer version, until the time limit for activating that version.
 	let answer;
 	while (answer === undefined && readSteadyMs() - startedAt < 2000) {
 		const scope = createCallScope(startedAt + 2000);
@@ -183,7 +183,7 @@
 	assert.ok((await first).isErr());
 });
 
-// Guards against the same delay at a node whose callers upload: its large request bodies are sent before everything else.
+// Guards against the same delay at a node whose callers upload: everything else that it sends waits behind the large request bodies.
 test('large request bodies are written no faster than the link carries them, and those of cancelled calls are not sent', async context => {
 	let received = 0;
 	let partialBytes = 0;
--- a/src/lib/forwarding/gate-client.ts
+++ b/src/lib/forwarding/gate-client.ts
@@ -44,8 +44,8 @@
 	/** Returns when bytes last arrived from a gate, in milliseconds of the steady clock; 0 if none have on its current connections. */
 	readonly getLastReceivedAt: (gate: Address) => number;
 	/**
-	 * Makes new requests use new connections, because requests on the old ones may hang; responses on the old ones are still delivered. A connection that is being
-	 * opened is kept, unless the node is back: its connection request may have been sent, and lost, while the node was away.
+	 * Makes new requests use new connections, because requests on the old ones may hang; responses on the old ones are still delivered. A connection that is
+	 * being opened is kept, unless the reason is `back`: its connection request may have been sent and lost while the node was unavailable.
 	 */
 	readonly renewConnections: (gate: Address, reason: 'back' | 'unreachable') => void;
 	/** Stops using connections on which nothing arrives although heartbeats of their nodes arrive, and closes them later. Must be called periodically. */
--- a/src/lib/forwarding/gate-server.ts
+++ b/src/lib/forwarding/gate-server.ts
@@ -62,7 +62,7 @@
 /** Another node exceeds a limit on what this node buffers or keeps for it. */
 class FloodError extends Error {}
 
-/** Maximum number of requests in flight on one connection, many times what the users' nodes have. */
+/** Maximum number of requests in flight on one connection, many times the number that the users' nodes have. */
 const maxIncomingRequestCount = 4096;
 
 /** Maximum bytes buffered for incomplete frames over all connections: a third of the memory of a process on the users' smallest VMs, and as much as the entry buffers for request bodies. */
@@ -119,7 +119,7 @@
 		}
 	};
 
-	/** Refuses an id that is already in flight, because its responses could not be distinguished, and too many requests. */
+	/** Throws if the id is already in flight, because the responses could not be distinguished, or if too many requests are in flight. */
 	const checkRequest = ({requests}: Connection, {id}: Frame): void => {
 		if (requests.has(id)) {
 			throw new FieldError('frame.id', id, 'an id that is not in flight on this connection');
--- a/src/lib/forwarding/half-open-detector.ts
+++ b/src/lib/forwarding/half-open-detector.ts
@@ -1,7 +1,7 @@
 /**
  * Detects half-open connections to a backend server: they look open, but nothing
- * sent on them arrives. Only a request without an answer reveals one, and without
- * this detector every idle connection would cost a request.
+ * sent on them arrives. Only a request that gets no answer reveals a half-open connection. Without
+ * this detector, each idle half-open connection would cost one request.
  *
  * @module
  */
@@ -29,7 +29,7 @@
 export function createHalfOpenDetector(): HalfOpenDetector {
 	/** When the requests in flight were sent, oldest first. In milliseconds of the steady clock. */
 	const pendingRequests = new Set<{readonly at: number}>();
-	/** When the connections were last suspected. Requests sent earlier are no further evidence. In milliseconds of the steady clock. */
+	/** When the connections were last suspected. Requests sent earlier do not cause another suspicion. In milliseconds of the steady clock. */
 	let suspectedAt = 0;
 	return {
 		recordRequest(now) {
--- a/src/lib/forwarding/link-writer.ts
+++ b/src/lib/forwarding/link-writer.ts
@@ -32,7 +32,7 @@
 /** Bodies above this size are written in pieces. The users' slowest links carry this many bytes in twelve milliseconds, as long as a few small responses. */
 const largeBodyBytes = 16_384;
 
-/** How long a socket may take to accept a piece before another frame continues. */
+/** Minimum time that a socket has to accept a piece before another frame continues. */
 const minWaitMs = 5;
 
 /** A large frame that is queued or partly written. */
--- a/src/lib/forwarding/local-gate.test.ts
+++ b/src/lib/forwarding/local-gate.test.ts
@@ -158,7 +158,7 @@
 	const {result} = await sent;
 	assert.ok(result.type === 'failed');
 	assert.deepEqual([result.verdict, result.reason], ['may-have-run', 'server-crashed']);
-	// Only one request counts against the new lifetime. The earlier one notices the cancellation by its closed connection.
+	// Only one request counts against the new lifetime. The server recognizes the closed connection of the earlier request as a cancellation.
 	const next = fixture.gate.run(fixture.createCall('next'));
 	await expectSoon('the next request arrives', () => fixture.arrived.includes('next'));
 	fixture.answerNext();
--- a/src/lib/forwarding/local-gate.ts
+++ b/src/lib/forwarding/local-gate.ts
@@ -111,8 +111,8 @@
 	};
 
 	/**
-	 * Closes the session of a replaced server. A server that restarted has lost its running requests. One with another id may
-	 * still finish them: it may have left in order, or the announcement of the new server was a late message.
+	 * Closes the session of a replaced server. A server that restarted has lost its running requests. A server with another id may still finish its running
+	 * requests: it may have left in order, or the announcement of the new server was a late message.
 	 */
 	const closeSession = (closed: ServerSession, before: LocalServer, next: LocalServer): void => {
 		const hasSameId = before.announcement.lifetime.id === next.announcement.lifetime.id;
--- a/src/lib/forwarding/outgoing-call.ts
+++ b/src/lib/forwarding/outgoing-call.ts
@@ -51,7 +51,7 @@
 export type SendContext = {
 	readonly self: NodeId;
 	readonly callerService: string;
-	/** Lists the ready servers of a service, with their load as known for a request of a route; a sample if there are many. */
+	/** Lists the ready servers of a service, with their load as known for a request of a route. Returns a sample if there are many. */
 	readonly listCandidates: (needs: {readonly service: string; readonly route: string; readonly tried: ReadonlySet<LifetimeKey>; readonly trialOf?: Fingerprint | undefined}) => readonly Candidate[];
 	readonly quarantine: Pick<Quarantine, 'check'>;
 	readonly domain: Candidate['domain'];
--- a/src/lib/forwarding/peer-channel.ts
+++ b/src/lib/forwarding/peer-channel.ts
@@ -58,8 +58,8 @@
 
 /**
  * How long a node may take to answer a probe, counted from the first time it is heard after the probe was sent. A process that is eight times slower than usual
- * still answers in time. An earlier heartbeat proves nothing: a node that pauses for a second, as small VMs do under load, sends neither heartbeats nor
- * answers, and closing its connections would fail requests that it would have answered.
+ * still answers in time. An earlier heartbeat does not show that the node is running: a node that pauses for a second, as small VMs do under load, sends
+ * neither heartbeats nor answers, and closing its connections would fail requests that it would have answered.
  */
 const pongTimeoutMs = 800;
 
@@ -81,9 +81,9 @@
 	readonly queuedAt: number;
 	/** Whether the operating system has accepted the ping. */
 	isWritten: boolean;
-	/** When a check first saw that. */
+	/** When a liveness check first found the ping written. */
 	writtenAt: number | undefined;
-	/** When a check first saw that the other node was heard after `writtenAt`. */
+	/** When a liveness check first found that the other node was heard after `writtenAt`. */
 	nodeHeardAt: number | undefined;
 };
 
@@ -110,8 +110,8 @@
 };
 
 /**
- * How long a connection may take to open. On a saturated link that takes as long as the queue in front of it, and aborting to start over would never
- * succeed. The connection request is retransmitted after one second.
+ * How long a connection may take to open. On a saturated link, the connection request waits behind all queued bytes, so aborting it and starting over
+ * would never succeed. The connection request is retransmitted after one second.
  */
 const connectTimeoutMs = 2000;
 
--- a/src/lib/forwarding/peer-messages.ts
+++ b/src/lib/forwarding/peer-messages.ts
@@ -39,10 +39,10 @@
 const isString = (value: unknown): value is string => typeof value === 'string';
 const isNonNegativeNumber = (value: unknown): value is number => typeof value === 'number' && Number.isFinite(value) && value >= 0;
 
-/** The longest time in a message. Code that sets a timer for it limits the delay itself. */
+/** Maximum time value in a message. It exceeds the maximum delay of a timer, so code that sets a timer clamps the delay. */
 const maxTimeMs = Number.MAX_SAFE_INTEGER;
 
-/** Longer retry delays are reduced to this. */
+/** Maximum retry delay; longer ones are reduced to it. */
 const maxRetryAfterMs = 3_600_000;
 
 /** Range of the final HTTP statuses; lower ones are informational. */
@@ -162,7 +162,7 @@
 }
 
 /**
- * Decodes the result of a request. A malformed answer counts as one after which the request may have been executed.
+ * Decodes the result of a request. Returns a failure with the verdict `may-have-run` if the answer is malformed.
  *
  * @param head - The head of the answer's frame.
  * @param body - The body of the answer's frame.
--- a/src/lib/forwarding/read-body.ts
+++ b/src/lib/forwarding/read-body.ts
@@ -31,7 +31,7 @@
  *
  * @param request - The request.
  * @param maxBytes - The size limit of the body, in bytes.
- * @param budget - Memory for all bodies together. The caller of this function releases the bytes of a body that it got; those of a failed one are released here.
+ * @param budget - Memory for all bodies together. The caller releases the bytes of a returned body; this function releases them if it throws.
  * @param subscribeToEnd - Calls the handler when the deadline of the call passes; returns a function that unsubscribes.
  * @returns The body.
  * @throws BodyTooLargeError, BodyMemoryError or BodyTimeoutError, or another error when the connection fails or closes within the body.
--- a/src/lib/forwarding/response-parser.ts
+++ b/src/lib/forwarding/response-parser.ts
@@ -48,7 +48,7 @@
 /** Maximum size of the status line and headers, the default of Node.js. */
 const maxHeadBytes = 16_384;
 
-/** Maximum size of a response. A response is buffered whole and must fit into one frame with its head. Several times the users' largest response. */
+/** Maximum size of a response. A response is buffered whole and must fit into one frame with its head. The limit is several times the users' largest response. */
 const maxResponseBytes = 100_663_296;
 
 /** Maximum number of heads up to and including the final one. Servers send one or two interim responses, such as 100 Continue. */
--- a/src/lib/forwarding/send-call.test.ts
+++ b/src/lib/forwarding/send-call.test.ts
@@ -158,7 +158,7 @@
 	assert.ok(unreachable.length <= 1);
 });
 
-/** Two servers; the node of the first is reported silent while a request is in flight. That server answers all the same, or never if `isDead`. */
+/** Two servers; the node of the first is reported silent while a request is in flight. That server still answers, unless `isDead` is set. */
 function createSilentFixture(slack: number, isDead = false) {
 	let reportSilence = (): void => undefined;
 	const sent: string[] = [];
--- a/src/lib/forwarding/send-call.ts
+++ b/src/lib/forwarding/send-call.ts
@@ -123,7 +123,7 @@
 
 	/** Starts the next attempt. If none is allowed, returns the outcome of the call, or `undefined` while another attempt is in flight. */
 	const startNext = (): CallOutcome | undefined => {
-		// Judged anew, because this node may have learned of crashes since the last attempt.
+		// Checked again, because this node may have learned of crashes since the last attempt.
 		const decision = context.quarantine.check(call.fingerprint);
 		if (decision.type === 'refused') {
 			return finishIfIdle(createNotRun('quarantined', describeQuarantine(decision), decision.retryAfterMs));
@@ -139,7 +139,7 @@
 		return finishIfIdle(describeRefusal(plan));
 	};
 
-	/** Whether another attempt may follow one that failed or was answered with an error status. Never while a responsive attempt is in flight. */
+	/** Returns whether another attempt may follow one that failed or was answered with an error status; false while a responsive attempt is in flight. */
 	const mayTryNext = (result: ForwardResult): boolean => {
 		const isSafeToResend = (isRetryable || progress.getVerdict() === 'not-run') && !mayCrashServers(result);
 		if (!isSafeToResend || scope.getEndReason() !== undefined || !running.areAllUnresponsive()) {
@@ -180,7 +180,7 @@
 			return;
 		}
 
-		// Reported ten times a second while a node is silent, so the cheap checks come first.
+		// Runs ten times a second while a node is silent, so the cheap checks come first.
 		if (!hasAllowedArrival() && !mayTakeRetry('may-have-run')) {
 			return;
 		}
--- a/src/lib/forwarding/server-connection-pool.ts
+++ b/src/lib/forwarding/server-connection-pool.ts
@@ -29,7 +29,7 @@
 	readonly startCall: (call: AssignedCall) => AssignedCall | undefined;
 	/** Writes the head and the body of a request. */
 	readonly write: (head: string, body: Uint8Array | undefined) => void;
-	/** Writes an empty line, which servers ignore before a request. Calls back with whether the write succeeded, which shows that the server closed the connection in order instead of resetting it. */
+	/** Writes an empty line, which servers ignore before a request. Calls the handler with true if the write succeeded, which shows that the server closed the connection in order instead of resetting it. */
 	readonly checkOrderlyEnd: (handleResult: (isOrderly: boolean) => void) => void;
 	/** Returns the connection to the pool; it is reused only within `idleMs` milliseconds. */
 	readonly release: (idleMs: number) => void;
@@ -168,7 +168,7 @@
 			connection.listener = undefined;
 			const {socket} = connection;
 			const keepMs = Math.min(options.idleMs, idleMs);
-			// Unsent bytes belong to a request that already has its response. The next request would wait behind them.
+			// Unsent bytes belong to a request that already has its response, and would delay the next request on this connection.
 			if (connection.isRetired || keepMs <= 0 || socket.writableLength > 0 || socket.destroyed) {
 				socket.destroy();
 				return;
--- a/src/lib/forwarding/server-session.ts
+++ b/src/lib/forwarding/server-session.ts
@@ -101,7 +101,7 @@
 /** Subtracted from the remaining time that is forwarded to the server: the grace period of the call scope, and the latency to the server. */
 const deadlineMarginMs = deadlineGraceMs + 1;
 
-/** One request more than the server executes is sent to it per this many slots. The extra request waits there for about an eighth of a service time, whatever its rank. */
+/** For each group of this many slots, the gate sends one request more than the server executes. The extra request waits at the server for about an eighth of a service time, regardless of its rank. */
 const slotsPerQueuedRequest = 8;
 
 /**
@@ -121,10 +121,10 @@
 /** A sent request that was abandoned without a response. Until `expiresAt` (steady milliseconds) the server may still execute it. */
 type AbandonedCall = SentCall & {readonly expiresAt: number};
 
-/** Maximum time for which an abandoned request is a crash suspect: several times what most requests take. */
+/** Maximum time for which an abandoned request is a crash suspect: several times the duration of most requests. */
 const abandonedCallTtlMs = 5000;
 
-/** Maximum number of remembered abandoned requests: several times what runs at the users' largest servers. */
+/** Maximum number of remembered abandoned requests: several times the number of requests that run at the users' largest servers. */
 const maxAbandonedCallCount = 64;
 
 /**
@@ -230,7 +230,7 @@
 
 	/**
 	 * Converts the failure of a request whose connection was lost. A request that was running when the server crashed is not
-	 * retried automatically, because a request that crashes every server would crash as many as its route allows attempts.
+	 * retried automatically, because a request that crashes every server would crash one server per attempt that its route allows.
 	 * A request that was recently answered elsewhere is retried as usual.
 	 */
 	const convertLostConnection = async ({id}: SessionCall, fingerprint: LazyFingerprint, failure: ExchangeFailure): Promise<ForwardFailure> => {
@@ -258,7 +258,7 @@
 
 		const hasFailed = response.status >= 500;
 		recordOutcome(hasFailed);
-		// A failure does not clear a request of suspicion: the server may fail it before it reaches the code that crashes.
+		// A failed request remains a suspect, because the server may fail it before it reaches the code that crashes.
 		if (!hasFailed) {
 			context.quarantine.recordResponse(fingerprint);
 		}
--- a/src/lib/forwarding/silent-node.test.ts
+++ b/src/lib/forwarding/silent-node.test.ts
@@ -51,7 +51,7 @@
 	type: 'answered', status, headers: {}, body: new Uint8Array(),
 });
 
-/** Creates four servers: the first that gets the call works until `answer` is called, the others return what `answerOther` yields. */
+/** Creates four servers. The first one that gets the call works until `answer` is called; the others return the result of `answerOther`. */
 function createMesh(context: TestContext, answerOther: (call: RemoteCall) => Promise<ForwardResult>, slack = 100): MeshFixture {
 	const sent: RemoteCall[] = [];
 	const silenceHandlers = new Set<() => void>();
--- a/src/lib/forwarding/two-attempts.test.ts
+++ b/src/lib/forwarding/two-attempts.test.ts
@@ -1,4 +1,4 @@
-/** Calls with a second attempt in flight because the node of the first one is silent. */
+/** Tests calls with a second attempt in flight because the node of the first one is silent. */
 import assert from 'node:assert/strict';
 import test, {type TestContext} from 'node:test';
 import {
--- a/src/lib/forwarding/upload-limit.ts
+++ b/src/lib/forwarding/upload-limit.ts
@@ -16,7 +16,7 @@
 
 /** @internal */
 export type UploadLimit = {
-	/** Waits for a place on the link. Returns the upload, or why there is none, with the outcomes of a slot request. */
+	/** Waits for a place on the link. Returns the upload, or the slot outcome that says why no place was granted. */
 	readonly acquire: (request: SlotRequest) => Promise<Upload | Exclude<SlotOutcome, {readonly type: 'run'}>>;
 };
 
