--- a/demo/main.ts
+++ b/demo/main.ts
@@ -1,7 +1,7 @@
 /**
  * Runs a mesh of processes over loopback through a new configuration, a drain,
- * a killed node and a lost store, and checks stonemoor's promises by what
- * callers and backend servers counted.
+ * a killed node and a lost store, and checks stonemoor's guarantees
+ * against the counts of callers and backend servers.
  *
  * @module
  */
@@ -26,7 +26,7 @@
 const bundleBytes = 64 * 1024 * 1024;
 const callerCount = 8;
 
-/** Number of complete responses that callers wait for before a check: about a hundred through each node. */
+/** Number of complete responses that callers must receive before a check: about a hundred through each node. */
 const answersPerCheck = 600;
 
 /** The demo ends by itself within a minute, even if something hangs. */
--- a/demo/processes.ts
+++ b/demo/processes.ts
@@ -12,7 +12,7 @@
 export type RunningProcess = {
 	readonly name: string;
 	readonly child: ChildProcess;
-	/** Returns the last characters of its standard output and standard error, in order of arrival. */
+	/** Returns the last characters that the process wrote to its standard output and standard error, in order of arrival. */
 	readonly getOutput: () => string;
 	/** Waits until the process exits. Returns the exit code, or `undefined` if a signal ended it. */
 	readonly waitForExit: () => Promise<number | undefined>;
--- a/scenarios/steps/call-steps.ts
+++ b/scenarios/steps/call-steps.ts
@@ -155,7 +155,7 @@
 	const reading = readPages(state, count, state.world.listRunning());
 	await sleep(100);
 	const draining = server.drain();
-	// The server may get new requests until its node has processed the drain message. Requests that other nodes sent before arrive within the next 50 ms.
+	// The server may get new requests until its node has processed the drain message. Requests that other nodes had already sent by then arrive within the next 50 ms.
 	await waitFor(`${name} drains`, () => state.world.listRunning().some(({events}) => events.some(event => event.kind === 'server-draining' && event.server === name)));
 	await sleep(50);
 	state.requestsAfterDrain = server.getRequestCounts().requests;
--- a/scenarios/steps/define-step.ts
+++ b/scenarios/steps/define-step.ts
@@ -11,14 +11,14 @@
 /** The state that the steps of one scenario share. */
 export type ScenarioState = {
 	readonly world: World;
-	/** Of the last submissions. */
+	/** The outcomes of the last submissions. */
 	outcomes: readonly SubmissionOutcome[];
-	/** Of the last calls, each with the path of its page or the key of its release. */
+	/** The answers to the last calls, each with the path of its page or the key of its release. */
 	answers: ReadonlyArray<{readonly path: string; readonly answer: CallerAnswer}>;
 	backup: StoreBackup;
 	/** Requests that the server had received when its drain took effect. */
 	requestsAfterDrain: number;
-	/** Routes that were in force on a node without their pool, described for the error message. */
+	/** Descriptions of the routes that were in force on a node without their pool, for the error message. */
 	danglingRoutes: readonly string[];
 	/** The status of the last response to a hand-written request; 0 if there was none. */
 	rawStatus: number;
--- a/src/lib/common/clock.ts
+++ b/src/lib/common/clock.ts
@@ -77,8 +77,8 @@
 
 /**
  * Reads the monotonic clock that stops while this VM is suspended, to measure how long work took on this VM. With suspensions
- * included, a suspension of two seconds would count as a slow response of the backend server, and requests would be refused
- * that the server can answer in time.
+ * included, a suspension of two seconds would count as a slow response of the backend server,
+ * and the node would refuse requests that the server can answer in time.
  *
  * @returns Milliseconds, with fractions.
  * @internal
--- a/src/lib/common/elapsed-clock.ts
+++ b/src/lib/common/elapsed-clock.ts
@@ -3,9 +3,9 @@
  *
  * The steady clock of the runtime stops during a suspension, so a call would continue with time that its caller no longer has. The
  * uptime of the system and the time of day continue, but the time of day may also be set. A jump of the time of day therefore counts
- * as a suspension only if the uptime shows the same jump. Without such a jump of the uptime, the time of day counts as set: expiring
- * calls by a jump that was no suspension would lose the requests in flight whenever the clock is set, while a missed suspension only
- * has the effect of a steady clock that stops: deadlines are late by the length of the suspension.
+ * as a suspension only if the uptime shows the same jump; otherwise the time of day counts as set. Of the two possible errors, a
+ * missed suspension is the smaller one: deadlines are late by its length, as with the steady clock alone. If a set clock counted as
+ * a suspension, the calls in flight would expire and their requests would be lost.
  *
  * @module
  */
@@ -35,7 +35,7 @@
 /** Shortest jump of the time of day that is checked. A shorter suspension makes no difference to a call, and clocks are slewed by less than this. */
 const minimumJumpMs = 50;
 
-/** Greatest difference between the jumps of the two clocks that count as the same jump: a step of the time of day below the threshold, plus the 10 ms resolution of the uptime and the time between the reads on a busy VM. */
+/** Maximum difference at which the jumps of the time of day and of the uptime count as the same jump: a step of the time of day below the threshold, plus the 10 ms resolution of the uptime and the time between the reads on a busy VM. */
 const jumpToleranceMs = minimumJumpMs + 20;
 
 type ClockOffsets = {
@@ -64,7 +64,7 @@
 	let lastAwakeMs = readAwakeMs();
 	let offsets = readOffsets(lastAwakeMs);
 
-	/** Reads the steady clock. If it went back, a test has replaced it by another clock: the offsets are measured again, since the jump shows no suspension. */
+	/** Reads the steady clock. If it went back, a test has replaced the clock. The offsets are then measured again, so that the jump does not count as a suspension. */
 	const readAwake = (): number => {
 		const awakeMs = readAwakeMs();
 		if (awakeMs < lastAwakeMs) {
--- a/src/lib/common/loop-lag.ts
+++ b/src/lib/common/loop-lag.ts
@@ -12,16 +12,16 @@
 export type LoopLag = {
 	/** Records how late a timer fired. */
 	readonly recordTimerDelay: (delayMs: number) => void;
-	/** Estimates how long a request that was just read may have been waiting unread, in milliseconds: since the previous iteration of the event loop started, if that has only just ended. */
+	/** Estimates the longest time that a request that was just read may have waited unread, in milliseconds. It counts from the start of the current iteration of the event loop, or of the previous one if that ended immediately before, and includes a suspension that has just ended. */
 	readonly estimateUnreadMs: () => number;
-	/** Waits until input that arrived together with a request has been read as well. Returns immediately if the process does not lag, unless the request may have waited outside of it, as on a connection that was not accepted yet. */
+	/** Waits until input that arrived together with a request has been read as well. Returns immediately if the process does not lag and `mayHaveWaited` is false. Set `mayHaveWaited` if the request may have waited where this process cannot measure it, for example on a connection that was not accepted yet. */
 	readonly waitForPendingInput: (mayHaveWaited?: boolean) => Promise<void>;
 };
 
 /** Delay of a timer above which events are considered to be waiting: a fifth of the time after which a request whose caller has left must not be forwarded. Below this, the extra iterations cost more than they save. */
 const lagThresholdMs = 100;
 
-/** Time after a suspension within which input that arrived before it is read: a few iterations. New input within this time is also estimated to be older by the length of the suspension. */
+/** Time after the detection of a suspension, a few iterations, within which the process reads the input that arrived before the suspension. The estimate for all input read within this time includes the length of the suspension, also for input that arrived later. */
 const resumeWindowMs = 20;
 
 /** Longest gap between two iterations that follow one another without idle time. */
--- a/src/lib/common/request-start-limiter.test.ts
+++ b/src/lib/common/request-start-limiter.test.ts
@@ -38,7 +38,7 @@
 	assert.equal(started.at(-1), 'late');
 });
 
-/** Work that is done while connections are counted. The test counts work instead of elapsed time, since load from other processes delays both variants alike. */
+/** Work that is done while connections are counted. The test limits the work instead of the elapsed time, so that load from other processes affects the runs with and without the limiter alike. */
 const workMs = 400;
 
 /**
--- a/src/lib/common/request-start-limiter.ts
+++ b/src/lib/common/request-start-limiter.ts
@@ -4,7 +4,7 @@
  * iteration, so during long iterations callers wait to be connected. The close of
  * a connection is also read between iterations only.
  *
- * It is needed when hundreds of callers reconnect at the same time to a node that has just
+ * The limiter is needed when hundreds of callers reconnect at the same time to a node that has just
  * restarted, or that is the last one of its failure domain.
  *
  * @module
--- a/src/lib/common/token-bucket.ts
+++ b/src/lib/common/token-bucket.ts
@@ -7,7 +7,7 @@
 /** @internal */
 export type TokenBucket = {
 	readonly tokens: number;
-	/** Milliseconds since the epoch. */
+	/** Milliseconds of the clock that the caller uses for this bucket. */
 	readonly updatedAt: number;
 };
 
@@ -21,7 +21,7 @@
  * Creates a token bucket.
  *
  * @param limits - The rate and the burst.
- * @param now - Milliseconds since the epoch.
+ * @param now - Milliseconds of any clock. All later calls for this bucket must use the same clock.
  * @returns A full bucket.
  * @internal
  */
@@ -34,7 +34,7 @@
  *
  * @param bucket - The bucket after its last update.
  * @param limits - The rate and the burst.
- * @param now - Milliseconds since the epoch; a time before the last update adds nothing.
+ * @param now - Milliseconds of the clock that the bucket was created with; a time before the last update adds nothing.
  * @returns The refilled bucket.
  * @internal
  */
@@ -48,7 +48,7 @@
  *
  * @param bucket - The bucket after its last update.
  * @param limits - The rate and the burst.
- * @param now - Milliseconds since the epoch.
+ * @param now - Milliseconds of the clock that the bucket was created with.
  * @returns The updated bucket, and whether a token was taken.
  * @internal
  */
--- a/src/lib/common/young-generation-tuner.ts
+++ b/src/lib/common/young-generation-tuner.ts
@@ -13,7 +13,7 @@
 	readonly recordLoad: (requests: number, elapsedMs: number) => void;
 };
 
-/** Above this rate the young generation may grow: a small one costs no processor time at 13 requests per second, and 4% more at 45. */
+/** Request rate above which the young generation may grow. A small young generation costs no additional processor time at 13 requests per second, and 4% at 45. */
 const busyRequestsPerSecond = 40;
 
 /** Factors by which V8 multiplies the size of the young generation when too much of it is in use; 1 keeps the size. */
@@ -28,7 +28,7 @@
  * Creates a tuner for the young generation.
  *
  * @param setFactor - Sets the growth factor.
- * @returns The tuner, which has set the factor so that the young generation does not grow.
+ * @returns The tuner. It has already set the factor that keeps the young generation at its size.
  * @internal
  */
 export function createYoungGenerationTuner(setFactor: (factor: number) => void): YoungGenerationTuner {
--- a/src/lib/operators/operator-messages.ts
+++ b/src/lib/operators/operator-messages.ts
@@ -35,7 +35,7 @@
 	readonly store: StoreCounts;
 	readonly controlBytes: ByteCounts;
 	readonly addedMicroseconds: {readonly p50: number; readonly p99: number};
-	/** Processor time of the process in microseconds; the next two fields are its memory in bytes. */
+	/** Processor time that the process has used, in microseconds. `heapBytes` and `residentBytes` are its memory in bytes. */
 	readonly cpuMicroseconds: number;
 	readonly heapBytes: number;
 	readonly residentBytes: number;
--- a/src/lib/timeline/explain-version.ts
+++ b/src/lib/timeline/explain-version.ts
@@ -6,7 +6,7 @@
  */
 import {type LogLine} from './explain-call.js';
 
-/** How late one node applied a version or a newer one, and why. @public */
+/** The delay until one node applied a version or a newer one, and its cause. @public */
 export type VersionAtNode = {
 	readonly node: string;
 	/** Milliseconds after the first node applied the version; `undefined` if the logs do not show that this node applied it. */
--- a/src/lib/timeline/lamport-clock.ts
+++ b/src/lib/timeline/lamport-clock.ts
@@ -10,7 +10,7 @@
 	readonly getTime: () => number;
 	/** Advances the clock for an event of this process, and returns the time of the event. */
 	readonly advance: () => number;
-	/** Advances the clock to the time in a received message, unless it is later already. */
+	/** Advances the clock to the time in a received message, unless the clock is already later. */
 	readonly witness: (time: number) => void;
 };
 
--- a/src/lib/timeline/line-log.ts
+++ b/src/lib/timeline/line-log.ts
@@ -39,7 +39,7 @@
 /** Rate limit for lines of one kind below level `warn`: a line takes about 20 microseconds, so this limits a kind to a thousandth of a core. */
 const maximumLinesPerSecond = 25;
 
-/** Rate limit for lines of one kind that report the end of a failed request. It is higher, since a failure cannot be explained without its line. A node that refuses more requests per second logs the count of the others. */
+/** Rate limit for lines of one kind that report the end of a failed request. It is higher, since a failure cannot be explained without its line. If a node refuses more requests per second, it logs only the number of the remaining ones. */
 const maximumFinalLinesPerSecond = 200;
 
 /** Kinds of events that report the end of a request. */
@@ -49,8 +49,8 @@
 const flushDelayMs = 200;
 
 /**
- * Opens a pipe a second time in non-blocking mode. A write that blocks in a
- * thread of the pool would keep the process from exiting.
+ * Opens a pipe a second time in non-blocking mode. A blocking
+ * write would occupy a thread of the thread pool, and the process could not exit.
  */
 function openNonBlocking(fd: number): number {
 	try {
--- a/src/lib/timeline/mesh-log.ts
+++ b/src/lib/timeline/mesh-log.ts
@@ -16,7 +16,7 @@
 	readonly verdict: Verdict;
 	readonly outcome: string;
 	readonly tookMs: number;
-	/** Age of the report by which the server was chosen, in milliseconds. */
+	/** Age of the report on which the choice of the server was based, in milliseconds. */
 	readonly infoAgeMs?: number;
 };
 
@@ -29,7 +29,7 @@
 	| 'unreadable'
 	/** The sender uses the name of this node. */
 	| 'own-name'
-	/** It exceeds the amount that a mesh of any size sends. */
+	/** It exceeds a limit that legitimate traffic does not reach in a mesh of any size. */
 	| 'flood'
 	/** It contains an address that does not answer. */
 	| 'no-answer'
--- a/stand-ins/platform-server/server-messages.ts
+++ b/stand-ins/platform-server/server-messages.ts
@@ -18,7 +18,7 @@
 	readonly isDraining: boolean;
 	/** Numbers the heartbeats of the server. */
 	readonly sequence: number;
-	/** How long the server will still be slow after its start, in milliseconds. */
+	/** Remaining duration of the server's cold start, in milliseconds. */
 	readonly coldMs: number;
 };
 
@@ -67,7 +67,7 @@
 /**
  * Lists invalid values that another program may write as a store entry or a heartbeat.
  *
- * @param service - A service of the mesh. Values with this service are wrong only in another field.
+ * @param service - A service of the mesh. Values that contain this service are invalid only because of another field.
  * @returns The texts of the values.
  */
 export function listInvalidValues(service: string): readonly string[] {
--- a/stand-ins/settings-template.ts
+++ b/stand-ins/settings-template.ts
@@ -12,7 +12,7 @@
 	readonly name: string;
 	readonly failureDomain: string;
 	readonly service: string;
-	/** Its loopback IP address. */
+	/** The node's loopback IP address. */
 	readonly host: string;
 	readonly storeAddress: string;
 	readonly graceMs: number;
@@ -23,7 +23,7 @@
 const deployFolder = new URL('../../deploy/', import.meta.url);
 const placeholder = /{{([\w.-]+)(?:\|json)?}}/g;
 
-/** Whether a placeholder asks for its value as JSON: a string is then rendered with quotes. */
+/** Returns whether a placeholder requests its value as JSON. A string is then rendered with quotes. */
 const isJsonPlaceholder = (match: string): boolean => match.endsWith('|json}}');
 
 /** Returns the address of a node's readiness endpoint. */
